--- a/src/waxwingwell/decisions/admission.py
+++ b/src/waxwingwell/decisions/admission.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING
 from zlib import crc32
 
-from .claims import drop_claim
+from .claims import release_claim
 from .rates import count_event
 from .rates import decay_rate
 from .tables import Refusal
@@ -29,7 +29,7 @@
 """Length of a burst at full rate that the token bucket lets through."""
 RATE_WINDOW = 3.0
 """Seconds over which the offered rate is smoothed."""
-LEAST_RATE = 0.001
+MIN_RATE = 0.001
 """Requests a second below which a workspace counts as idle."""
 MIN_SHARE = 0.02
 """Share of a limit that an entry may use although it has had no demand of late."""
@@ -54,15 +54,15 @@
     limits = config.limits
     demand = tables.demand.setdefault(work.workspace, WorkspaceDemand())
     refill_tokens(demand, limits, now)
-    demand.rate = count_event(demand.rate, demand.rated_at, RATE_WINDOW, now)
-    demand.rated_at = now
+    demand.rate = count_event(demand.rate, demand.rate_updated_at, RATE_WINDOW, now)
+    demand.rate_updated_at = now
     refusal = check_limits(demand, limits, work)
     if refusal is not None:
         return refusal
 
     wait = estimate_queue_wait(tables, work, now)
     if wait > limits.max_wait:
-        return refuse_wait(work, wait - limits.max_wait)
+        return refuse_long_wait(work, wait - limits.max_wait)
 
     demand.tokens -= 1.0
     demand.in_flight += 1
@@ -77,57 +77,57 @@
     callers have gone would keep its old share of a limit from the others for good.
     """
     for demand in tables.demand.values():
-        rate = decay_rate(demand.rate, demand.rated_at, RATE_WINDOW, now)
-        demand.rate = rate if rate >= LEAST_RATE else 0.0
-        demand.rated_at = max(now, demand.rated_at)
+        rate = decay_rate(demand.rate, demand.rate_updated_at, RATE_WINDOW, now)
+        demand.rate = rate if rate >= MIN_RATE else 0.0
+        demand.rate_updated_at = max(now, demand.rate_updated_at)
 
 
 def check_limits(demand: WorkspaceDemand, limits: Limits, work: Work) -> Refusal | None:
     """Return why the workspace's own limits stand against one more request."""
-    if demand.in_flight >= share_in_flight(demand, limits):
+    if demand.in_flight >= get_in_flight_limit(demand, limits):
         return Refusal(
             "too_many_in_flight",
             f"the workspace has {limits.max_in_flight} requests in flight at most",
             429,
-            spread_retry(work, MIN_RETRY_AFTER),
+            jitter_retry_after(work, MIN_RETRY_AFTER),
         )
 
     if demand.tokens < 1.0:
-        pace = max(limits.requests_per_second * get_share(demand), 0.001)
+        refill_rate = max(limits.requests_per_second * get_limit_share(demand), 0.001)
         return Refusal(
             "rate_limited",
             f"the workspace has {limits.requests_per_second:g} requests a second",
             429,
-            spread_retry(work, (1.0 - demand.tokens) / pace),
+            jitter_retry_after(work, (1.0 - demand.tokens) / refill_rate),
         )
 
     return None
 
 
-def refuse_wait(work: Work, excess: float) -> Refusal:
+def refuse_long_wait(work: Work, excess: float) -> Refusal:
     """Return the refusal of work that would wait ``excess`` seconds too long."""
     return Refusal(
         "overloaded",
         "the wait would be longer than the workspace allows",
         503,
-        spread_retry(work, excess),
+        jitter_retry_after(work, excess),
     )
 
 
 def refill_tokens(demand: WorkspaceDemand, limits: Limits, now: float) -> None:
     """Let the bucket fill at this entry's share of the rate; it never overflows."""
-    share = get_share(demand)
+    share = get_limit_share(demand)
     depth = max(limits.requests_per_second * BURST_SECONDS * share, 1.0)
-    if demand.refilled_at == 0.0 and demand.rated_at == 0.0:
+    if demand.refilled_at == 0.0 and demand.rate_updated_at == 0.0:
         demand.tokens = depth
     else:
-        gained = max(now - demand.refilled_at, 0.0) * limits.requests_per_second
-        demand.tokens = min(demand.tokens + gained * share, depth)
+        refilled = max(now - demand.refilled_at, 0.0) * limits.requests_per_second
+        demand.tokens = min(demand.tokens + refilled * share, depth)
 
     demand.refilled_at = max(now, demand.refilled_at)
 
 
-def get_share(demand: WorkspaceDemand) -> float:
+def get_limit_share(demand: WorkspaceDemand) -> float:
     """Return this entry's share of the workspace's limits, by offered demand."""
     if demand.elsewhere_rate <= 0.0:
         return 1.0
@@ -135,7 +135,7 @@
     return max(demand.rate / (demand.rate + demand.elsewhere_rate), MIN_SHARE)
 
 
-def share_in_flight(demand: WorkspaceDemand, limits: Limits) -> int:
+def get_in_flight_limit(demand: WorkspaceDemand, limits: Limits) -> int:
     """Return how many requests this entry may hold for the workspace.
 
     What the others do not hold is free. Failure guarded against: with late news all
@@ -146,20 +146,20 @@
     if demand.elsewhere_rate <= 0.0:
         return free
 
-    fair = limits.max_in_flight * get_share(demand)
-    return max(int(min(free, fair + (free - fair) / 2)), 1)
+    fair_share = limits.max_in_flight * get_limit_share(demand)
+    return max(int(min(free, fair_share + (free - fair_share) / 2)), 1)
 
 
-def spread_retry(work: Work, seconds: float) -> float:
+def jitter_retry_after(work: Work, seconds: float) -> float:
     """Return a time to come back, spread so that not all callers return together."""
-    spread = 0.75 + 0.5 * (crc32(work.request.encode()) & 0xFF) / 255
+    jitter = 0.75 + 0.5 * (crc32(work.request.encode()) & 0xFF) / 255
     bounded = min(max(seconds, MIN_RETRY_AFTER), MAX_RETRY_AFTER)
-    return round(bounded * spread, 3)
+    return round(bounded * jitter, 3)
 
 
 def release(tables: Tables, work: Work, now: float) -> None:
     """Give back what ``admit`` counted; once for each admitted request."""
-    drop_claim(tables, work.request)
+    release_claim(tables, work.request)
     demand = tables.demand.get(work.workspace)
     if demand is None:
         return
--- a/src/waxwingwell/decisions/bets.py
+++ b/src/waxwingwell/decisions/bets.py
@@ -18,14 +18,14 @@
 from dataclasses import dataclass
 
 
-LOW_STAKES = (0.3, 0.6, 1.25)
+BET_STAKES = (0.3, 0.6, 1.25)
 """Stakes against a candidate; fixed in advance, as the guarantee needs."""
-LEAST_BASELINE = 0.3
-"""Baseline below which ``LOW_STAKES`` could lose more than the wealth there is."""
+MIN_BASELINE = 0.3
+"""Baseline below which ``BET_STAKES`` could lose more than the wealth there is."""
 
 
 @dataclass(frozen=True, slots=True)
-class Sums:
+class RatingSums:
     """Number of ratings, their sum and the sum of their squares."""
 
     rated: float
@@ -33,30 +33,34 @@
     squares: float
 
 
-def bound_log_wealth(sums: Sums, mean: float, stake: float) -> float:
+def bound_log_wealth(sums: RatingSums, mean: float, stake: float) -> float:
     """Return a lower bound on the log wealth of betting that ratings fall short.
 
     ``stake * (1 - mean)`` must be under 1.
     """
-    worst = stake * (1.0 - mean)
+    max_loss = stake * (1.0 - mean)
     gain = sums.rated * mean - sums.total
-    return stake * gain - _scale(worst) * stake * stake * _spread(sums, mean)
+    return stake * gain - _get_quadratic_factor(
+        max_loss
+    ) * stake * stake * _sum_squared_deviations(sums, mean)
 
 
-def mix_log(logs: tuple[float, ...]) -> float:
+def log_mean_exp(logs: tuple[float, ...]) -> float:
     """Return the log of the mean of the wealths whose logs are given."""
-    top = max(logs)
-    return top + math.log(sum(math.exp(item - top) for item in logs) / len(logs))
+    largest = max(logs)
+    return largest + math.log(
+        sum(math.exp(item - largest) for item in logs) / len(logs)
+    )
 
 
-def _spread(sums: Sums, mean: float) -> float:
+def _sum_squared_deviations(sums: RatingSums, mean: float) -> float:
     spread = sums.squares - 2.0 * mean * sums.total + sums.rated * mean * mean
     return max(0.0, spread)
 
 
-def _scale(worst: float) -> float:
-    """Return the factor of the quadratic term when a bet loses at most ``worst``."""
-    if worst < 1e-4:
+def _get_quadratic_factor(max_loss: float) -> float:
+    """Return the factor of the quadratic term when a bet loses at most ``max_loss``."""
+    if max_loss < 1e-4:
         return 0.5
 
-    return (-math.log1p(-worst) - worst) / (worst * worst)
+    return (-math.log1p(-max_loss) - max_loss) / (max_loss * max_loss)
--- a/src/waxwingwell/decisions/candidates.py
+++ b/src/waxwingwell/decisions/candidates.py
@@ -26,11 +26,11 @@
     from .tables import Work
 
 
-SAMPLE = 16
+SAMPLE_SIZE = 16
 """Holders looked at in a large fleet, besides the homes of prefixes."""
-WHOLE_UP_TO = 32
+FULL_SCAN_LIMIT = 32
 """Fleets of this size are looked through whole."""
-STRIDE = 7919
+SAMPLE_STRIDE = 7919
 """A prime, so that the steps of a sample meet different upstreams."""
 
 
@@ -53,16 +53,16 @@
     draw: float,
 ) -> Candidates:
     """Return the upstreams that may take the work."""
-    if len(tables.upstreams) > WHOLE_UP_TO:
+    if len(tables.upstreams) > FULL_SCAN_LIMIT:
         sample = sample_holders(tables, work, version, draw)
-        found = check_rows(tables, work, version, exclude, sample, now=now)
+        found = filter_rows(tables, work, version, exclude, sample, now=now)
         if found.rows:
             return found
 
-    return check_rows(tables, work, version, exclude, tables.upstreams, now=now)
+    return filter_rows(tables, work, version, exclude, tables.upstreams, now=now)
 
 
-def check_rows(
+def filter_rows(
     tables: Tables,
     work: Work,
     version: VersionId,
@@ -83,7 +83,7 @@
         if allowed and row.announcement.data_centre not in allowed:
             continue
 
-        if not serves(row, work, version):
+        if not can_serve(row, work, version):
             continue
 
         if row.ejected_until <= now:
@@ -94,7 +94,7 @@
     return found
 
 
-def serves(row: UpstreamRow, work: Work, version: VersionId) -> bool:
+def can_serve(row: UpstreamRow, work: Work, version: VersionId) -> bool:
     """Return whether the upstream has said that it serves what the work needs."""
     announcement = row.announcement
     if announcement.leaving:
@@ -111,20 +111,20 @@
     tables: Tables, work: Work, version: VersionId, draw: float
 ) -> dict[UpstreamId, None]:
     """Return some holders by the index, without repeats."""
-    picked: dict[UpstreamId, None] = {}
+    sampled: dict[UpstreamId, None] = {}
     for digest in work.prefixes[:2]:
         for upstream in list(tables.homes.get(digest, ()))[-4:]:
-            picked[upstream] = None
+            sampled[upstream] = None
 
     holders = tables.holders.get(work.service or version, [])
     if not holders:
-        return picked
+        return sampled
 
     start = int(draw * 1_000_003)
-    for step in range(min(SAMPLE, len(holders))):
-        picked[holders[(start + step * STRIDE) % len(holders)]] = None
+    for step in range(min(SAMPLE_SIZE, len(holders))):
+        sampled[holders[(start + step * SAMPLE_STRIDE) % len(holders)]] = None
 
-    return picked
+    return sampled
 
 
 def index_upstreams(tables: Tables, now: float) -> None:
--- a/src/waxwingwell/decisions/cascades.py
+++ b/src/waxwingwell/decisions/cascades.py
@@ -11,24 +11,24 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING
 
-from .eligibility import get_latency
+from .eligibility import get_latency_weight
 from .options import Option
-from .options import get_spare
+from .options import get_spare_credit
 from .quality import Estimate
 from .quality import estimate_escalated
 
 
 if TYPE_CHECKING:
-    from .options import Case
+    from .options import ChoiceContext
     from .tables import Tables
     from .tables import Work
 
 
-CASCADE_TRIM = 0.02
+CASCADE_TARGET_SLACK = 0.02
 """How far below the target a cascade may aim when credit is at its cap."""
-LATENCY_TOLL = 0.1
+LATENCY_PENALTY = 0.1
 """Part of a cost that a cascade must save to make up for its second answer."""
-BISECTIONS = 7
+BISECTION_STEPS = 7
 """Halvings of the threshold's range; the last step is under 0.01."""
 
 
@@ -60,51 +60,58 @@
     return work.kind.waits_for_whole and not work.stream and not work.session
 
 
-def find_cascade(tables: Tables, case: Case, main: Option) -> CascadePlan | None:
-    """Return the cascade that undercuts ``main``, if any.
+def find_cascade(
+    tables: Tables, context: ChoiceContext, primary: Option
+) -> CascadePlan | None:
+    """Return the cascade that undercuts ``primary``, if any.
 
     Pairs are ranked with an optimistic mean of the cheap version: its answers are
     rated before they are served, so that trying it costs little quality. The
     threshold comes from the mean itself.
     """
-    work = case.work
+    work = context.work
     if not may_cascade(work):
         return None
 
-    least = main.cost / (1.0 + LATENCY_TOLL * get_latency(case.config))
+    lowest_cost = primary.cost / (
+        1.0 + LATENCY_PENALTY * get_latency_weight(context.config)
+    )
     found: tuple[Option, Option, Estimate] | None = None
-    for strong in case.options:
+    for strong in context.options:
         escalated = estimate_escalated(
             tables, work.workspace, work.kind.name, strong.version, strong.estimate
         )
-        for cheap in case.options:
-            if cheap.cost + tables.rating_price >= least or cheap.cost >= strong.cost:
+        for cheap in context.options:
+            if (
+                cheap.cost + tables.rating_price >= lowest_cost
+                or cheap.cost >= strong.cost
+            ):
                 break
 
-            bright = replace(
+            optimistic = replace(
                 cheap.estimate, mean=cheap.estimate.mean + cheap.estimate.error
             )
-            option = _weigh_cascade(
-                tables, case, bright, escalated, (cheap.cost, strong.cost)
+            option = _evaluate_cascade(
+                tables, context, optimistic, escalated, (cheap.cost, strong.cost)
             )
-            if option is not None and option.cost < least:
-                least = option.cost
+            if option is not None and option.cost < lowest_cost:
+                lowest_cost = option.cost
                 found = (cheap, strong, escalated)
 
     if found is None:
         return None
 
     cheap, strong, escalated = found
-    option = _weigh_cascade(
-        tables, case, cheap.estimate, escalated, (cheap.cost, strong.cost)
+    option = _evaluate_cascade(
+        tables, context, cheap.estimate, escalated, (cheap.cost, strong.cost)
     )
     threshold = option.threshold if option else escalated.mean
     return CascadePlan(cheap, strong, escalated, threshold)
 
 
-def _weigh_cascade(
+def _evaluate_cascade(
     tables: Tables,
-    case: Case,
+    context: ChoiceContext,
     cheap: Estimate,
     escalated: Estimate,
     costs: tuple[float, float],
@@ -115,9 +122,9 @@
         cheap_cost=costs[0],
         strong_cost=costs[1],
         rating_price=tables.rating_price,
-        target=case.target
-        - CASCADE_TRIM * get_spare(case)
-        + case.caution * escalated.error,
+        target=context.target
+        - CASCADE_TARGET_SLACK * get_spare_credit(context)
+        + context.caution * escalated.error,
     )
 
 
@@ -138,37 +145,47 @@
     rating are always paid for.
     """
     high = strong
-    if _serve(cheap, strong, high)[1] < target:
+    if _evaluate_threshold(cheap, strong, high)[1] < target:
         return None
 
     low = 0.0
-    for _ in range(BISECTIONS):
+    for _ in range(BISECTION_STEPS):
         middle = 0.5 * (low + high)
-        if _serve(cheap, strong, middle)[1] < target:
+        if _evaluate_threshold(cheap, strong, middle)[1] < target:
             low = middle
         else:
             high = middle
 
-    stop, quality = _serve(cheap, strong, high)
-    cost = cheap_cost + rating_price + (1.0 - stop) * strong_cost
+    stop_probability, quality = _evaluate_threshold(cheap, strong, high)
+    cost = cheap_cost + rating_price + (1.0 - stop_probability) * strong_cost
     return CascadeOption(high, cost, quality)
 
 
-def _serve(cheap: Estimate, strong: float, threshold: float) -> tuple[float, float]:
+def _evaluate_threshold(
+    cheap: Estimate, strong: float, threshold: float
+) -> tuple[float, float]:
     """Return the chance that the cheap answer is served, and the mean quality."""
-    stop = _exceed(cheap, threshold)
-    quality = _served_above(cheap, threshold, stop) + (1.0 - stop) * strong
-    return stop, quality
+    stop_probability = _get_stop_probability(cheap, threshold)
+    quality = (
+        _get_mean_above(cheap, threshold, stop_probability)
+        + (1.0 - stop_probability) * strong
+    )
+    return stop_probability, quality
 
 
-def _exceed(estimate: Estimate, threshold: float) -> float:
+def _get_stop_probability(estimate: Estimate, threshold: float) -> float:
     """Return the chance that a rating is at or above ``threshold``."""
     deviations = (threshold - estimate.mean) / estimate.deviation
     return 0.5 * math.erfc(deviations / math.sqrt(2.0))
 
 
-def _served_above(estimate: Estimate, threshold: float, stop: float) -> float:
+def _get_mean_above(
+    estimate: Estimate, threshold: float, stop_probability: float
+) -> float:
     """Return the expected rating on the event that it is above ``threshold``."""
     deviations = (threshold - estimate.mean) / estimate.deviation
     density = math.exp(-0.5 * deviations * deviations) / math.sqrt(2.0 * math.pi)
-    return min(stop, estimate.mean * stop + estimate.deviation * density)
+    return min(
+        stop_probability,
+        estimate.mean * stop_probability + estimate.deviation * density,
+    )
--- a/src/waxwingwell/decisions/claims.py
+++ b/src/waxwingwell/decisions/claims.py
@@ -15,9 +15,9 @@
     from .tables import Tables
 
 
-def claim_place(tables: Tables, request: str, upstream: UpstreamId) -> None:
+def claim_slot(tables: Tables, request: str, upstream: UpstreamId) -> None:
     """Count a place as taken for a request that is about to be dispatched."""
-    drop_claim(tables, request)
+    release_claim(tables, request)
     row = tables.upstreams.get(upstream)
     if row is None:
         return
@@ -26,7 +26,7 @@
     row.claimed += 1
 
 
-def drop_claim(tables: Tables, request: str) -> None:
+def release_claim(tables: Tables, request: str) -> None:
     """Give a claimed place back; a request without a claim changes nothing."""
     upstream = tables.claims.pop(request, None)
     row = tables.upstreams.get(upstream) if upstream is not None else None
--- a/src/waxwingwell/decisions/comparisons.py
+++ b/src/waxwingwell/decisions/comparisons.py
@@ -9,11 +9,11 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from .bets import LEAST_BASELINE
-from .bets import LOW_STAKES
-from .bets import Sums
+from .bets import BET_STAKES
+from .bets import MIN_BASELINE
+from .bets import RatingSums
 from .bets import bound_log_wealth
-from .bets import mix_log
+from .bets import log_mean_exp
 
 
 if TYPE_CHECKING:
@@ -26,8 +26,8 @@
 
     Cell = tuple[WorkspaceId, str]
 
-MIXTURE = 8.0
-LEAST_BASE = 20
+MIXTURE_SCALE = 8.0
+MIN_INCUMBENT_RATINGS = 20
 """Ratings of the incumbent that make a workspace and kind comparable."""
 
 
@@ -40,11 +40,11 @@
     error: float
 
 
-def weigh_evidence(
+def compute_log_evidence(
     rollout: Rollout,
-    mine: dict[Cell, Sums],
-    fresh: dict[Cell, Sums],
-    theirs: dict[Cell, Sums],
+    candidate_sums: dict[Cell, RatingSums],
+    stage_sums: dict[Cell, RatingSums],
+    incumbent_sums: dict[Cell, RatingSums],
 ) -> float:
     """Return the log evidence that the candidate is worse in any cell.
 
@@ -52,25 +52,28 @@
     wealth is shared between a bet from the beginning and one from each stage's
     beginning; a weighted sum of wealths is a wealth.
     """
-    since = subtract_base(theirs, rollout, rollout.incumbent)
+    incumbent_recent = subtract_base(incumbent_sums, rollout, rollout.incumbent)
     usable = {
         cell: sums
-        for cell, sums in theirs.items()
-        if cell in mine and sums.rated >= LEAST_BASE
+        for cell, sums in incumbent_sums.items()
+        if cell in candidate_sums and sums.rated >= MIN_INCUMBENT_RATINGS
     }
     means = {
-        cell: _find_baseline(sums, since.get(cell)) for cell, sums in usable.items()
+        cell: _find_baseline(sums, incumbent_recent.get(cell))
+        for cell, sums in usable.items()
     }
     deviations = get_baseline_deviations(rollout.pace.false_alarm / 2.0)
-    whole = _bet(mine, usable, means, deviations)
+    log_since_start = _compute_log_wealth(candidate_sums, usable, means, deviations)
     if rollout.stage == 0 or not rollout.base:
-        return whole
+        return log_since_start
 
-    late = _bet(fresh, usable, means, deviations)
+    log_since_stage = _compute_log_wealth(stage_sums, usable, means, deviations)
     stages = max(1, len(rollout.pace.stages) - 1)
-    top = max(whole, late)
-    share = 0.5 * math.exp(whole - top) + 0.5 / stages * math.exp(late - top)
-    return top + math.log(share)
+    largest = max(log_since_start, log_since_stage)
+    share = 0.5 * math.exp(log_since_start - largest) + 0.5 / stages * math.exp(
+        log_since_stage - largest
+    )
+    return largest + math.log(share)
 
 
 def get_baseline_deviations(alpha: float) -> float:
@@ -79,30 +82,32 @@
     Over all cells together, weighed as the candidate's ratings are, and but for
     chance ``alpha``. Source: Waudby-Smith, Arbour, Sinha, Kennedy and Ramdas,
     "Time-uniform central limit theory and asymptotic confidence sequences", Annals
-    of Statistics 52 (2024), with the mixture at ``MIXTURE`` times its scale.
+    of Statistics 52 (2024), with the mixture at ``MIXTURE_SCALE`` times its scale.
     """
-    spread = math.log(math.sqrt(MIXTURE + 1.0) / alpha)
-    return math.sqrt(2.0 * (1.0 + 1.0 / MIXTURE) * spread)
+    spread = math.log(math.sqrt(MIXTURE_SCALE + 1.0) / alpha)
+    return math.sqrt(2.0 * (1.0 + 1.0 / MIXTURE_SCALE) * spread)
 
 
-def _find_baseline(sums: Sums, since: Sums | None) -> float:
+def _find_baseline(sums: RatingSums, incumbent_recent: RatingSums | None) -> float:
     """Return the incumbent's mean in a cell.
 
     Failure: the work itself becomes harder, both versions fall, and the candidate
     is blamed against old ratings. The incumbent's recent mean bounds it too.
     """
     mean = sums.total / sums.rated
-    if since is None or since.rated < LEAST_BASE:
+    if incumbent_recent is None or incumbent_recent.rated < MIN_INCUMBENT_RATINGS:
         return mean
 
-    recent = since.total / since.rated
-    spread = max(0.0, since.squares / since.rated - recent * recent)
-    return min(mean, recent + math.sqrt(spread / since.rated))
+    recent = incumbent_recent.total / incumbent_recent.rated
+    spread = max(
+        0.0, incumbent_recent.squares / incumbent_recent.rated - recent * recent
+    )
+    return min(mean, recent + math.sqrt(spread / incumbent_recent.rated))
 
 
-def _bet(
-    cells: dict[Cell, Sums],
-    theirs: dict[Cell, Sums],
+def _compute_log_wealth(
+    cells: dict[Cell, RatingSums],
+    incumbent_sums: dict[Cell, RatingSums],
     means: dict[Cell, float],
     deviations: float,
 ) -> float:
@@ -117,34 +122,36 @@
     for cell in means:
         sums = cells.get(cell)
         if sums is not None:
-            base = theirs[cell]
+            base = incumbent_sums[cell]
             rated += sums.rated
             variance += sums.rated**2 * _sum_variance(base) / base.rated**2
 
     if not rated:
         return 0.0
 
-    shift = deviations * math.sqrt(variance) / rated
-    logs = [0.0] * len(LOW_STAKES)
+    margin = deviations * math.sqrt(variance) / rated
+    logs = [0.0] * len(BET_STAKES)
     for cell, mean in means.items():
         sums = cells.get(cell)
-        if sums is None or mean - shift < LEAST_BASELINE:
+        if sums is None or mean - margin < MIN_BASELINE:
             continue
 
-        for place, stake in enumerate(LOW_STAKES):
-            logs[place] += bound_log_wealth(sums, mean - shift, stake)
+        for index, stake in enumerate(BET_STAKES):
+            logs[index] += bound_log_wealth(sums, mean - margin, stake)
 
-    return mix_log(tuple(logs))
+    return log_mean_exp(tuple(logs))
 
 
-def compare(mine: dict[Cell, Sums], theirs: dict[Cell, Sums]) -> Comparison:
+def compare(
+    candidate_sums: dict[Cell, RatingSums], incumbent_sums: dict[Cell, RatingSums]
+) -> Comparison:
     """Compare like with like: each cell weighs as the candidate's ratings there."""
     rated = 0.0
     loss = 0.0
     variance = 0.0
-    for cell, sums in mine.items():
-        base = theirs.get(cell)
-        if base is None or base.rated < LEAST_BASE or sums.rated <= 0:
+    for cell, sums in candidate_sums.items():
+        base = incumbent_sums.get(cell)
+        if base is None or base.rated < MIN_INCUMBENT_RATINGS or sums.rated <= 0:
             continue
 
         mean = base.total / base.rated
@@ -159,7 +166,7 @@
     return Comparison(int(rated), loss / rated, variance**0.5 / rated)
 
 
-def _sum_variance(sums: Sums) -> float:
+def _sum_variance(sums: RatingSums) -> float:
     """Return the variance of a sum of ratings; a few assumed ones guard small cells."""
     mean = sums.total / sums.rated
     spread = max(0.0, sums.squares - sums.rated * mean * mean)
@@ -167,15 +174,15 @@
 
 
 def subtract_base(
-    cells: dict[Cell, Sums], rollout: Rollout, version: VersionId
-) -> dict[Cell, Sums]:
+    cells: dict[Cell, RatingSums], rollout: Rollout, version: VersionId
+) -> dict[Cell, RatingSums]:
     """Return what came since the present stage began."""
     base = index_rows(row for row in rollout.base if row.version == version)
-    found: dict[Cell, Sums] = {}
+    found: dict[Cell, RatingSums] = {}
     for cell, sums in cells.items():
-        before = base.get(cell, Sums(0.0, 0.0, 0.0))
+        before = base.get(cell, RatingSums(0.0, 0.0, 0.0))
         if sums.rated > before.rated:
-            found[cell] = Sums(
+            found[cell] = RatingSums(
                 sums.rated - before.rated,
                 sums.total - before.total,
                 sums.squares - before.squares,
@@ -184,10 +191,10 @@
     return found
 
 
-def index_rows(rows: Iterable[Evidence]) -> dict[Cell, Sums]:
+def index_rows(rows: Iterable[Evidence]) -> dict[Cell, RatingSums]:
     """Return the sums of each workspace and kind that was rated."""
     return {
-        (row.workspace, row.kind): Sums(row.rated, row.total, row.squares)
+        (row.workspace, row.kind): RatingSums(row.rated, row.total, row.squares)
         for row in rows
         if row.rated > 0
     }
--- a/src/waxwingwell/decisions/ejection.py
+++ b/src/waxwingwell/decisions/ejection.py
@@ -21,21 +21,21 @@
 
 
 FAILURES_TO_EJECT = 3
-SILENCE_WEIGHT = 2
+UNRESPONSIVE_WEIGHT = 2
 """A silence counts as this many failures: it costs a whole deadline to see one."""
-FIRST_EJECTION = 5.0
-MAX_EJECTION = 60.0
+FIRST_EJECTION_SECONDS = 5.0
+MAX_EJECTION_SECONDS = 60.0
 MAX_EJECTED_SHARE = 0.5
 
 
-def note_success(row: UpstreamRow) -> None:
+def record_success(row: UpstreamRow) -> None:
     """Clear the failures of an upstream that served a request."""
     row.failures = 0
     row.ejections = 0
     row.probing = False
 
 
-def note_failure(
+def record_failure(
     tables: Tables, upstream: UpstreamId, *, weight: int, now: float
 ) -> bool:
     """Count a failure; return whether the upstream was ejected for it."""
@@ -44,11 +44,17 @@
         return False
 
     row.failures += weight
-    enough = row.failures >= FAILURES_TO_EJECT or row.probing
-    if not enough or row.ejected_until > now or not may_eject(tables, row, now):
+    threshold_reached = row.failures >= FAILURES_TO_EJECT or row.probing
+    if (
+        not threshold_reached
+        or row.ejected_until > now
+        or not may_eject(tables, row, now)
+    ):
         return False
 
-    row.ejected_until = now + min(FIRST_EJECTION * 2**row.ejections, MAX_EJECTION)
+    row.ejected_until = now + min(
+        FIRST_EJECTION_SECONDS * 2**row.ejections, MAX_EJECTION_SECONDS
+    )
     row.ejections = min(row.ejections + 1, 10)
     row.probing = True
     return True
@@ -62,8 +68,8 @@
             for peer in tables.upstreams.values()
             if not peer.left and peer.expires_at > now and group in list_groups(peer)
         ]
-        staying = sum(1 for peer in peers if peer.ejected_until <= now) - 1
-        if staying < max(1.0, len(peers) * (1.0 - MAX_EJECTED_SHARE)):
+        remaining = sum(1 for peer in peers if peer.ejected_until <= now) - 1
+        if remaining < max(1.0, len(peers) * (1.0 - MAX_EJECTED_SHARE)):
             return False
 
     return True
@@ -78,7 +84,7 @@
     return announcement.versions
 
 
-def lift_ejection(row: UpstreamRow, now: float) -> None:
+def end_ejection(row: UpstreamRow, now: float) -> None:
     """Take an upstream back on trial before its time, when no other is left."""
     row.ejected_until = min(row.ejected_until, now)
     row.probing = True
--- a/src/waxwingwell/decisions/eligibility.py
+++ b/src/waxwingwell/decisions/eligibility.py
@@ -17,7 +17,7 @@
     from .tables import Work
 
 
-def get_standing(tables: Tables, spec: VersionSpec) -> VersionStatus:
+def get_effective_status(tables: Tables, spec: VersionSpec) -> VersionStatus:
     """Return a version's status, with what its roll-out's end implies.
 
     Failure: a roll-out ends and the version's own status has not followed yet.
@@ -47,7 +47,7 @@
     A session is never moved: the caller decides whether to start a new one.
     """
     spec = tables.versions.get(work.pinned)
-    if spec is None or get_standing(tables, spec) is VersionStatus.WITHDRAWN:
+    if spec is None or get_effective_status(tables, spec) is VersionStatus.WITHDRAWN:
         return refuse_withdrawn(work.pinned)
 
     if spec.version not in config.allowed:
@@ -70,17 +70,17 @@
         return _refuse_not_allowed(version)
 
     spec = tables.versions.get(version)
-    standing = get_standing(tables, spec) if spec else VersionStatus.WITHDRAWN
-    if standing is VersionStatus.WITHDRAWN:
+    status = get_effective_status(tables, spec) if spec else VersionStatus.WITHDRAWN
+    if status is VersionStatus.WITHDRAWN:
         return refuse_withdrawn(version)
 
-    if standing is VersionStatus.ENDING and work.pinned != version:
+    if status is VersionStatus.ENDING and work.pinned != version:
         return refuse_withdrawn(version)
 
     return None
 
 
-def list_open(
+def list_eligible(
     tables: Tables, config: WorkspaceConfig, work: Work
 ) -> tuple[VersionSpec, ...] | Refusal:
     """Return the active versions that new work may use, or why there is none."""
@@ -94,16 +94,18 @@
 
         specs = named
 
-    opened = tuple(
-        spec for spec in specs if get_standing(tables, spec) is VersionStatus.ACTIVE
+    eligible = tuple(
+        spec
+        for spec in specs
+        if get_effective_status(tables, spec) is VersionStatus.ACTIVE
     )
-    if opened:
-        return _prefer_held(tables, opened)
+    if eligible:
+        return _prefer_loaded(tables, eligible)
 
-    return _refuse_closed(tables, work, specs)
+    return _refuse_ineligible(tables, work, specs)
 
 
-def is_held(tables: Tables, version: VersionId) -> bool:
+def is_loaded(tables: Tables, version: VersionId) -> bool:
     """Tell whether a live upstream holds a version, as far as the index knows.
 
     Without an index every version counts as held.
@@ -111,16 +113,16 @@
     return not tables.holders or bool(tables.holders.get(version))
 
 
-def _prefer_held(
-    tables: Tables, opened: tuple[VersionSpec, ...]
+def _prefer_loaded(
+    tables: Tables, eligible: tuple[VersionSpec, ...]
 ) -> tuple[VersionSpec, ...]:
     """Return the versions that some upstream holds, or all if none is held.
 
     Failure: the best version was registered and no engine has loaded it yet, or its
     engines are gone. Every request would be refused, while others stand ready.
     """
-    held = tuple(spec for spec in opened if is_held(tables, spec.version))
-    return held or opened
+    loaded = tuple(spec for spec in eligible if is_loaded(tables, spec.version))
+    return loaded or eligible
 
 
 def refuse_withdrawn(version: str) -> Refusal:
@@ -128,14 +130,14 @@
     return Refusal("version_withdrawn", f"version {version} is withdrawn", 410)
 
 
-def get_exposure(config: WorkspaceConfig) -> float:
+def get_exposure_weight(config: WorkspaceConfig) -> float:
     """Return the weight of exposure to bad versions, 0 to 1; a third is neutral."""
     weighing = config.weighing
     total = weighing.cost + weighing.latency + weighing.exposure
     return weighing.exposure / total if total > 0 else 1 / 3
 
 
-def get_latency(config: WorkspaceConfig) -> float:
+def get_latency_weight(config: WorkspaceConfig) -> float:
     """Return the weight of latency, 0 to 1; a third is neutral."""
     weighing = config.weighing
     total = weighing.cost + weighing.latency + weighing.exposure
@@ -154,9 +156,9 @@
     return Refusal("model_not_found", f"there is no model or version {name}", 404)
 
 
-def _refuse_closed(tables: Tables, work: Work, specs: list[VersionSpec]) -> Refusal:
-    standings = {get_standing(tables, spec) for spec in specs}
-    if work.model and VersionStatus.CANDIDATE not in standings:
+def _refuse_ineligible(tables: Tables, work: Work, specs: list[VersionSpec]) -> Refusal:
+    statuses = {get_effective_status(tables, spec) for spec in specs}
+    if work.model and VersionStatus.CANDIDATE not in statuses:
         return refuse_withdrawn(work.model)
 
     if work.model:
--- a/src/waxwingwell/decisions/evidence.py
+++ b/src/waxwingwell/decisions/evidence.py
@@ -12,10 +12,10 @@
 from ..records import Evidence
 from .accounts import add_credit
 from .accounts import get_account
-from .accounts import note_opinion
+from .accounts import update_rating_stats
 from .quality import estimate_escalated
 from .quality import estimate_quality
-from .quality import name_escalated
+from .quality import get_escalated_kind
 
 
 if TYPE_CHECKING:
@@ -29,9 +29,9 @@
 
     Key = tuple[WorkspaceId, str, VersionId]
 
-FLATTERY = 2.0
+SELECTION_BIAS_ERRORS = 2.0
 """Standard errors by which an unrated answer's credit is reduced."""
-OUTSTANDING_LIFE = 600.0
+OUTSTANDING_TIMEOUT = 600.0
 """Seconds after which a rating that never came stops counting as outstanding."""
 
 
@@ -64,7 +64,7 @@
     False for a step of a cascade before its last, ``escalated`` is True for a step
     after its first.
     """
-    kind = name_escalated(work.kind.name) if escalated else work.kind.name
+    kind = get_escalated_kind(work.kind.name) if escalated else work.kind.name
     key = (work.workspace, kind, version)
     row = Evidence(version, work.workspace, kind, sent=1, to_rate=int(rate))
     _add_row(tables, key, row)
@@ -87,7 +87,11 @@
             )
 
         # The cheapest that seems good enough is more often flattered than not.
-        surplus = estimate.mean - FLATTERY * estimate.error - work.kind.quality_target
+        surplus = (
+            estimate.mean
+            - SELECTION_BIAS_ERRORS * estimate.error
+            - work.kind.quality_target
+        )
         add_credit(account, surplus)
 
 
@@ -107,11 +111,11 @@
     A rating outside 0 to 1 is clipped: the tests below rely on the bounds.
     """
     value = min(1.0, max(0.0, rating))
-    name = name_escalated(kind.name) if escalated else kind.name
+    name = get_escalated_kind(kind.name) if escalated else kind.name
     key = (workspace, name, version)
     row = Evidence(version, workspace, name, 1, value, value * value)
     _add_row(tables, key, row)
-    note_opinion(tables, key, row)
+    update_rating_stats(tables, key, row)
     _drop_outstanding(tables, key)
     tables.rating_heard_at = max(tables.rating_heard_at, now)
     if served:
@@ -128,7 +132,7 @@
     escalated: bool = False,
 ) -> None:
     """Note that an answer handed to the rating service will get no rating."""
-    name = name_escalated(kind.name) if escalated else kind.name
+    name = get_escalated_kind(kind.name) if escalated else kind.name
     key = (workspace, name, version)
     _add_row(tables, key, Evidence(version, workspace, name, to_rate=-1))
     _drop_outstanding(tables, key)
@@ -136,12 +140,12 @@
 
 def count_outstanding(tables: Tables, version: VersionId, now: float) -> int:
     """Return the number of this entry's answers that still wait for a rating."""
-    return _count_fresh(tables.outstanding.get(version), now)
+    return _count_unexpired(tables.outstanding.get(version), now)
 
 
 def count_cell_outstanding(tables: Tables, key: Key, now: float) -> int:
     """Return the same for one workspace and kind."""
-    return _count_fresh(tables.cell_outstanding.get(key), now)
+    return _count_unexpired(tables.cell_outstanding.get(key), now)
 
 
 def take_increments(tables: Tables) -> tuple[Evidence, ...]:
@@ -170,25 +174,25 @@
     for row in rows:
         key = (row.workspace, row.kind, row.version)
         merged = row
-        for mine in (tables.flushing.get(key), tables.increments.get(key)):
-            merged = merged if mine is None else add_evidence(merged, mine)
+        for own in (tables.flushing.get(key), tables.increments.get(key)):
+            merged = merged if own is None else add_evidence(merged, own)
 
         before = tables.evidence.get(key)
         tables.evidence[key] = merged
         change = _subtract(merged, before)
-        note_opinion(tables, key, change)
+        update_rating_stats(tables, key, change)
         if change.rated > 0:
             tables.rating_heard_at = max(tables.rating_heard_at, now)
 
 
-def _count_fresh(times: list[float] | None, now: float) -> int:
+def _count_unexpired(times: list[float] | None, now: float) -> int:
     if not times:
         return 0
 
-    if times[0] > now - OUTSTANDING_LIFE:
+    if times[0] > now - OUTSTANDING_TIMEOUT:
         return len(times)
 
-    return sum(at > now - OUTSTANDING_LIFE for at in times)
+    return sum(at > now - OUTSTANDING_TIMEOUT for at in times)
 
 
 def _add_row(tables: Tables, key: Key, row: Evidence) -> None:
--- a/src/waxwingwell/decisions/holders.py
+++ b/src/waxwingwell/decisions/holders.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Need:
+class HolderTarget:
     """Holders that a version should have, and those it has or will have."""
 
     version: VersionId
@@ -34,7 +34,7 @@
     held: int
 
 
-def list_live(tables: Tables, now: float) -> list[UpstreamRow]:
+def list_live_engines(tables: Tables, now: float) -> list[UpstreamRow]:
     """Return the model engines that may be given orders."""
     return [
         row
@@ -46,23 +46,25 @@
     ]
 
 
-def list_needs(
+def list_holder_targets(
     tables: Tables,
-    coming: Collection[tuple[UpstreamId, VersionId]],
+    pending: Collection[tuple[UpstreamId, VersionId]],
     rows: list[UpstreamRow],
-) -> list[Need]:
+) -> list[HolderTarget]:
     """Return what each version of the catalogue that takes work should have."""
-    needs = []
+    targets = []
     for version, spec in tables.versions.items():
         if spec.status in (VersionStatus.ENDING, VersionStatus.WITHDRAWN):
             continue
 
         rollout = find_rollout(tables, version)
         wanted = min(count_wanted(rollout, rows), len(rows))
-        due = sum(1 for _, ordered in coming if ordered == version)
-        needs.append(Need(version, wanted, count_holders(rows, version) + due))
+        pending_count = sum(1 for _, ordered in pending if ordered == version)
+        targets.append(
+            HolderTarget(version, wanted, count_holders(rows, version) + pending_count)
+        )
 
-    return needs
+    return targets
 
 
 def find_rollout(tables: Tables, version: VersionId) -> Rollout | None:
@@ -90,10 +92,12 @@
     else:
         share = stages[min(rollout.stage + 1, len(stages) - 1)]
 
-    return count_for_share(rollout, rows, share)
+    return count_holders_for_share(rollout, rows, share)
 
 
-def count_for_share(rollout: Rollout, rows: list[UpstreamRow], share: float) -> int:
+def count_holders_for_share(
+    rollout: Rollout, rows: list[UpstreamRow], share: float
+) -> int:
     """Return the holders that a share of the incumbent's sessions needs."""
     serving = {rollout.incumbent, rollout.candidate}
     pool = sum(1 for row in rows if serving & set(row.announcement.versions))
@@ -102,9 +106,9 @@
 
 def is_stage_loaded(tables: Tables, rollout: Rollout, stage: int, now: float) -> bool:
     """Return whether enough upstreams report the candidate for a stage to begin."""
-    rows = list_live(tables, now)
+    rows = list_live_engines(tables, now)
     stages = rollout.pace.stages
-    wanted = count_for_share(rollout, rows, stages[min(stage, len(stages) - 1)])
+    wanted = count_holders_for_share(rollout, rows, stages[min(stage, len(stages) - 1)])
     return count_holders(rows, rollout.candidate) >= min(wanted, len(rows))
 
 
--- a/src/waxwingwell/decisions/load.py
+++ b/src/waxwingwell/decisions/load.py
@@ -25,10 +25,10 @@
 DEFAULT_PREFILL_PER_SECOND = 8000.0
 DEFAULT_SERVICE_SECONDS = 0.05
 """Time of one call of a plain service where nothing was reported."""
-OTHERS_WEIGHT = 0.25
+OTHER_ENTRIES_WEIGHT = 0.25
 """Trust in others doing as this entry did since the report; see the design note."""
 MAX_SCALE = 16.0
-KEPT_TIMES = 512
+MAX_KEPT_TIMES = 512
 """Dispatch and finish times kept for one upstream."""
 
 BOUNDS = {
@@ -43,16 +43,16 @@
 
 def estimate_scale(tables: Tables) -> float:
     """Return the demand of all entries over the demand at this one, at least 1."""
-    here = 0.0
-    elsewhere = 0.0
+    own_rate = 0.0
+    other_rate = 0.0
     for demand in tables.demand.values():
-        here += demand.rate
-        elsewhere += demand.elsewhere_rate
+        own_rate += demand.rate
+        other_rate += demand.elsewhere_rate
 
-    if elsewhere <= 0.0:
+    if other_rate <= 0.0:
         return 1.0
 
-    return min(1.0 + elsewhere / max(here, 0.001), MAX_SCALE)
+    return min(1.0 + other_rate / max(own_rate, 0.001), MAX_SCALE)
 
 
 def estimate_outstanding(row: UpstreamRow, scale: float) -> float:
@@ -63,7 +63,7 @@
 
     since = row.heard_at
     change = count_since(row.dispatched, since) - count_since(row.finished, since)
-    scaled = change * (1.0 + (scale - 1.0) * OTHERS_WEIGHT)
+    scaled = change * (1.0 + (scale - 1.0) * OTHER_ENTRIES_WEIGHT)
     held = max(report.running + report.queued + scaled, float(row.in_flight))
     return held + row.claimed
 
@@ -76,7 +76,7 @@
     return len(times) - bisect_right(times, since)
 
 
-def limit_outstanding(row: UpstreamRow, share: float) -> float:
+def get_outstanding_limit(row: UpstreamRow, share: float) -> float:
     """Return how many requests may be there, for a bound out of ``BOUNDS``."""
     return max(row.announcement.capacity * share, 1.0)
 
@@ -87,17 +87,17 @@
     """Return the seconds before the upstream begins with the work's own prompt."""
     capacity = row.announcement.capacity
     wait = 0.0
-    over = outstanding + 1.0 - capacity
-    if over > 0.0:
-        wait = over * estimate_service(row, work) / capacity
+    excess = outstanding + 1.0 - capacity
+    if excess > 0.0:
+        wait = excess * estimate_service_time(row, work) / capacity
 
     if work.service or work.priority is Priority.ORDER:
         return wait
 
-    return wait + estimate_backlog(row, now)
+    return wait + estimate_prefill_backlog(row, now)
 
 
-def estimate_service(row: UpstreamRow, work: Work) -> float:
+def estimate_service_time(row: UpstreamRow, work: Work) -> float:
     """Return the seconds for which the work holds its place at the upstream."""
     if work.service:
         return DEFAULT_SERVICE_SECONDS
@@ -107,7 +107,7 @@
     return work.answer_tokens / (rate or DEFAULT_TOKENS_PER_SECOND)
 
 
-def estimate_backlog(row: UpstreamRow, now: float) -> float:
+def estimate_prefill_backlog(row: UpstreamRow, now: float) -> float:
     """Return the seconds of prompt reading that stand before a new prompt."""
     own = max(row.prefill_until - now, 0.0)
     report = row.announcement.load
@@ -128,6 +128,6 @@
 
 def trim_times(times: list[float], since: float) -> None:
     """Drop the times up to ``since`` in place, and the oldest beyond the cap."""
-    cut = max(bisect_right(times, since), len(times) - KEPT_TIMES)
+    cut = max(bisect_right(times, since), len(times) - MAX_KEPT_TIMES)
     if cut > 0:
         del times[:cut]
--- a/src/waxwingwell/decisions/loading.py
+++ b/src/waxwingwell/decisions/loading.py
@@ -17,9 +17,9 @@
 from ..records import UpstreamId
 from ..records import VersionId
 from ..records import VersionStatus
-from .holders import Need
-from .holders import list_live
-from .holders import list_needs
+from .holders import HolderTarget
+from .holders import list_holder_targets
+from .holders import list_live_engines
 
 
 if TYPE_CHECKING:
@@ -31,7 +31,7 @@
 """Versions that one upstream is asked to hold at once."""
 LOAD_TIMEOUT = 300.0
 """Seconds after which an ordered load that was not reported is given up."""
-MINUTE = 60.0
+MINUTE_SECONDS = 60.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,7 +39,7 @@
     """What the weight store bears, as the operators know it."""
 
     loads_per_minute: float = 6.0
-    max_at_once: int = 2
+    max_concurrent: int = 2
 
 
 @dataclass(slots=True)
@@ -50,7 +50,7 @@
     """When each load that is not reported yet was first ordered."""
     starts: list[float] = field(default_factory=list)
     """Times of the orders of the last minute, oldest first."""
-    given_up: dict[tuple[UpstreamId, VersionId], float] = field(default_factory=dict)
+    timed_out: dict[tuple[UpstreamId, VersionId], float] = field(default_factory=dict)
     """When a load timed out; it is tried elsewhere, and here only after a while."""
 
 
@@ -72,61 +72,63 @@
     Run it each tick; it starts new loads within the store's rate and repeats the
     orders that are not fulfilled yet.
     """
-    rows = list_live(tables, now)
-    settle_loads(loading, rows, now)
-    while has_load_room(loading, store, now):
-        need = find_greatest_need(tables, loading, rows)
-        if need is None:
+    rows = list_live_engines(tables, now)
+    prune_loads(loading, rows, now)
+    while can_start_load(loading, store, now):
+        target = find_largest_shortfall(tables, loading, rows)
+        if target is None:
             break
 
-        row = pick_holder(loading, rows, need.version)
+        row = pick_holder(loading, rows, target.version)
         if row is None:
             break
 
-        loading.ordered[row.announcement.upstream, need.version] = now
+        loading.ordered[row.announcement.upstream, target.version] = now
         loading.starts.append(now)
 
     return make_orders(tables, loading, rows)
 
 
-def settle_loads(loading: Loading, rows: list[UpstreamRow], now: float) -> None:
+def prune_loads(loading: Loading, rows: list[UpstreamRow], now: float) -> None:
     """Forget the loads that are reported or whose upstream is gone; time out others."""
     held = {row.announcement.upstream: row.announcement.versions for row in rows}
-    for spot, ordered_at in list(loading.ordered.items()):
-        upstream, version = spot
+    for load_key, ordered_at in list(loading.ordered.items()):
+        upstream, version = load_key
         if upstream not in held or version in held[upstream]:
-            del loading.ordered[spot]
+            del loading.ordered[load_key]
         elif now - ordered_at > LOAD_TIMEOUT:
-            del loading.ordered[spot]
-            loading.given_up[spot] = now
+            del loading.ordered[load_key]
+            loading.timed_out[load_key] = now
 
-    for spot, since in list(loading.given_up.items()):
+    for load_key, since in list(loading.timed_out.items()):
         if now - since > LOAD_TIMEOUT:
-            del loading.given_up[spot]
+            del loading.timed_out[load_key]
 
 
-def has_load_room(loading: Loading, store: WeightStore, now: float) -> bool:
+def can_start_load(loading: Loading, store: WeightStore, now: float) -> bool:
     """Return whether the weight store bears one more load now."""
-    del loading.starts[: bisect_right(loading.starts, now - MINUTE)]
-    if len(loading.ordered) >= store.max_at_once:
+    del loading.starts[: bisect_right(loading.starts, now - MINUTE_SECONDS)]
+    if len(loading.ordered) >= store.max_concurrent:
         return False
 
     return len(loading.starts) + 1 <= store.loads_per_minute
 
 
-def find_greatest_need(
+def find_largest_shortfall(
     tables: Tables, loading: Loading, rows: list[UpstreamRow]
-) -> Need | None:
+) -> HolderTarget | None:
     """Return the version that lacks the greatest share of its holders, if any does."""
-    needs = [
-        need
-        for need in list_needs(tables, loading.ordered, rows)
-        if need.held < need.wanted
+    targets = [
+        target
+        for target in list_holder_targets(tables, loading.ordered, rows)
+        if target.held < target.wanted
     ]
-    if not needs:
+    if not targets:
         return None
 
-    return min(needs, key=lambda need: (need.held / need.wanted, need.version))
+    return min(
+        targets, key=lambda target: (target.held / target.wanted, target.version)
+    )
 
 
 def pick_holder(
@@ -137,26 +139,28 @@
     Data centres without a holder go first, then the upstream that holds least. One
     load at a time for each upstream, since loading slows its answers.
     """
-    loading_now = {upstream for upstream, _ in loading.ordered}
-    spread: dict[str, int] = {}
+    busy = {upstream for upstream, _ in loading.ordered}
+    holders_by_data_centre: dict[str, int] = {}
     for row in rows:
         name = row.announcement.upstream
         if version in row.announcement.versions or (name, version) in loading.ordered:
-            place = row.announcement.data_centre
-            spread[place] = spread.get(place, 0) + 1
+            data_centre = row.announcement.data_centre
+            holders_by_data_centre[data_centre] = (
+                holders_by_data_centre.get(data_centre, 0) + 1
+            )
 
-    free = [
+    candidates = [
         row
         for row in rows
         if version not in row.announcement.versions
-        and row.announcement.upstream not in loading_now
-        and (row.announcement.upstream, version) not in loading.given_up
+        and row.announcement.upstream not in busy
+        and (row.announcement.upstream, version) not in loading.timed_out
         and len(row.announcement.versions) < MAX_VERSIONS
     ]
     return min(
-        free,
+        candidates,
         key=lambda row: (
-            spread.get(row.announcement.data_centre, 0),
+            holders_by_data_centre.get(row.announcement.data_centre, 0),
             len(row.announcement.versions),
             row.announcement.upstream,
         ),
@@ -174,21 +178,21 @@
         kept = {
             version
             for version in announcement.versions
-            if not should_drop(tables, version)
+            if not should_unload(tables, version)
         }
-        coming = {
+        pending = {
             version
             for upstream, version in loading.ordered
             if upstream == announcement.upstream
         }
-        desired = kept | coming
+        desired = kept | pending
         if desired != set(announcement.versions):
             orders.append(LoadOrder(announcement.upstream, tuple(sorted(desired))))
 
     return orders
 
 
-def should_drop(tables: Tables, version: VersionId) -> bool:
+def should_unload(tables: Tables, version: VersionId) -> bool:
     """Return whether no upstream should hold the version any more.
 
     A version that ends gracefully stays for its sessions; one that the catalogue does
--- a/src/waxwingwell/decisions/offers.py
+++ b/src/waxwingwell/decisions/offers.py
@@ -9,9 +9,9 @@
 
 from ..records import RolloutStatus
 from ..records import VersionStatus
-from .eligibility import get_exposure
-from .eligibility import get_standing
-from .eligibility import is_held
+from .eligibility import get_effective_status
+from .eligibility import get_exposure_weight
+from .eligibility import is_loaded
 from .evidence import count_outstanding
 
 
@@ -42,22 +42,22 @@
     if candidate is None or rollout.candidate not in config.allowed:
         return False
 
-    if get_standing(tables, candidate) is not VersionStatus.CANDIDATE:
+    if get_effective_status(tables, candidate) is not VersionStatus.CANDIDATE:
         return False
 
     # Its sessions would be pinned to a version that no engine has loaded yet.
-    if not is_held(tables, rollout.candidate):
+    if not is_loaded(tables, rollout.candidate):
         return False
 
-    if place_session(rollout, work) >= get_share(rollout, config):
+    if get_session_position(rollout, work) >= get_candidate_share(rollout, config):
         return False
 
     cap = min(rollout.pace.max_unrated, config.pace.max_unrated)
-    part = max(1, cap // max(1, tables.entries))
-    return count_outstanding(tables, rollout.candidate, now) < part
+    entry_cap = max(1, cap // max(1, tables.entries))
+    return count_outstanding(tables, rollout.candidate, now) < entry_cap
 
 
-def get_share(rollout: Rollout, config: WorkspaceConfig) -> float:
+def get_candidate_share(rollout: Rollout, config: WorkspaceConfig) -> float:
     """Return the share of a workspace's new sessions that the candidate gets.
 
     The roll-out's and the workspace's own pace both bound it; a workspace that
@@ -69,21 +69,21 @@
     shares = [
         _stage_share(pace.stages, rollout.stage) for pace in (rollout.pace, config.pace)
     ]
-    return float(min(shares) ** max(1.0, 0.5 + 1.5 * get_exposure(config)))
+    return float(min(shares) ** max(1.0, 0.5 + 1.5 * get_exposure_weight(config)))
 
 
-def place_session(rollout: Rollout, work: Work) -> float:
+def get_session_position(rollout: Rollout, work: Work) -> float:
     """Return the stable place of a session in a roll-out, 0 to under 1.
 
     The place is the same at every entry and at every stage, so that each stage's
     sessions hold those of the stage before. Work without a session places itself.
     """
-    unit = work.session or work.request
-    return _hash_unit(f"{rollout.candidate}|{work.workspace}|{unit}")
+    key = work.session or work.request
+    return _hash_to_fraction(f"{rollout.candidate}|{work.workspace}|{key}")
 
 
 @functools.lru_cache(maxsize=4096)
-def _hash_unit(text: str) -> float:
+def _hash_to_fraction(text: str) -> float:
     return float(xxhash.xxh64_intdigest(text.encode())) / HASH_RANGE
 
 
--- a/src/waxwingwell/decisions/options.py
+++ b/src/waxwingwell/decisions/options.py
@@ -8,7 +8,7 @@
 from ..records import VersionId
 from ..records import WorkspaceConfig
 from .accounts import CREDIT_CAP
-from .eligibility import get_exposure
+from .eligibility import get_exposure_weight
 from .quality import Estimate
 from .quality import estimate_quality
 from .tables import QualityAccount
@@ -20,13 +20,13 @@
     from .tables import Tables
 
 
-LEAST_RATED = 8.0
+MIN_RATINGS = 8.0
 """Own ratings below which a version is unknown, whatever its prior says."""
-SINGLE_TRIM = 0.01
+SINGLE_TARGET_SLACK = 0.01
 """How far below the target a version may be when credit is at its cap."""
-DEBT_RAISE = 0.01
+TARGET_RAISE_PER_DEBT = 0.01
 """Rise of the target for each rating point of debt."""
-MOST_RAISE = 0.05
+MAX_TARGET_RAISE = 0.05
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Case:
+class ChoiceContext:
     """What all steps of one choice need."""
 
     config: WorkspaceConfig
@@ -51,12 +51,12 @@
     """Standard errors by which a mean must exceed the target."""
 
 
-def build_case(
+def build_context(
     tables: Tables,
     config: WorkspaceConfig,
     work: Work,
-    opened: tuple[VersionSpec, ...],
-) -> Case:
+    eligible: tuple[VersionSpec, ...],
+) -> ChoiceContext:
     """Return the open versions, cheapest first, with target and caution."""
     options = [
         Option(
@@ -64,19 +64,21 @@
             get_cost(spec, work),
             estimate_quality(tables, work.workspace, work.kind.name, spec.version),
         )
-        for spec in opened
+        for spec in eligible
     ]
     options.sort(key=lambda option: (option.cost, option.version))
     account = tables.accounts.get((work.workspace, work.kind.name), QualityAccount())
-    raised = min(MOST_RAISE, max(0.0, -account.credit) * DEBT_RAISE)
-    full = 0.5 + 2.0 * get_exposure(config)
-    return Case(
+    target_raise = min(
+        MAX_TARGET_RAISE, max(0.0, -account.credit) * TARGET_RAISE_PER_DEBT
+    )
+    base_caution = 0.5 + 2.0 * get_exposure_weight(config)
+    return ChoiceContext(
         config=config,
         work=work,
         options=tuple(options),
         account=account,
-        target=work.kind.quality_target + raised,
-        caution=full * (1.0 - max(-1.0, account.credit / CREDIT_CAP)),
+        target=work.kind.quality_target + target_raise,
+        caution=base_caution * (1.0 - max(-1.0, account.credit / CREDIT_CAP)),
     )
 
 
@@ -85,48 +87,50 @@
     return spec.price_in * work.prompt_tokens + spec.price_out * work.answer_tokens
 
 
-def is_confident(case: Case, option: Option) -> bool:
+def is_confident(context: ChoiceContext, option: Option) -> bool:
     """Tell whether a version meets the target with the caution asked for."""
     estimate = option.estimate
-    if estimate.rated < LEAST_RATED:
+    if estimate.rated < MIN_RATINGS:
         return False
 
-    aim = case.target - SINGLE_TRIM * get_spare(case)
-    return estimate.mean - case.caution * estimate.error >= aim
+    reduced_target = context.target - SINGLE_TARGET_SLACK * get_spare_credit(context)
+    return estimate.mean - context.caution * estimate.error >= reduced_target
 
 
-def find_main(case: Case) -> Option:
+def find_primary(context: ChoiceContext) -> Option:
     """Return the cheapest confident option, or else the most promising one.
 
     Failure: the best version known misses the target, and a better but unknown one
     never gets a request because caution counts against it. Its chances count here.
     """
-    for option in case.options:
-        if is_confident(case, option):
+    for option in context.options:
+        if is_confident(context, option):
             return option
 
     return max(
-        case.options, key=lambda option: option.estimate.mean + option.estimate.error
+        context.options, key=lambda option: option.estimate.mean + option.estimate.error
     )
 
 
-def find_safest(case: Case) -> Option:
+def find_safest(context: ChoiceContext) -> Option:
     """Return the cheapest confident option, or else the one least likely to be bad."""
-    for option in case.options:
-        if is_confident(case, option):
+    for option in context.options:
+        if is_confident(context, option):
             return option
 
     return max(
-        case.options,
-        key=lambda option: option.estimate.mean - case.caution * option.estimate.error,
+        context.options,
+        key=lambda option: (
+            option.estimate.mean - context.caution * option.estimate.error
+        ),
     )
 
 
-def get_spare(case: Case) -> float:
+def get_spare_credit(context: ChoiceContext) -> float:
     """Return how much credit there is to spare, 0 to 1 at the cap.
 
     Failure: versions on the target's edge stay unsure, a dear one far above it
     serves everything, and quality is paid for that nobody asked for. With credit to
     spare the aim is trimmed; credit falls when that was too much, and ends it.
     """
-    return max(0.0, 2.0 * case.account.credit / CREDIT_CAP - 1.0)
+    return max(0.0, 2.0 * context.account.credit / CREDIT_CAP - 1.0)
--- a/src/waxwingwell/decisions/prefixes.py
+++ b/src/waxwingwell/decisions/prefixes.py
@@ -22,17 +22,17 @@
     from .tables import Work
 
 
-HIT_START = 0.95
+INITIAL_HIT_PROBABILITY = 0.95
 """Chance that a prefix just sent is found again."""
-HIT_DECAY = 240.0
+HIT_DECAY_SECONDS = 240.0
 """Seconds in which that chance falls to 1/e."""
-HOME_HIT = 0.6
+HOME_HIT_PROBABILITY = 0.6
 """Chance that another entry has sent the prefix to the session's home."""
-SURE = 0.06
+NEGLIGIBLE_MISS = 0.06
 """Chance of a miss below which shorter prefixes are not looked at."""
-KEPT_PREFIXES = 4096
+MAX_KEPT_PREFIXES = 4096
 """Prefixes remembered for one upstream; the oldest are dropped."""
-KEPT_HOMES = 20_000
+MAX_INDEXED_PREFIXES = 20_000
 """Prefixes whose upstreams are remembered."""
 
 
@@ -45,19 +45,21 @@
         return 0.0
 
     expected = 0.0
-    missing = 1.0
+    miss_probability = 1.0
     for digest, tokens in zip(work.prefixes, work.prefix_tokens, strict=False):
         sent_at = known.get(digest)
         if sent_at is not None:
-            chance = HIT_START * exp(min(sent_at - now, 0.0) / HIT_DECAY)
+            hit_probability = INITIAL_HIT_PROBABILITY * exp(
+                min(sent_at - now, 0.0) / HIT_DECAY_SECONDS
+            )
         elif is_home:
-            chance = HOME_HIT
+            hit_probability = HOME_HIT_PROBABILITY
         else:
             continue
 
-        expected += missing * chance * tokens
-        missing *= 1.0 - chance
-        if missing < SURE:
+        expected += miss_probability * hit_probability * tokens
+        miss_probability *= 1.0 - hit_probability
+        if miss_probability < NEGLIGIBLE_MISS:
             break
 
     return min(expected, float(work.prompt_tokens))
@@ -72,12 +74,12 @@
         return None
 
     best = None
-    top = -1
-    start = crc32(work.session.encode())
+    highest = -1
+    seed = crc32(work.session.encode())
     for upstream in upstreams:
-        weight = crc32(upstream.encode(), start) * 2654435761 & 0xFFFFFFFF
-        if weight > top:
-            best, top = upstream, weight
+        weight = crc32(upstream.encode(), seed) * 2654435761 & 0xFFFFFFFF
+        if weight > highest:
+            best, highest = upstream, weight
 
     return best
 
@@ -97,8 +99,8 @@
         homes[upstream] = now
         tables.homes[digest] = homes
 
-    drop_oldest(row.prefixes, KEPT_PREFIXES)
-    drop_oldest(tables.homes, KEPT_HOMES)
+    drop_oldest(row.prefixes, MAX_KEPT_PREFIXES)
+    drop_oldest(tables.homes, MAX_INDEXED_PREFIXES)
 
 
 def note_evicted(tables: Tables, upstream: UpstreamId, digests: Iterable[str]) -> None:
--- a/src/waxwingwell/decisions/quality.py
+++ b/src/waxwingwell/decisions/quality.py
@@ -46,10 +46,10 @@
     spec = tables.versions[version]
     weight = PRIOR_WEIGHT
     total = PRIOR_WEIGHT * spec.quality_prior
-    own = tables.opinions.get((workspace, kind, version))
+    own = tables.rating_stats.get((workspace, kind, version))
     rated = own.rated if own else 0.0
     if rated < PRIOR_VARIANCE / 0.0001:
-        pooled, pooled_total = _pool_kinds(tables, workspace, kind, version)
+        pooled, pooled_total = _pool_other_kinds(tables, workspace, kind, version)
         if pooled:
             share = min(POOL_WEIGHT, pooled)
             weight += share
@@ -71,7 +71,7 @@
     return Estimate(mean, deviation / weight**0.5, deviation, own.rated)
 
 
-def name_escalated(kind: str) -> str:
+def get_escalated_kind(kind: str) -> str:
     """Return the kind under which escalated answers are rated.
 
     Failure: escalated requests are the hard ones, so their ratings would make a
@@ -85,18 +85,18 @@
     workspace: WorkspaceId,
     kind: str,
     version: VersionId,
-    whole: Estimate,
+    overall: Estimate,
 ) -> Estimate:
     """Estimate the quality of ``version`` on escalated requests alone."""
-    own = tables.opinions.get((workspace, name_escalated(kind), version))
+    own = tables.rating_stats.get((workspace, get_escalated_kind(kind), version))
     rated = own.rated if own else 0.0
     total = own.total if own else 0.0
     weight = ESCALATED_WEIGHT + rated
-    mean = (ESCALATED_WEIGHT * (whole.mean - ESCALATED_LOSS) + total) / weight
-    return Estimate(mean, whole.deviation / weight**0.5, whole.deviation, rated)
+    mean = (ESCALATED_WEIGHT * (overall.mean - ESCALATED_LOSS) + total) / weight
+    return Estimate(mean, overall.deviation / weight**0.5, overall.deviation, rated)
 
 
-def _pool_kinds(
+def _pool_other_kinds(
     tables: Tables, workspace: WorkspaceId, kind: str, version: VersionId
 ) -> tuple[float, float]:
     config = tables.workspaces.get(workspace)
@@ -109,9 +109,9 @@
         if other.name == kind:
             continue
 
-        opinion = tables.opinions.get((workspace, other.name, version))
-        if opinion is not None:
-            rated += opinion.rated
-            total += opinion.total
+        stats = tables.rating_stats.get((workspace, other.name, version))
+        if stats is not None:
+            rated += stats.rated
+            total += stats.total
 
     return rated, total
--- a/src/waxwingwell/decisions/queue.py
+++ b/src/waxwingwell/decisions/queue.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING
 
 from ..records import Priority
-from .claims import claim_place
+from .claims import claim_slot
 from .shares import find_over_share
 from .tables import Refusal
 from .tables import Waiting
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Taken:
+class Dequeued:
     """A waiting request that has left the queue, and what becomes of it."""
 
     waiting: Waiting
@@ -53,19 +53,19 @@
     place stays claimed until ``note_dispatch`` or ``release``.
     """
     if tables.waiting:
-        return put_waiting(tables, work, version, now)
+        return enqueue(tables, work, version, now)
 
     result = choose_upstream(tables, work, version, now=now, draw=draw)
     if isinstance(result, Refusal) and result.code == BUSY:
-        return put_waiting(tables, work, version, now)
+        return enqueue(tables, work, version, now)
 
     if isinstance(result, UpstreamChoice):
-        claim_place(tables, work.request, result.upstream)
+        claim_slot(tables, work.request, result.upstream)
 
     return result
 
 
-def put_waiting(tables: Tables, work: Work, version: VersionId, now: float) -> Waiting:
+def enqueue(tables: Tables, work: Work, version: VersionId, now: float) -> Waiting:
     """Let an admitted request wait; it leaves by ``take_next`` or ``shed_expired``."""
     config = tables.workspaces.get(work.workspace)
     expires_at = now + (config.limits.max_wait if config else 0.0)
@@ -83,33 +83,33 @@
     return tables.waiting.pop(request, None)
 
 
-def take_next(tables: Tables, now: float, draw: float) -> Taken | None:
+def take_next(tables: Tables, now: float, draw: float) -> Dequeued | None:
     """Take the next request that has room somewhere; None if none has.
 
     Run it each tick and after each finish until it gives None. Whatever changed
     while the request waited (a withdrawal, say) must be checked after it.
     """
-    over = find_over_share(tables)
-    full: dict[tuple[str, tuple[str, ...]], int] = {}
-    for waiting in sort_waiting(tables, over):
+    over_share = find_over_share(tables)
+    saturated: dict[tuple[str, tuple[str, ...]], int] = {}
+    for waiting in sort_waiting(tables, over_share):
         work = waiting.work
-        if (work.workspace, work.priority) in over:
+        if (work.workspace, work.priority) in over_share:
             work = replace(work, priority=Priority.REPORT)
 
-        spot = (work.service or waiting.version, list_allowed(tables, work))
-        if full.get(spot, len(RANK)) <= RANK[work.priority]:
+        pool = (work.service or waiting.version, list_allowed(tables, work))
+        if saturated.get(pool, len(RANK)) <= RANK[work.priority]:
             continue
 
         result = choose_upstream(tables, work, waiting.version, now=now, draw=draw)
         if isinstance(result, Refusal) and result.code == BUSY:
-            full[spot] = RANK[work.priority]
+            saturated[pool] = RANK[work.priority]
             continue
 
         del tables.waiting[work.request]
         if isinstance(result, UpstreamChoice):
-            claim_place(tables, work.request, result.upstream)
+            claim_slot(tables, work.request, result.upstream)
 
-        return Taken(waiting, result)
+        return Dequeued(waiting, result)
 
     return None
 
@@ -121,7 +121,7 @@
 
 
 def sort_waiting(
-    tables: Tables, over: set[tuple[WorkspaceId, Priority]]
+    tables: Tables, over_share: set[tuple[WorkspaceId, Priority]]
 ) -> list[Waiting]:
     """Return the waiting requests in the order in which they are served."""
     held = {name: demand.in_flight for name, demand in tables.demand.items()}
@@ -129,7 +129,7 @@
     def order(waiting: Waiting) -> tuple[bool, int, int, int]:
         work = waiting.work
         return (
-            (work.workspace, work.priority) in over,
+            (work.workspace, work.priority) in over_share,
             RANK[work.priority],
             held.get(work.workspace, 0),
             waiting.number,
@@ -138,7 +138,7 @@
     return sorted(tables.waiting.values(), key=order)
 
 
-def shed_expired(tables: Tables, now: float) -> list[Taken]:
+def shed_expired(tables: Tables, now: float) -> list[Dequeued]:
     """Take out those whose time is over or whose turn would come too late.
 
     Higher priorities that arrived later push waiting work back. What can no longer be
@@ -155,12 +155,12 @@
             continue
 
         del tables.waiting[waiting.work.request]
-        shed.append(Taken(waiting, refuse_late(waiting, now)))
+        shed.append(Dequeued(waiting, refuse_expired(waiting, now)))
 
     return shed
 
 
-def refuse_late(waiting: Waiting, now: float) -> Refusal:
+def refuse_expired(waiting: Waiting, now: float) -> Refusal:
     """Return the refusal of a request that waited in vain."""
     waited = max(now - waiting.arrived_at, 0.0)
     return Refusal(
--- a/src/waxwingwell/decisions/rates.py
+++ b/src/waxwingwell/decisions/rates.py
@@ -5,11 +5,13 @@
 from math import exp
 
 
-def decay_rate(rate: float, rated_at: float, window: float, now: float) -> float:
+def decay_rate(rate: float, rate_updated_at: float, window: float, now: float) -> float:
     """Return the rate (events a second) as it stands at ``now`` without new events."""
-    return rate * exp(-max(now - rated_at, 0.0) / window)
+    return rate * exp(-max(now - rate_updated_at, 0.0) / window)
 
 
-def count_event(rate: float, rated_at: float, window: float, now: float) -> float:
+def count_event(
+    rate: float, rate_updated_at: float, window: float, now: float
+) -> float:
     """Return the rate after one more event at ``now``."""
-    return decay_rate(rate, rated_at, window, now) + 1.0 / window
+    return decay_rate(rate, rate_updated_at, window, now) + 1.0 / window
--- a/src/waxwingwell/decisions/retries.py
+++ b/src/waxwingwell/decisions/retries.py
@@ -29,7 +29,7 @@
     """The upstream said that it did not run it."""
     SENT = "sent"
     """It may have run: no answer came."""
-    ANSWERING = "answering"
+    RESPONDING = "answering"
     """The caller has had a part of the answer."""
 
 
@@ -39,7 +39,7 @@
 
     requests: float = 0.0
     retries: float = 0.0
-    counted_at: float = 0.0
+    updated_at: float = 0.0
 
 
 def note_request(budget: RetryBudget, now: float) -> None:
@@ -60,10 +60,10 @@
 
 def decay_budget(budget: RetryBudget, now: float) -> None:
     """Let both counts decay up to ``now``; time that steps back changes nothing."""
-    at = budget.counted_at
+    at = budget.updated_at
     budget.requests = decay_rate(budget.requests, at, RETRY_WINDOW, now)
     budget.retries = decay_rate(budget.retries, at, RETRY_WINDOW, now)
-    budget.counted_at = max(now, at)
+    budget.updated_at = max(now, at)
 
 
 def is_retry_safe(repeatable: bool, dispatch_state: DispatchState) -> bool:
--- a/src/waxwingwell/decisions/rollouts.py
+++ b/src/waxwingwell/decisions/rollouts.py
@@ -14,9 +14,9 @@
 from ..records import RolloutStatus
 from .comparisons import Comparison
 from .comparisons import compare
+from .comparisons import compute_log_evidence
 from .comparisons import index_rows
 from .comparisons import subtract_base
-from .comparisons import weigh_evidence
 
 
 if TYPE_CHECKING:
@@ -26,12 +26,12 @@
     from ..records import Evidence
     from ..records import Rollout
     from ..records import VersionId
-    from .bets import Sums
+    from .bets import RatingSums
     from .comparisons import Cell
 
-LEAST_RATED = 20
+MIN_RATINGS = 20
 """Ratings of a candidate before its first advance."""
-LEAST_RATED_STAGE = 10
+MIN_STAGE_RATINGS = 10
 """Ratings of a candidate at each later stage."""
 ADVANCE_DEVIATIONS = 1.64
 """Standard errors by which a loss must be ruled out before an advance."""
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RolloutVerdict:
+class RolloutEvaluation:
     """A judgement, with the figures that it rests on."""
 
     action: RolloutAction
@@ -75,33 +75,33 @@
     candidate: Iterable[Evidence],
     incumbent: Iterable[Evidence],
     now: float,
-) -> RolloutVerdict:
+) -> RolloutEvaluation:
     """Judge a roll-out from the evidence of both versions, summed over entries."""
     if rollout.status not in (RolloutStatus.RUNNING, RolloutStatus.PAUSED):
-        return RolloutVerdict(RolloutAction.STAY, "the roll-out has ended")
+        return RolloutEvaluation(RolloutAction.STAY, "the roll-out has ended")
 
-    mine = index_rows(candidate)
-    theirs = index_rows(incumbent)
-    fresh = subtract_base(mine, rollout, rollout.candidate)
-    compared = compare(mine, theirs)
-    wealth = weigh_evidence(rollout, mine, fresh, theirs)
+    candidate_sums = index_rows(candidate)
+    incumbent_sums = index_rows(incumbent)
+    stage_sums = subtract_base(candidate_sums, rollout, rollout.candidate)
+    comparison = compare(candidate_sums, incumbent_sums)
+    wealth = compute_log_evidence(rollout, candidate_sums, stage_sums, incumbent_sums)
     if wealth >= math.log(2.0 / rollout.pace.false_alarm):
-        reason = f"rated worse than {rollout.incumbent} by {compared.loss:.3f}"
-        return _verdict(RolloutAction.ROLL_BACK, reason, compared, wealth)
+        reason = f"rated worse than {rollout.incumbent} by {comparison.loss:.3f}"
+        return _make_evaluation(RolloutAction.ROLL_BACK, reason, comparison, wealth)
 
     if rollout.status is RolloutStatus.PAUSED:
-        return _verdict(RolloutAction.STAY, "paused", compared, wealth)
+        return _make_evaluation(RolloutAction.STAY, "paused", comparison, wealth)
 
-    missing = _find_missing(rollout, compared, fresh)
+    missing = _describe_missing_evidence(rollout, comparison, stage_sums)
     if missing:
         waited = max(0.0, now - rollout.stage_at)
         reason = f"{missing}, {waited:.0f} s into the stage"
-        return _verdict(RolloutAction.STAY, reason, compared, wealth)
+        return _make_evaluation(RolloutAction.STAY, reason, comparison, wealth)
 
     last = rollout.stage + 1 >= len(rollout.pace.stages)
     action = RolloutAction.COMPLETE if last else RolloutAction.ADVANCE
     reason = f"a loss above {_get_tolerance(rollout):.3f} is ruled out"
-    return _verdict(action, reason, compared, wealth)
+    return _make_evaluation(action, reason, comparison, wealth)
 
 
 def step_rollouts(
@@ -119,13 +119,13 @@
 
     steps: list[RolloutStep] = []
     for rollout in rollouts.values():
-        verdict = judge_rollout(
+        evaluation = judge_rollout(
             rollout,
             rows.get(rollout.candidate, ()),
             rows.get(rollout.incumbent, ()),
             now,
         )
-        step = _make_step(rollout, verdict)
+        step = _make_step(rollout, evaluation)
         if step is not None:
             steps.append(step)
 
@@ -142,10 +142,10 @@
     return tuple(row for row in evidence if row.version in versions)
 
 
-def _make_step(rollout: Rollout, verdict: RolloutVerdict) -> RolloutStep | None:
+def _make_step(rollout: Rollout, evaluation: RolloutEvaluation) -> RolloutStep | None:
     stage = rollout.stage
     status = RolloutStatus.RUNNING
-    match verdict.action:
+    match evaluation.action:
         case RolloutAction.STAY:
             return None
         case RolloutAction.ADVANCE:
@@ -155,22 +155,22 @@
         case RolloutAction.ROLL_BACK:
             status = RolloutStatus.ROLLED_BACK
 
-    return RolloutStep(rollout.model, stage, status, verdict.reason)
+    return RolloutStep(rollout.model, stage, status, evaluation.reason)
 
 
-def _find_missing(
-    rollout: Rollout, compared: Comparison, fresh: dict[Cell, Sums]
+def _describe_missing_evidence(
+    rollout: Rollout, comparison: Comparison, stage_sums: dict[Cell, RatingSums]
 ) -> str:
     """Return what an advance still waits for, or nothing."""
-    if compared.rated < LEAST_RATED:
-        return f"waits for {LEAST_RATED - compared.rated} more ratings"
+    if comparison.rated < MIN_RATINGS:
+        return f"waits for {MIN_RATINGS - comparison.rated} more ratings"
 
-    recent = int(sum(sums.rated for sums in fresh.values()))
-    if recent < LEAST_RATED_STAGE:
-        return f"waits for {LEAST_RATED_STAGE - recent} more ratings of this stage"
+    recent = int(sum(sums.rated for sums in stage_sums.values()))
+    if recent < MIN_STAGE_RATINGS:
+        return f"waits for {MIN_STAGE_RATINGS - recent} more ratings of this stage"
 
     tolerance = _get_tolerance(rollout)
-    worst = compared.loss + ADVANCE_DEVIATIONS * compared.error
+    worst = comparison.loss + ADVANCE_DEVIATIONS * comparison.error
     if worst > tolerance:
         return f"a loss up to {worst:.3f} is possible, above {tolerance:.3f}"
 
@@ -187,9 +187,9 @@
     return rollout.pace.margin / math.sqrt(max(share, 0.01))
 
 
-def _verdict(
-    action: RolloutAction, reason: str, compared: Comparison, wealth: float
-) -> RolloutVerdict:
-    return RolloutVerdict(
-        action, reason, compared.rated, compared.loss, compared.error, wealth
+def _make_evaluation(
+    action: RolloutAction, reason: str, comparison: Comparison, wealth: float
+) -> RolloutEvaluation:
+    return RolloutEvaluation(
+        action, reason, comparison.rated, comparison.loss, comparison.error, wealth
     )
--- a/src/waxwingwell/decisions/shares.py
+++ b/src/waxwingwell/decisions/shares.py
@@ -13,7 +13,7 @@
     from .tables import Tables
 
 
-MOST_HELD = 0.5
+MAX_RUNNING_SHARE = 0.5
 """A workspace with more than this share of the running work goes after others."""
 
 
@@ -31,15 +31,15 @@
 
     running = count_running(tables)
     total = sum(running.values())
-    over = set()
+    over_share = set()
     for name in names:
         held = 0
         for priority in PRIORITY_ORDER:
             held += running.get((name, priority), 0)
-            if held > total * MOST_HELD:
-                over.add((name, priority))
+            if held > total * MAX_RUNNING_SHARE:
+                over_share.add((name, priority))
 
-    return over
+    return over_share
 
 
 def count_running(tables: Tables) -> dict[tuple[WorkspaceId, Priority], int]:
@@ -50,7 +50,7 @@
         for priority, count in demand.held.items()
     }
     for waiting in tables.waiting.values():
-        spot = (waiting.work.workspace, waiting.work.priority)
-        running[spot] = max(running.get(spot, 0) - 1, 0)
+        key = (waiting.work.workspace, waiting.work.priority)
+        running[key] = max(running.get(key, 0) - 1, 0)
 
     return running
--- a/src/waxwingwell/decisions/tables.py
+++ b/src/waxwingwell/decisions/tables.py
@@ -79,7 +79,7 @@
     refilled_at: float = 0.0
     rate: float = 0.0
     """Requests a second offered at this entry, smoothed; refused ones count too."""
-    rated_at: float = 0.0
+    rate_updated_at: float = 0.0
     """When ``rate`` was last smoothed."""
     held: dict[Priority, int] = field(default_factory=dict)
     """This entry's admitted requests by priority."""
@@ -129,7 +129,7 @@
 
 
 @dataclass(slots=True)
-class Opinion:
+class RatingStats:
     """Ratings of one version for one workspace and kind since it last changed.
 
     ``recent_*`` forget older ratings, so that a version turning bad shows soon.
@@ -176,7 +176,7 @@
     """Requests that ever waited; numbers the next one."""
     finish_rate: float = 0.0
     """Finishes a second at this entry, smoothed."""
-    finish_rated_at: float = 0.0
+    finish_rate_updated_at: float = 0.0
     holders: dict[str, list[UpstreamId]] = field(default_factory=dict)
     """Upstreams by version or service: a hint, rebuilt by ``index_upstreams``."""
     homes: dict[str, dict[UpstreamId, float]] = field(default_factory=dict)
@@ -187,7 +187,7 @@
     """Micro-units that one rating costs."""
     entries: int = 1
     """Entries at work; each takes its part of the cap on unrated answers."""
-    opinions: dict[tuple[WorkspaceId, str, VersionId], Opinion] = field(
+    rating_stats: dict[tuple[WorkspaceId, str, VersionId], RatingStats] = field(
         default_factory=dict
     )
     accounts: dict[tuple[WorkspaceId, str], QualityAccount] = field(
--- a/src/waxwingwell/decisions/upstreams.py
+++ b/src/waxwingwell/decisions/upstreams.py
@@ -12,17 +12,17 @@
 
 from ..records import UpstreamId
 from .candidates import find_candidates
-from .claims import drop_claim
-from .ejection import SILENCE_WEIGHT
-from .ejection import lift_ejection
-from .ejection import note_failure
-from .ejection import note_success
+from .claims import release_claim
+from .ejection import UNRESPONSIVE_WEIGHT
+from .ejection import end_ejection
+from .ejection import record_failure
+from .ejection import record_success
 from .load import BOUNDS
 from .load import estimate_outstanding
 from .load import estimate_scale
 from .load import estimate_wait
+from .load import get_outstanding_limit
 from .load import get_prefill_rate
-from .load import limit_outstanding
 from .load import trim_times
 from .prefixes import estimate_cached
 from .prefixes import find_home
@@ -39,9 +39,9 @@
     from .tables import Work
 
 
-NEAR_SECONDS = 0.004
+TIE_SECONDS = 0.004
 """Estimates this close are equal; the draw or the session's home decides."""
-NEAR_SHARE = 0.1
+TIE_SHARE = 0.1
 """Estimates within this share of the best are equal as well."""
 BUSY = "busy"
 """Code of the refusal that a place in the waiting queue may cure."""
@@ -64,14 +64,14 @@
 
 
 @dataclass(slots=True)
-class Estimate:
+class UpstreamEstimate:
     """What one upstream promises for one request, in seconds and tokens."""
 
     upstream: UpstreamId
     wait: float
     first_token: float
     cached: float
-    way: float
+    round_trip: float
     """Seconds there and back."""
 
 
@@ -91,7 +91,7 @@
     """
     found = find_candidates(tables, work, version, exclude, now=now, draw=draw)
     if not found.rows and found.ejected is not None:
-        lift_ejection(found.ejected, now)
+        end_ejection(found.ejected, now)
         found.rows.append(found.ejected)
 
     if not found.rows:
@@ -102,19 +102,19 @@
             UNAVAILABLE_RETRY_AFTER,
         )
 
-    open_rows = find_room(tables, work, found.rows)
-    if not open_rows:
+    available = filter_by_capacity(tables, work, found.rows)
+    if not available:
         return Refusal(BUSY, "every upstream is at its bound", 503, BUSY_RETRY_AFTER)
 
     home = find_home(work, (row.announcement.upstream for row in found.rows))
     estimates = [
         estimate_row(tables, work, row, outstanding, home=home, now=now)
-        for row, outstanding in open_rows
+        for row, outstanding in available
     ]
     return pick_estimate(estimates, home, draw)
 
 
-def find_room(
+def filter_by_capacity(
     tables: Tables, work: Work, rows: list[UpstreamRow]
 ) -> list[tuple[UpstreamRow, float]]:
     """Return the upstreams with room for the work, and what each holds now."""
@@ -123,7 +123,7 @@
     found = []
     for row in rows:
         outstanding = estimate_outstanding(row, scale)
-        if outstanding + 1.0 > limit_outstanding(row, share):
+        if outstanding + 1.0 > get_outstanding_limit(row, share):
             continue
 
         if row.probing and row.in_flight + row.claimed > 0:
@@ -131,10 +131,10 @@
 
         found.append((row, outstanding))
 
-    return found if work.repeatable else keep_trusted(found)
+    return found if work.repeatable else prefer_healthy(found)
 
 
-def keep_trusted(
+def prefer_healthy(
     found: list[tuple[UpstreamRow, float]],
 ) -> list[tuple[UpstreamRow, float]]:
     """Return the upstreams without a recent failure, or all if each has one.
@@ -143,8 +143,8 @@
     comes back on trial, may be lost, and may not be sent again. Idempotent work finds
     out whether the upstream is well.
     """
-    trusted = [pair for pair in found if not pair[0].probing and not pair[0].failures]
-    return trusted or found
+    healthy = [pair for pair in found if not pair[0].probing and not pair[0].failures]
+    return healthy or found
 
 
 def estimate_row(
@@ -155,41 +155,43 @@
     *,
     home: UpstreamId | None,
     now: float,
-) -> Estimate:
+) -> UpstreamEstimate:
     """Return what one upstream promises for the work."""
     announcement = row.announcement
     upstream = announcement.upstream
     wait = estimate_wait(row, work, outstanding, now)
-    way = 2.0 * tables.distances.get(announcement.data_centre, 0.0)
+    round_trip = 2.0 * tables.distances.get(announcement.data_centre, 0.0)
     if not work.prompt_tokens:
-        return Estimate(upstream, wait, wait + way, 0.0, way)
+        return UpstreamEstimate(upstream, wait, wait + round_trip, 0.0, round_trip)
 
     cached = estimate_cached(row, work, is_home=upstream == home, now=now)
     prefill = (work.prompt_tokens - cached) / get_prefill_rate(row)
-    return Estimate(upstream, wait, wait + prefill + way, cached, way)
+    return UpstreamEstimate(
+        upstream, wait, wait + prefill + round_trip, cached, round_trip
+    )
 
 
 def pick_estimate(
-    estimates: list[Estimate], home: UpstreamId | None, draw: float
+    estimates: list[UpstreamEstimate], home: UpstreamId | None, draw: float
 ) -> UpstreamChoice:
     """Return the best estimate; among equals the session's home, else by the draw."""
     best = min(estimate.first_token for estimate in estimates)
-    reach = best + max(NEAR_SECONDS, best * NEAR_SHARE)
-    near = [estimate for estimate in estimates if estimate.first_token <= reach]
-    at_home = [estimate for estimate in near if estimate.upstream == home]
-    if at_home:
-        return make_choice(at_home[0], "home")
-
-    nearest = min(estimate.way for estimate in near)
-    near = [estimate for estimate in near if estimate.way <= nearest]
-    chosen = near[int(draw * len(near))]
+    cutoff = best + max(TIE_SECONDS, best * TIE_SHARE)
+    tied = [estimate for estimate in estimates if estimate.first_token <= cutoff]
+    home_estimates = [estimate for estimate in tied if estimate.upstream == home]
+    if home_estimates:
+        return make_choice(home_estimates[0], "home")
+
+    shortest = min(estimate.round_trip for estimate in tied)
+    tied = [estimate for estimate in tied if estimate.round_trip <= shortest]
+    chosen = tied[int(draw * len(tied))]
     if len(estimates) == 1:
         return make_choice(chosen, "only")
 
     return make_choice(chosen, "prefix" if chosen.cached > 0.0 else "load")
 
 
-def make_choice(estimate: Estimate, reason: str) -> UpstreamChoice:
+def make_choice(estimate: UpstreamEstimate, reason: str) -> UpstreamChoice:
     """Return the choice of an estimated upstream."""
     return UpstreamChoice(
         estimate.upstream, estimate.wait, estimate.first_token, reason
@@ -200,7 +202,7 @@
     tables: Tables, upstream: UpstreamId, work: Work, *, now: float
 ) -> None:
     """Count a request that this entry sends to the upstream now."""
-    drop_claim(tables, work.request)
+    release_claim(tables, work.request)
     row = tables.upstreams.get(upstream)
     if row is None:
         return
@@ -219,9 +221,9 @@
 ) -> None:
     """Count the end of a dispatched request; ``failed`` by the upstream's fault."""
     tables.finish_rate = count_event(
-        tables.finish_rate, tables.finish_rated_at, FINISH_WINDOW, now
+        tables.finish_rate, tables.finish_rate_updated_at, FINISH_WINDOW, now
     )
-    tables.finish_rated_at = now
+    tables.finish_rate_updated_at = now
     row = tables.upstreams.get(upstream)
     if row is None:
         return
@@ -230,11 +232,11 @@
     trim_times(row.finished, row.heard_at)
     row.finished.append(now)
     if failed:
-        note_failure(tables, upstream, weight=1, now=now)
+        record_failure(tables, upstream, weight=1, now=now)
     else:
-        note_success(row)
+        record_success(row)
 
 
 def note_silence(tables: Tables, upstream: UpstreamId, *, now: float) -> None:
     """Count a progress deadline that passed; the request itself still has to end."""
-    note_failure(tables, upstream, weight=SILENCE_WEIGHT, now=now)
+    record_failure(tables, upstream, weight=UNRESPONSIVE_WEIGHT, now=now)
--- a/src/waxwingwell/decisions/versions.py
+++ b/src/waxwingwell/decisions/versions.py
@@ -12,33 +12,33 @@
 from ..records import VersionId
 from .cascades import find_cascade
 from .eligibility import check_pinned
-from .eligibility import list_open
-from .exploration import find_explored
+from .eligibility import list_eligible
+from .exploration import find_option_to_explore
 from .offers import is_candidate_open
-from .options import build_case
-from .options import find_main
+from .options import build_context
+from .options import find_primary
 from .options import find_safest
 from .options import get_cost
 from .options import is_confident
 from .quality import estimate_quality
-from .sampling import ESCALATED_SHARE
+from .sampling import MIN_ESCALATED_SHARE
 from .sampling import RATE_ALL_BELOW
-from .sampling import draw_again
-from .sampling import draw_rate
+from .sampling import derive_draw
 from .sampling import get_sample_share
+from .sampling import should_rate
 from .tables import Refusal
 
 
 if TYPE_CHECKING:
     from ..records import WorkspaceConfig
-    from .options import Case
+    from .options import ChoiceContext
     from .tables import Tables
     from .tables import Work
 
 
-RATING_STALE = 120.0
+RATING_STALE_SECONDS = 120.0
 """Seconds without any rating after which the ratings count as stopped."""
-STOPPED_RATE = 0.25
+STOPPED_RATING_SHARE = 0.25
 """Share of answers rated while ratings have stopped, to notice their return."""
 
 
@@ -75,21 +75,24 @@
     if work.pinned:
         return _choose_pinned(tables, config, work, draw, stopped=stopped)
 
-    opened = list_open(tables, config, work)
-    if isinstance(opened, Refusal):
-        return opened
+    eligible = list_eligible(tables, config, work)
+    if isinstance(eligible, Refusal):
+        return eligible
 
-    case = build_case(tables, config, work, opened)
+    context = build_context(tables, config, work, eligible)
     if stopped:
-        return _choose_blind(case, draw)
+        return _choose_without_ratings(context, draw)
 
-    choice = _choose_by_quality(tables, case, now, draw)
-    return _offer_candidate(tables, case, choice, now)
+    choice = _choose_by_quality(tables, context, now, draw)
+    return _substitute_candidate(tables, context, choice, now)
 
 
 def have_ratings_stopped(tables: Tables, now: float) -> bool:
     """Tell whether no rating came for so long that the evidence grows stale."""
-    return not tables.rating_heard_at or now - tables.rating_heard_at > RATING_STALE
+    return (
+        not tables.rating_heard_at
+        or now - tables.rating_heard_at > RATING_STALE_SECONDS
+    )
 
 
 def should_pin(work: Work, choice: VersionChoice) -> bool:
@@ -105,76 +108,79 @@
         return version
 
     rollout = tables.rollouts.get(tables.versions[version].model)
-    watched = rollout is not None and rollout.candidate == version
+    is_candidate = rollout is not None and rollout.candidate == version
     estimate = estimate_quality(tables, work.workspace, work.kind.name, version)
     cost = get_cost(tables.versions[version], work)
     share = get_sample_share(config, cost, tables.rating_price)
     if stopped:
-        share = STOPPED_RATE
-    elif watched or estimate.rated < RATE_ALL_BELOW:
+        share = STOPPED_RATING_SHARE
+    elif is_candidate or estimate.rated < RATE_ALL_BELOW:
         share = 1.0
 
-    rate = draw_again(draw) < share
+    rate = derive_draw(draw) < share
     return VersionChoice((version,), 0.0, rate, "the session keeps its version")
 
 
 def _choose_by_quality(
-    tables: Tables, case: Case, now: float, draw: float
+    tables: Tables, context: ChoiceContext, now: float, draw: float
 ) -> VersionChoice:
-    main = find_main(case)
-    explored = find_explored(tables, case, main, now, draw)
+    primary = find_primary(context)
+    explored = find_option_to_explore(tables, context, primary, now, draw)
     if explored is not None:
         reason = f"explores {explored.version}, whose quality is not known yet"
         return VersionChoice((explored.version,), 0.0, True, reason, explored=True)
 
-    cascade = find_cascade(tables, case, main)
+    cascade = find_cascade(tables, context, primary)
     if cascade is not None:
         plan = (cascade.cheap.version, cascade.strong.version)
-        rate = draw_rate(
+        rate = should_rate(
             tables,
-            case,
+            context,
             cascade.strong,
             cascade.escalated,
             draw,
-            least=ESCALATED_SHARE,
+            min_share=MIN_ESCALATED_SHARE,
         )
         reason = "a cascade is expected to cost least"
         return VersionChoice(plan, cascade.threshold, rate, reason)
 
-    rate = draw_rate(tables, case, main, main.estimate, draw)
+    rate = should_rate(tables, context, primary, primary.estimate, draw)
     reason = "cheapest that meets the target with confidence"
-    if not is_confident(case, main):
+    if not is_confident(context, primary):
         reason = "none meets the target with confidence; this is the best known"
 
-    return VersionChoice((main.version,), 0.0, rate, reason)
+    return VersionChoice((primary.version,), 0.0, rate, reason)
 
 
-def _choose_blind(case: Case, draw: float) -> VersionChoice:
+def _choose_without_ratings(context: ChoiceContext, draw: float) -> VersionChoice:
     """Choose while ratings have stopped: nothing new, nothing that needs a rating.
 
     Failure: the rating service is down, so a bad turn would not be seen and a
     cascade would wait for ratings that never come. Only versions with ratings of
     their own, or else the best expected one, get work, and the caution is doubled.
     """
-    careful = replace(case, caution=2.0 * case.caution + 1.0)
-    main = find_safest(careful)
-    rate = draw_again(draw) < STOPPED_RATE
+    cautious = replace(context, caution=2.0 * context.caution + 1.0)
+    primary = find_safest(cautious)
+    rate = derive_draw(draw) < STOPPED_RATING_SHARE
     reason = "ratings have stopped: no exploring, no candidate, no cascade"
-    return VersionChoice((main.version,), 0.0, rate, reason)
+    return VersionChoice((primary.version,), 0.0, rate, reason)
 
 
-def _offer_candidate(
-    tables: Tables, case: Case, choice: VersionChoice, now: float
+def _substitute_candidate(
+    tables: Tables, context: ChoiceContext, choice: VersionChoice, now: float
 ) -> VersionChoice:
     """Put a roll-out's candidate in its incumbent's place for its share of sessions.
 
     Who asks for the incumbent by its full name gets it.
     """
     for rollout in tables.rollouts.values():
-        if rollout.incumbent not in choice.plan or case.work.model == rollout.incumbent:
+        if (
+            rollout.incumbent not in choice.plan
+            or context.work.model == rollout.incumbent
+        ):
             continue
 
-        if not is_candidate_open(tables, case.config, case.work, rollout, now):
+        if not is_candidate_open(tables, context.config, context.work, rollout, now):
             continue
 
         plan = tuple(
--- a/src/waxwingwell/decisions/waits.py
+++ b/src/waxwingwell/decisions/waits.py
@@ -16,7 +16,7 @@
 
 FINISH_WINDOW = 2.0
 """Seconds over which finishes are smoothed into a rate."""
-LEAST_FINISH_RATE = 0.2
+MIN_FINISH_RATE = 0.2
 """Finishes a second assumed where none was seen of late."""
 RANK = {priority: rank for rank, priority in enumerate(PRIORITY_ORDER)}
 """Place of each priority in the order of service, from 0."""
@@ -50,5 +50,7 @@
 
 def estimate_finish_rate(tables: Tables, now: float) -> float:
     """Return the finishes a second to reckon with at this entry."""
-    rate = decay_rate(tables.finish_rate, tables.finish_rated_at, FINISH_WINDOW, now)
-    return max(rate, LEAST_FINISH_RATE)
+    rate = decay_rate(
+        tables.finish_rate, tables.finish_rate_updated_at, FINISH_WINDOW, now
+    )
+    return max(rate, MIN_FINISH_RATE)
--- a/tests/decisions/fixtures_quality.py
+++ b/tests/decisions/fixtures_quality.py
@@ -88,7 +88,7 @@
     )
 
 
-def feed(
+def rate_responses(
     tables: Tables,
     version: VersionId,
     ratings: Sequence[float],
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -11,7 +11,7 @@
 from waxwingwell.decisions.admission import admit
 from waxwingwell.decisions.admission import release
 from waxwingwell.decisions.admission import smooth_demand
-from waxwingwell.decisions.queue import put_waiting
+from waxwingwell.decisions.queue import enqueue
 from waxwingwell.decisions.tables import Refusal
 from waxwingwell.decisions.tables import WorkspaceDemand
 from waxwingwell.records import Limits
@@ -55,10 +55,10 @@
 
     def test_refuses_a_wait_beyond_the_limit(self) -> None:
         tables = make_tables(configs=(make_config(limits=Limits(max_wait=2.0)),))
-        tables.finish_rate, tables.finish_rated_at = 2.0, 1.0
+        tables.finish_rate, tables.finish_rate_updated_at = 2.0, 1.0
         for number in range(6):
             work = make_work(f"w{number}", priority=Priority.TAG)
-            put_waiting(tables, work, VERSION, 1.0)
+            enqueue(tables, work, VERSION, 1.0)
 
         report = admit(tables, make_work("r", priority=Priority.REPORT), 1.0)
         order = admit(tables, make_work("o", priority=Priority.ORDER), 1.0)
@@ -72,7 +72,7 @@
         """
         tables = make_tables(configs=(make_config(limits=Limits(10.0, 1000)),))
         tables.demand[WORKSPACE] = WorkspaceDemand(rate=20.0, elsewhere_rate=20.0)
-        tables.demand[WORKSPACE].rated_at = 0.001
+        tables.demand[WORKSPACE].rate_updated_at = 0.001
         admitted = 0
         for number in range(200):
             now = number / 20
--- a/tests/decisions/test_ejection.py
+++ b/tests/decisions/test_ejection.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from waxwingwell.decisions.ejection import FIRST_EJECTION
+from waxwingwell.decisions.ejection import FIRST_EJECTION_SECONDS
 from waxwingwell.decisions.upstreams import UpstreamChoice
 from waxwingwell.decisions.upstreams import choose_upstream
 from waxwingwell.decisions.upstreams import note_dispatch
@@ -52,7 +52,7 @@
         note_silence(tables, A, now=1.0)
         self.assertEqual(row.ejected_until, 0.0)
         note_silence(tables, A, now=2.0)
-        self.assertEqual(row.ejected_until, 2.0 + FIRST_EJECTION)
+        self.assertEqual(row.ejected_until, 2.0 + FIRST_EJECTION_SECONDS)
         note_dispatch(tables, A, make_work(), now=8.0)
         others = frozenset(NAMES[1:])
         second = choose_upstream(
@@ -60,7 +60,7 @@
         )
         self.assertNotIsInstance(second, UpstreamChoice)
         note_finish(tables, A, failed=True, now=9.0)
-        self.assertEqual(row.ejected_until, 9.0 + 2 * FIRST_EJECTION)
+        self.assertEqual(row.ejected_until, 9.0 + 2 * FIRST_EJECTION_SECONDS)
         note_dispatch(tables, A, make_work(), now=20.0)
         note_finish(tables, A, failed=False, now=21.0)
         self.assertFalse(row.probing)
--- a/tests/decisions/test_evidence.py
+++ b/tests/decisions/test_evidence.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from waxwingwell.decisions.evidence import OUTSTANDING_LIFE
+from waxwingwell.decisions.evidence import OUTSTANDING_TIMEOUT
 from waxwingwell.decisions.evidence import add_evidence
 from waxwingwell.decisions.evidence import confirm_increments
 from waxwingwell.decisions.evidence import count_outstanding
@@ -17,9 +17,9 @@
 from .fixtures_quality import CHEAP
 from .fixtures_quality import QUESTION
 from .fixtures_quality import WORKSPACE
-from .fixtures_quality import feed
 from .fixtures_quality import make_tables
 from .fixtures_quality import make_work
+from .fixtures_quality import rate_responses
 
 
 KEY = (WORKSPACE, "question", CHEAP)
@@ -33,9 +33,9 @@
         entry sends again under the same sequence. Cause: the connection broke.
         """
         tables = make_tables()
-        feed(tables, CHEAP, (0.5, 0.7), 1.0)
+        rate_responses(tables, CHEAP, (0.5, 0.7), 1.0)
         first = take_increments(tables)
-        feed(tables, CHEAP, (0.9,), 2.0)
+        rate_responses(tables, CHEAP, (0.9,), 2.0)
         self.assertEqual(take_increments(tables), first)
         confirm_increments(tables)
         (row,) = take_increments(tables)
@@ -44,15 +44,15 @@
 
     def test_sums_keep_what_the_leader_has_not_seen(self) -> None:
         tables = make_tables()
-        feed(tables, CHEAP, (0.5,), 1.0)
+        rate_responses(tables, CHEAP, (0.5,), 1.0)
         (flushed,) = take_increments(tables)
         confirm_increments(tables)
-        feed(tables, CHEAP, (1.0,), 2.0)
+        rate_responses(tables, CHEAP, (1.0,), 2.0)
         others = add_evidence(flushed, flushed)
         merge_sums(tables, (others,), 3.0)
         self.assertEqual(tables.evidence[KEY].rated, 3)
         self.assertAlmostEqual(tables.evidence[KEY].total, 2.0)
-        self.assertAlmostEqual(tables.opinions[KEY].total, 2.0)
+        self.assertAlmostEqual(tables.rating_stats[KEY].total, 2.0)
         self.assertEqual(tables.rating_heard_at, 3.0)
 
     def test_outstanding(self) -> None:
@@ -66,14 +66,14 @@
         self.assertEqual(count_outstanding(tables, CHEAP, 5.0), 2)
         note_unrated(tables, WORKSPACE, QUESTION, CHEAP)
         self.assertEqual(count_outstanding(tables, CHEAP, 5.0), 1)
-        late = 3.0 + OUTSTANDING_LIFE
+        late = 3.0 + OUTSTANDING_TIMEOUT
         self.assertEqual(count_outstanding(tables, CHEAP, late), 0)
         row = tables.evidence[KEY]
         self.assertEqual((row.sent, row.to_rate, row.rated), (4, 2, 1))
 
     def test_ratings_out_of_range_are_clipped(self) -> None:
         tables = make_tables()
-        feed(tables, CHEAP, (7.0, -3.0), 1.0)
+        rate_responses(tables, CHEAP, (7.0, -3.0), 1.0)
         self.assertEqual(tables.evidence[KEY].total, 1.0)
         self.assertEqual(tables.evidence[KEY].squares, 1.0)
 
--- a/tests/decisions/test_loading.py
+++ b/tests/decisions/test_loading.py
@@ -33,7 +33,7 @@
 
 NEW = VersionId("fitter@2")
 PACE = RolloutPace(stages=(0.05, 0.5, 1.0))
-STORE = WeightStore(loads_per_minute=3.0, max_at_once=2)
+STORE = WeightStore(loads_per_minute=3.0, max_concurrent=2)
 
 
 def make_fleet(
@@ -50,7 +50,7 @@
     return tables
 
 
-def obey(tables: Tables, orders: list[LoadOrder]) -> None:
+def apply_orders(tables: Tables, orders: list[LoadOrder]) -> None:
     """Let the upstreams report what they were ordered to hold."""
     for order in orders:
         row = tables.upstreams[order.upstream]
@@ -68,7 +68,7 @@
         loading = Loading()
         self.assertFalse(is_stage_loaded(tables, tables.rollouts["fitter"], 1, 0.0))
         for minute in range(4):
-            obey(tables, plan_loads(tables, loading, STORE, 60.5 * minute))
+            apply_orders(tables, plan_loads(tables, loading, STORE, 60.5 * minute))
 
         holders = [
             row.announcement.data_centre
@@ -92,7 +92,9 @@
                 tables.rollouts["fitter"] = rollout
                 loading = Loading()
                 for minute in range(6):
-                    obey(tables, plan_loads(tables, loading, STORE, 61.0 * minute))
+                    apply_orders(
+                        tables, plan_loads(tables, loading, STORE, 61.0 * minute)
+                    )
 
                 held = sum(
                     NEW in row.announcement.versions
@@ -147,11 +149,11 @@
             for upstream, version in loading.ordered:
                 seen.setdefault((upstream, version), now)
 
-            self.assertLessEqual(len(loading.ordered), STORE.max_at_once)
+            self.assertLessEqual(len(loading.ordered), STORE.max_concurrent)
             recent = [at for at in seen.values() if at > now - 60.0]
             self.assertLessEqual(len(recent), STORE.loads_per_minute)
             for order in orders:
                 self.assertIn(VERSION, order.versions)
 
             if fulfilled:
-                obey(tables, orders)
+                apply_orders(tables, orders)
--- a/tests/decisions/test_queue.py
+++ b/tests/decisions/test_queue.py
@@ -14,7 +14,7 @@
 from waxwingwell.decisions.admission import Admitted
 from waxwingwell.decisions.admission import admit
 from waxwingwell.decisions.admission import release
-from waxwingwell.decisions.queue import put_waiting
+from waxwingwell.decisions.queue import enqueue
 from waxwingwell.decisions.queue import shed_expired
 from waxwingwell.decisions.queue import take_next
 from waxwingwell.decisions.upstreams import UpstreamChoice
@@ -93,7 +93,7 @@
 
         for work in offered:
             if isinstance(admit(tables, work, now), Admitted):
-                put_waiting(tables, work, VERSION, now)
+                enqueue(tables, work, VERSION, now)
             else:
                 refused[work.workspace] += 1
 
@@ -121,7 +121,7 @@
             Priority.QUESTION,
             Priority.ORDER,
         ):
-            put_waiting(tables, make_work(priority, priority=priority), VERSION, 1.0)
+            enqueue(tables, make_work(priority, priority=priority), VERSION, 1.0)
 
         order = [work.priority for work in take_all(tables, 1.0)]
         self.assertEqual(order, list(Priority))
@@ -130,11 +130,11 @@
         tables = make_two()
         for number in range(20):
             work = make_work(f"r{number}", workspace=LOUD, priority=Priority.REPORT)
-            put_waiting(tables, work, VERSION, 1.0)
+            enqueue(tables, work, VERSION, 1.0)
 
         self.assertEqual(len(take_all(tables, 1.0)), 3)
         order = make_work("o", workspace=LOUD, priority=Priority.ORDER)
-        put_waiting(tables, order, VERSION, 1.0)
+        enqueue(tables, order, VERSION, 1.0)
         self.assertEqual(take_all(tables, 1.0), [order])
 
     def test_chosen_place_stays_taken_until_the_dispatch(self) -> None:
@@ -150,7 +150,7 @@
         ]
         for work in works:
             admit(tables, work, 1.0)
-            put_waiting(tables, work, VERSION, 1.0)
+            enqueue(tables, work, VERSION, 1.0)
 
         taken = []
         while (one := take_next(tables, 1.0, 0.5)) is not None:
@@ -230,7 +230,7 @@
             now += pause
             work = make_work(f"r{number}", workspace=workspace, priority=priority)
             if isinstance(admit(tables, work, now), Admitted):
-                put_waiting(tables, work, VERSION, now)
+                enqueue(tables, work, VERSION, now)
 
             if finishes and running:
                 note_finish(tables, A, failed=False, now=now)
--- a/tests/decisions/test_retries.py
+++ b/tests/decisions/test_retries.py
@@ -22,11 +22,11 @@
             (False, DispatchState.NOT_SENT): True,
             (False, DispatchState.REFUSED): True,
             (False, DispatchState.SENT): False,
-            (False, DispatchState.ANSWERING): False,
+            (False, DispatchState.RESPONDING): False,
             (True, DispatchState.NOT_SENT): True,
             (True, DispatchState.REFUSED): True,
             (True, DispatchState.SENT): True,
-            (True, DispatchState.ANSWERING): False,
+            (True, DispatchState.RESPONDING): False,
         }
         for (repeatable, state), safe in cases.items():
             with self.subTest(repeatable=repeatable, state=state):
--- a/tests/decisions/test_rollouts.py
+++ b/tests/decisions/test_rollouts.py
@@ -7,10 +7,10 @@
 import unittest
 from dataclasses import replace
 
-from waxwingwell.decisions.bets import LOW_STAKES
-from waxwingwell.decisions.bets import Sums
+from waxwingwell.decisions.bets import BET_STAKES
+from waxwingwell.decisions.bets import RatingSums
 from waxwingwell.decisions.bets import bound_log_wealth
-from waxwingwell.decisions.bets import mix_log
+from waxwingwell.decisions.bets import log_mean_exp
 from waxwingwell.decisions.comparisons import get_baseline_deviations
 from waxwingwell.decisions.rollouts import RolloutAction
 from waxwingwell.decisions.rollouts import judge_rollout
@@ -116,10 +116,10 @@
         rollout = make_rollout(stage=2)
         start = make_row(CANDIDATE, draw_ratings(9, 0.8, 100))
         rollout = replace(rollout, base=take_base(rollout, (start, OLD)))
-        mine = draw_ratings(9, 0.8, 100) + draw_ratings(10, 0.6, 60)
-        theirs = draw_ratings(1, 0.8, 2000) + draw_ratings(11, 0.6, 200)
-        rows = (make_row(CANDIDATE, mine),)
-        found = judge_rollout(rollout, rows, (make_row(CHEAP, theirs),), 1.0)
+        candidate_ratings = draw_ratings(9, 0.8, 100) + draw_ratings(10, 0.6, 60)
+        incumbent_ratings = draw_ratings(1, 0.8, 2000) + draw_ratings(11, 0.6, 200)
+        rows = (make_row(CANDIDATE, candidate_ratings),)
+        found = judge_rollout(rollout, rows, (make_row(CHEAP, incumbent_ratings),), 1.0)
         self.assertIsNot(found.action, RolloutAction.ROLL_BACK, found)
 
 
@@ -201,5 +201,7 @@
 
 def bet_on(ratings: list[float], mean: float) -> float:
     row = make_row(CHEAP, ratings)
-    sums = Sums(row.rated, row.total, row.squares)
-    return mix_log(tuple(bound_log_wealth(sums, mean, stake) for stake in LOW_STAKES))
+    sums = RatingSums(row.rated, row.total, row.squares)
+    return log_mean_exp(
+        tuple(bound_log_wealth(sums, mean, stake) for stake in BET_STAKES)
+    )
--- a/tests/decisions/test_versions.py
+++ b/tests/decisions/test_versions.py
@@ -15,9 +15,9 @@
 from waxwingwell.decisions.evidence import count_outstanding
 from waxwingwell.decisions.evidence import note_rating
 from waxwingwell.decisions.evidence import note_sent
-from waxwingwell.decisions.exploration import get_explore_limit
-from waxwingwell.decisions.offers import get_share
-from waxwingwell.decisions.offers import place_session
+from waxwingwell.decisions.exploration import get_exploration_limit
+from waxwingwell.decisions.offers import get_candidate_share
+from waxwingwell.decisions.offers import get_session_position
 from waxwingwell.decisions.tables import Refusal
 from waxwingwell.decisions.tables import Tables
 from waxwingwell.decisions.tables import Work
@@ -38,10 +38,10 @@
 from .fixtures_quality import REPORT
 from .fixtures_quality import STRONG
 from .fixtures_quality import WORKSPACE
-from .fixtures_quality import feed
 from .fixtures_quality import make_rollout
 from .fixtures_quality import make_tables
 from .fixtures_quality import make_work
+from .fixtures_quality import rate_responses
 
 
 GOOD = (0.9, 0.8, 0.85, 0.8) * 10
@@ -77,7 +77,7 @@
         )
         for name, fields, code, status in cases:
             with self.subTest(name):
-                tables = make_many()
+                tables = make_all_statuses()
                 work = make_work(session="s", **fields)
                 found = choose_version(tables, work, now=1.0, draw=0.5)
                 assert isinstance(found, Refusal)
@@ -122,7 +122,7 @@
                 self.assertLessEqual(chosen, expected)
 
     def test_dispatch_looks_again(self) -> None:
-        tables = make_many()
+        tables = make_all_statuses()
         cases = (
             (CHEAP, "", None),
             ("old@1", "", "version_withdrawn"),
@@ -140,14 +140,14 @@
 class TestChoice(unittest.TestCase):
     def test_named_versions_are_respected(self) -> None:
         tables = make_tables()
-        feed(tables, CHEAP, GOOD, 1.0)
+        rate_responses(tables, CHEAP, GOOD, 1.0)
         for model, version in (("large", STRONG), (STRONG, STRONG), (CHEAP, CHEAP)):
             with self.subTest(model):
                 work = make_work(model=model)
                 self.assertEqual(choose(tables, work).plan, (version,))
 
     def test_ending_version_serves_its_sessions(self) -> None:
-        tables = make_many()
+        tables = make_all_statuses()
         work = make_work(session="s", pinned="ending@1")
         self.assertEqual(choose(tables, work).plan, ("ending@1",))
         self.assertFalse(should_pin(work, choose(tables, work)))
@@ -163,14 +163,14 @@
             with self.subTest(name):
                 tables = make_tables()
                 tables.rating_heard_at = 9.0
-                feed(tables, CHEAP, cheap, 9.0)
-                feed(tables, STRONG, strong, 9.0)
+                rate_responses(tables, CHEAP, cheap, 9.0)
+                rate_responses(tables, STRONG, strong, 9.0)
                 self.assertEqual(choose(tables, make_work()).plan, (version,))
 
     def test_sessions_and_streams_never_cascade(self) -> None:
         tables = make_tables()
-        feed(tables, CHEAP, (0.5, 1.0, 0.9, 0.4) * 20, 9.0, REPORT)
-        feed(tables, STRONG, (0.9, 0.95) * 20, 9.0, REPORT)
+        rate_responses(tables, CHEAP, (0.5, 1.0, 0.9, 0.4) * 20, 9.0, REPORT)
+        rate_responses(tables, STRONG, (0.9, 0.95) * 20, 9.0, REPORT)
         self.assertEqual(choose(tables, make_work(REPORT)).plan, (CHEAP, STRONG))
         for fields in ({"session": "s"}, {"stream": True}):
             with self.subTest(fields):
@@ -182,8 +182,8 @@
 
     def test_dear_ratings_forbid_a_cascade(self) -> None:
         tables = make_tables()
-        feed(tables, CHEAP, (0.5, 1.0, 0.9, 0.4) * 20, 9.0, REPORT)
-        feed(tables, STRONG, (0.9, 0.95) * 20, 9.0, REPORT)
+        rate_responses(tables, CHEAP, (0.5, 1.0, 0.9, 0.4) * 20, 9.0, REPORT)
+        rate_responses(tables, STRONG, (0.9, 0.95) * 20, 9.0, REPORT)
         tables.rating_price = 150.0
         self.assertEqual(choose(tables, make_work(REPORT)).plan, (STRONG,))
 
@@ -194,13 +194,13 @@
         service is down. Choices must use what is known, try nothing, and say so.
         """
         tables = make_tables(make_rollout(stage=4))
-        feed(tables, CHEAP, GOOD, 1.0)
+        rate_responses(tables, CHEAP, GOOD, 1.0)
         for draw in (0.0, 0.3, 0.99):
             found = choose(tables, make_work(session="s"), now=500.0, draw=draw)
             self.assertEqual(found.plan, (CHEAP,))
             self.assertIn("ratings have stopped", found.reason)
 
-        feed(tables, CHEAP, (0.8,), 501.0)
+        rate_responses(tables, CHEAP, (0.8,), 501.0)
         found = choose(tables, make_work(session="s"), now=502.0)
         self.assertEqual(found.plan, (CANDIDATE,))
 
@@ -211,10 +211,10 @@
         above the target for hundreds of requests more.
         """
         tables = make_tables()
-        feed(tables, STRONG, GOOD, 1.0)
-        feed(tables, CHEAP, GOOD * 20, 1.0)
+        rate_responses(tables, STRONG, GOOD, 1.0)
+        rate_responses(tables, CHEAP, GOOD * 20, 1.0)
         self.assertEqual(choose(tables, make_work()).plan, (CHEAP,))
-        feed(tables, CHEAP, POOR[:20], 2.0)
+        rate_responses(tables, CHEAP, POOR[:20], 2.0)
         self.assertEqual(choose(tables, make_work()).plan, (STRONG,))
 
 
@@ -229,8 +229,8 @@
         tables = make_tables(rollout)
         spec = tables.versions[CANDIDATE]
         tables.versions[CANDIDATE] = replace(spec, status=VersionStatus.WITHDRAWN)
-        feed(tables, CHEAP, POOR, 1.0)
-        feed(tables, CANDIDATE, (1.0,) * 50, 2.0)
+        rate_responses(tables, CHEAP, POOR, 1.0)
+        rate_responses(tables, CANDIDATE, (1.0,) * 50, 2.0)
         for number in range(50):
             work = make_work(REPORT, request=str(number))
             self.assertNotIn(CANDIDATE, choose(tables, work, draw=number / 50).plan)
@@ -239,7 +239,7 @@
         for stage, least, most in ((0, 2, 30), (2, 150, 260), (4, 1000, 1000)):
             with self.subTest(stage=stage):
                 tables = make_tables(make_rollout(stage=stage))
-                feed(tables, CHEAP, GOOD, 1.0)
+                rate_responses(tables, CHEAP, GOOD, 1.0)
                 plans = [
                     choose(tables, make_work(session=f"s{number}")).plan
                     for number in range(1000)
@@ -252,7 +252,7 @@
         for name, rollout in (("paused", paused), ("rolled back", rolled_back)):
             with self.subTest(name):
                 tables = make_tables(rollout)
-                feed(tables, CHEAP, GOOD, 1.0)
+                rate_responses(tables, CHEAP, GOOD, 1.0)
                 self.assertEqual(choose(tables, make_work()).plan, (CHEAP,))
 
     def test_sessions_of_a_rolled_back_candidate_are_refused(self) -> None:
@@ -267,15 +267,15 @@
         config = tables.workspaces[WORKSPACE]
         careful = replace(config, weighing=Weighing(exposure=4.0))
         rollout = make_rollout(stage=2)
-        self.assertAlmostEqual(get_share(rollout, config), 0.2)
-        self.assertLess(get_share(rollout, careful), 0.2)
-        self.assertEqual(get_share(make_rollout(stage=4), careful), 1.0)
+        self.assertAlmostEqual(get_candidate_share(rollout, config), 0.2)
+        self.assertLess(get_candidate_share(rollout, careful), 0.2)
+        self.assertEqual(get_candidate_share(make_rollout(stage=4), careful), 1.0)
 
     def test_cap_on_unrated(self) -> None:
         pace = RolloutPace(max_unrated=8)
         tables = make_tables(make_rollout(4, pace))
         tables.entries = 2
-        feed(tables, CHEAP, GOOD, 1.0)
+        rate_responses(tables, CHEAP, GOOD, 1.0)
         for number in range(4):
             work = make_work(session=f"s{number}")
             self.assertEqual(choose(tables, work).plan, (CANDIDATE,))
@@ -314,7 +314,7 @@
         draw: float,
         now: float,
     ) -> None:
-        tables = make_wild(statuses, allowed, ratings)
+        tables = make_random_tables(statuses, allowed, ratings)
         rollout = replace(make_rollout(stage), model="a", status=status)
         tables.rollouts["a"] = replace(
             rollout, candidate=VersionId("a@1"), incumbent=VersionId("a@0")
@@ -339,9 +339,9 @@
             if spec.status is VersionStatus.ENDING:
                 self.assertEqual(pinned, version)
             if spec.status is VersionStatus.CANDIDATE and not pinned:
-                share = get_share(tables.rollouts["a"], config)
+                share = get_candidate_share(tables.rollouts["a"], config)
                 ended = status is RolloutStatus.COMPLETED and version == "a@1"
-                place = place_session(tables.rollouts["a"], work)
+                place = get_session_position(tables.rollouts["a"], work)
                 self.assertTrue(ended or place < share)
 
     @settings(max_examples=25)
@@ -374,7 +374,7 @@
             self.assertLessEqual(count_outstanding(tables, CANDIDATE, now), cap)
             account = get_account(tables, WORKSPACE, "question")
             config = tables.workspaces[WORKSPACE]
-            limit = get_explore_limit(config, account, entries)
+            limit = get_exploration_limit(config, account, entries)
             self.assertLessEqual(account.explored, limit)
             if waiting and rng.random() < 0.7:
                 rated, _ = waiting.pop(rng.randrange(len(waiting)))
@@ -382,7 +382,7 @@
                 note_rating(tables, WORKSPACE, QUESTION, rated, rating, now)
 
 
-def make_many() -> Tables:
+def make_all_statuses() -> Tables:
     """Return tables with an ending, a withdrawn and a not allowed version."""
     tables = make_tables()
     cheap = tables.versions[CHEAP]
@@ -403,7 +403,7 @@
     return tables
 
 
-def make_wild(
+def make_random_tables(
     statuses: list[VersionStatus],
     allowed: set[int],
     ratings: list[tuple[int, float]],
@@ -422,8 +422,8 @@
     chosen = tuple(names[place] for place in sorted(allowed))
     tables.workspaces[WORKSPACE] = replace(config, allowed=chosen)
     for name, (count, rating) in zip(names, ratings, strict=False):
-        feed(tables, name, (rating,) * count, 1.0)
-        stray = Evidence(name, WORKSPACE, "stray", count, count * rating)
-        tables.evidence[WORKSPACE, "stray", name] = stray
+        rate_responses(tables, name, (rating,) * count, 1.0)
+        unlisted = Evidence(name, WORKSPACE, "stray", count, count * rating)
+        tables.evidence[WORKSPACE, "stray", name] = unlisted
 
     return tables
