--- a/src/waxwingwell/decisions/__init__.py
+++ b/src/waxwingwell/decisions/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions: tables and the pure systems that run over them.
+"""Routing decisions: state tables and the pure functions that operate on them.
 
 Nothing here does I/O, reads a clock or imports a reactor; ``now`` is an argument.
 """
--- a/src/waxwingwell/decisions/accounts.py
+++ b/src/waxwingwell/decisions/accounts.py
@@ -1,4 +1,4 @@
-"""Accounts of served quality, and opinions that forget what was before a change."""
+"""Quality accounts, and rating statistics with change detection."""
 
 from __future__ import annotations
 
@@ -18,18 +18,21 @@
     Key = tuple[WorkspaceId, str, VersionId]
 
 CREDIT_CAP = 10.0
-"""Most rating points of credit, so that old merit does not pay for a bad turn."""
+"""Maximum credit in rating points, so that old surplus can't offset a regression."""
 DEBT_CAP = 50.0
+"""Maximum debt in rating points."""
 RECENT_WINDOW_RATINGS = 24.0
-"""Ratings that ``Opinion.recent_*`` remember, in the mean."""
+"""Mean age, in ratings, over which ``RatingStats.recent_*`` decay exponentially."""
 MIN_RECENT_RATINGS = 12.0
+"""Decayed number of recent ratings below which no change is detected."""
 CHANGE_STANDARD_ERRORS = 4.0
-"""Distance, in standard errors, at which the recent mean tells of a change."""
+"""Standard errors by which the recent mean must fall to count as a change."""
 MIN_DEVIATION = 0.1
+"""Lower bound of a rating's standard deviation in change detection."""
 
 
 def get_account(tables: Tables, workspace: WorkspaceId, kind: str) -> QualityAccount:
-    """Return the account of a workspace and kind, opened when missing."""
+    """Return the account of a workspace and kind; create it if it is missing."""
     account = tables.accounts.get((workspace, kind))
     if account is None:
         account = tables.accounts[workspace, kind] = QualityAccount()
@@ -38,12 +41,12 @@
 
 
 def add_credit(account: QualityAccount, surplus: float) -> None:
-    """Add rating points above the target, or below it, within the caps."""
+    """Add the surplus over the target, negative if below it, within the caps."""
     account.credit = min(CREDIT_CAP, max(-DEBT_CAP, account.credit + surplus))
 
 
 def update_rating_stats(tables: Tables, key: Key, row: Evidence) -> None:
-    """Take in the ratings of a row, and see whether they tell of a change."""
+    """Add a row's ratings to the statistics and react to a detected fall in quality."""
     if row.rated <= 0:
         return
 
@@ -63,11 +66,11 @@
 
 
 def _charge_unrated(tables: Tables, key: Key, drop: float) -> None:
-    """Take back what unrated answers were credited since a version turned bad.
+    """Revoke the credit of unrated responses served since a version's quality fell.
 
-    Failure: between the turn and its discovery unrated answers count as good, and
-    the account stays rich while the target is missed. ``RECENT_WINDOW_RATINGS`` times the
-    drop is the loss of the rated ones; the unrated ones lost in proportion.
+    Until the fall is detected, unrated responses are credited at the old mean, and
+    the account would keep its credit while the target is missed. The rated responses
+    lost about ``RECENT_WINDOW_RATINGS`` times the drop, the unrated ones in proportion.
     """
     row = tables.evidence.get(key)
     kind = key[1].removesuffix(ESCALATED_SUFFIX)
@@ -80,11 +83,11 @@
 
 
 def _discard_before_drop(stats: RatingStats) -> float:
-    """Drop ratings from before a change for the worse; return the mean's fall.
+    """Discard ratings from before a fall in quality; return the fall of the mean.
 
-    Failure: a version turns bad after thousands of good ratings, and their mean
-    hides it. The recent mean falls within a dozen ratings. Idea: adaptive
-    windowing, Bifet and Gavalda, "Learning from time-changing data", SDM 2007.
+    If a version regresses after thousands of good ratings, their mean hides it for
+    long; the recent mean falls within a dozen ratings. After adaptive windowing: Bifet
+    and Gavalda, "Learning from time-changing data", SDM 2007.
     """
     if stats.recent_rated < MIN_RECENT_RATINGS or stats.rated < 2 * MIN_RECENT_RATINGS:
         return 0.0
--- a/src/waxwingwell/decisions/admission.py
+++ b/src/waxwingwell/decisions/admission.py
@@ -1,8 +1,8 @@
-"""Admit or refuse a request: the workspace's limits and the wait that is implied.
+"""Admit or refuse a request by its workspace's limits and its expected wait.
 
-A refusal is final and immediate and names the time to come back; nothing is taken
-for it, and nothing is held back. Limits are shared between entries by the demand
-that they tell one another, so an entry without news keeps to the share it knows.
+A refusal is final and immediate, names the time to retry, and uses up neither tokens
+nor capacity. The entries divide the limits by the demand that they report to one
+another; an entry without recent reports keeps the share it last knew.
 """
 
 from __future__ import annotations
@@ -26,27 +26,29 @@
 
 
 BURST_SECONDS = 1.0
-"""Length of a burst at full rate that the token bucket lets through."""
+"""Depth of the token bucket, in seconds at the full rate."""
 RATE_WINDOW = 3.0
-"""Seconds over which the offered rate is smoothed."""
+"""Seconds over which the offered request rate is smoothed."""
 MIN_RATE = 0.001
-"""Requests a second below which a workspace counts as idle."""
+"""Requests per second below which a workspace counts as idle."""
 MIN_SHARE = 0.02
-"""Share of a limit that an entry may use although it has had no demand of late."""
+"""Minimum share of a limit for an entry without recent demand."""
 MIN_RETRY_AFTER = 0.5
+"""Minimum seconds to retry after, before jitter."""
 MAX_RETRY_AFTER = 30.0
+"""Maximum seconds to retry after, before jitter."""
 
 
 @dataclass(frozen=True, slots=True)
 class Admitted:
-    """The request may go on; ``release`` must follow, whatever becomes of it."""
+    """The request is admitted; ``release`` must be called whatever its outcome."""
 
     wait: float
-    """Seconds of waiting that the queue implies for it."""
+    """Expected seconds in the waiting queue."""
 
 
 def admit(tables: Tables, work: Work, now: float) -> Admitted | Refusal:
-    """Admit the work and count it, or refuse it and take nothing."""
+    """Admit the work and count it, or refuse it and count nothing."""
     config = tables.workspaces.get(work.workspace)
     if config is None:
         return Refusal("unknown_workspace", "the workspace is not configured", 403)
@@ -71,10 +73,10 @@
 
 
 def smooth_demand(tables: Tables, now: float) -> None:
-    """Let the offered rates decay; run it each tick, before demand is told to others.
+    """Decay the offered rates; call it on each tick, before demand is reported.
 
-    Failure guarded against: a rate is counted up by requests only, so an entry whose
-    callers have gone would keep its old share of a limit from the others for good.
+    Only requests update a rate, so without this an entry whose callers have left
+    would withhold its former share of a limit from the other entries indefinitely.
     """
     for demand in tables.demand.values():
         rate = decay_rate(demand.rate, demand.rate_updated_at, RATE_WINDOW, now)
@@ -83,7 +85,7 @@
 
 
 def check_limits(demand: WorkspaceDemand, limits: Limits, work: Work) -> Refusal | None:
-    """Return why the workspace's own limits stand against one more request."""
+    """Return the refusal if one more request exceeds the workspace's limits."""
     if demand.in_flight >= get_in_flight_limit(demand, limits):
         return Refusal(
             "too_many_in_flight",
@@ -105,7 +107,7 @@
 
 
 def refuse_long_wait(work: Work, excess: float) -> Refusal:
-    """Return the refusal of work that would wait ``excess`` seconds too long."""
+    """Return the refusal of work whose wait exceeds the limit by ``excess`` seconds."""
     return Refusal(
         "overloaded",
         "the wait would be longer than the workspace allows",
@@ -115,7 +117,7 @@
 
 
 def refill_tokens(demand: WorkspaceDemand, limits: Limits, now: float) -> None:
-    """Let the bucket fill at this entry's share of the rate; it never overflows."""
+    """Refill the token bucket at this entry's share of the rate, up to its depth."""
     share = get_limit_share(demand)
     depth = max(limits.requests_per_second * BURST_SECONDS * share, 1.0)
     if demand.refilled_at == 0.0 and demand.rate_updated_at == 0.0:
@@ -128,7 +130,7 @@
 
 
 def get_limit_share(demand: WorkspaceDemand) -> float:
-    """Return this entry's share of the workspace's limits, by offered demand."""
+    """Return this entry's share of the workspace's limits, by offered rate."""
     if demand.elsewhere_rate <= 0.0:
         return 1.0
 
@@ -136,11 +138,11 @@
 
 
 def get_in_flight_limit(demand: WorkspaceDemand, limits: Limits) -> int:
-    """Return how many requests this entry may hold for the workspace.
+    """Return how many requests this entry may have in flight for the workspace.
 
-    What the others do not hold is free. Failure guarded against: with late news all
-    entries would take the same free places at once; each takes at most its share of
-    the limit and half of what is free beyond that.
+    Capacity that the other entries do not use is free. With late reports all entries
+    could take the same free capacity at once, so each takes at most its fair share of
+    the limit and half of the free capacity beyond that.
     """
     free = max(limits.max_in_flight - demand.elsewhere_in_flight, 0)
     if demand.elsewhere_rate <= 0.0:
@@ -151,14 +153,14 @@
 
 
 def jitter_retry_after(work: Work, seconds: float) -> float:
-    """Return a time to come back, spread so that not all callers return together."""
+    """Return the seconds to retry after, with jitter to desynchronise the callers."""
     jitter = 0.75 + 0.5 * (crc32(work.request.encode()) & 0xFF) / 255
     bounded = min(max(seconds, MIN_RETRY_AFTER), MAX_RETRY_AFTER)
     return round(bounded * jitter, 3)
 
 
 def release(tables: Tables, work: Work, now: float) -> None:
-    """Give back what ``admit`` counted; once for each admitted request."""
+    """Undo the counts of ``admit``; call it once for each admitted request."""
     release_claim(tables, work.request)
     demand = tables.demand.get(work.workspace)
     if demand is None:
--- a/src/waxwingwell/decisions/bets.py
+++ b/src/waxwingwell/decisions/bets.py
@@ -1,15 +1,16 @@
-"""Evidence against a mean, valid however often one looks.
-
-A bet against "the mean of ratings is at least m" multiplies its wealth by
-``1 + stake * (m - x)`` at each rating x. Under that claim the wealth is a
-supermartingale, so by Ville's inequality it ever reaches 1 / alpha with chance at
-most alpha. Source: Waudby-Smith and Ramdas, "Estimating means of bounded random
-variables by betting", JRSS B 86 (2024); Ville, 1939.
-
-Only sums are kept, so the wealth is bounded from below by
-``log(1 + z) >= z - z * z * (-log(1 - c) - c) / (c * c)`` for z >= -c, which is the
-lemma behind Fan, Grama and Liu, "Exponential inequalities for martingales with
-applications", EJP 20 (2015). A bound from below keeps the guarantee.
+"""Anytime-valid evidence against a mean, from test martingales (betting).
+
+A bet against the hypothesis "the mean rating is at least m" multiplies its wealth by
+``1 + stake * (m - x)`` at each rating x. Under the hypothesis the wealth is a
+supermartingale, so by Ville's inequality it ever reaches 1 / alpha with probability
+at most alpha, however often it is tested. Source: Waudby-Smith and Ramdas,
+"Estimating means of bounded random variables by betting", JRSS B 86 (2024); Ville,
+1939.
+
+Only sums of the ratings are stored, so the wealth is bounded from below by
+``log(1 + z) >= z - z * z * (-log(1 - c) - c) / (c * c)`` for z >= -c, the lemma used
+in Fan, Grama and Liu, "Exponential inequalities for martingales with applications",
+EJP 20 (2015). A lower bound keeps the guarantee.
 """
 
 from __future__ import annotations
@@ -19,9 +20,9 @@
 
 
 BET_STAKES = (0.3, 0.6, 1.25)
-"""Stakes against a candidate; fixed in advance, as the guarantee needs."""
+"""Stakes of the bets against a candidate; the guarantee needs them fixed in advance."""
 MIN_BASELINE = 0.3
-"""Baseline below which ``BET_STAKES`` could lose more than the wealth there is."""
+"""Baseline mean below which a bet could lose more than its wealth."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,7 +35,7 @@
 
 
 def bound_log_wealth(sums: RatingSums, mean: float, stake: float) -> float:
-    """Return a lower bound on the log wealth of betting that ratings fall short.
+    """Return a lower bound on the log wealth of bets that ratings are below ``mean``.
 
     ``stake * (1 - mean)`` must be under 1.
     """
@@ -46,7 +47,7 @@
 
 
 def log_mean_exp(logs: tuple[float, ...]) -> float:
-    """Return the log of the mean of the wealths whose logs are given."""
+    """Return the log of the mean wealth, given the logs of the wealths."""
     largest = max(logs)
     return largest + math.log(
         sum(math.exp(item - largest) for item in logs) / len(logs)
@@ -54,12 +55,13 @@
 
 
 def _sum_squared_deviations(sums: RatingSums, mean: float) -> float:
+    """Return the sum of squared deviations from ``mean``."""
     spread = sums.squares - 2.0 * mean * sums.total + sums.rated * mean * mean
     return max(0.0, spread)
 
 
 def _get_quadratic_factor(max_loss: float) -> float:
-    """Return the factor of the quadratic term when a bet loses at most ``max_loss``."""
+    """Return the quadratic term's factor for a bet that loses at most ``max_loss``."""
     if max_loss < 1e-4:
         return 0.5
 
--- a/src/waxwingwell/decisions/candidates.py
+++ b/src/waxwingwell/decisions/candidates.py
@@ -1,9 +1,10 @@
-"""Find the upstreams that may take a request.
+"""Find the upstreams that are eligible for a request.
 
-Small fleets are looked through whole. In large ones a sample of the holders and the
-probable homes of the prompt's prefixes are looked at, so that one decision's time
-does not grow with the fleet. The index is a hint: each candidate is checked against
-its own row, and where the sample finds none the whole table is looked through.
+Small fleets are scanned in full. In large fleets only a sample of the holders and the
+upstreams that recently received the prompt's prefixes are examined, so that the time
+of a decision does not grow with the fleet. The index is only a hint: each candidate
+is checked against its own row, and if the sample yields none, the whole table is
+scanned.
 """
 
 from __future__ import annotations
@@ -27,20 +28,20 @@
 
 
 SAMPLE_SIZE = 16
-"""Holders looked at in a large fleet, besides the homes of prefixes."""
+"""Holders examined in a large fleet, besides recent upstreams of the prefixes."""
 FULL_SCAN_LIMIT = 32
-"""Fleets of this size are looked through whole."""
+"""Largest number of upstreams that is scanned in full."""
 SAMPLE_STRIDE = 7919
-"""A prime, so that the steps of a sample meet different upstreams."""
+"""Step between sampled holders; a prime, so that they differ."""
 
 
 @dataclass(slots=True)
 class Candidates:
-    """Upstreams that may take a request, and one that could after a trial."""
+    """Eligible upstreams, and an ejected one to fall back on."""
 
     rows: list[UpstreamRow] = field(default_factory=list)
     ejected: UpstreamRow | None = None
-    """The ejected one that comes back first, if it alone stands in the way."""
+    """The upstream excluded only by its ejection whose ejection ends first."""
 
 
 def find_candidates(
@@ -52,7 +53,7 @@
     now: float,
     draw: float,
 ) -> Candidates:
-    """Return the upstreams that may take the work."""
+    """Return the upstreams that are eligible for the work."""
     if len(tables.upstreams) > FULL_SCAN_LIMIT:
         sample = sample_holders(tables, work, version, draw)
         found = filter_rows(tables, work, version, exclude, sample, now=now)
@@ -71,7 +72,7 @@
     *,
     now: float,
 ) -> Candidates:
-    """Return those of ``upstreams`` that may take the work."""
+    """Return those of ``upstreams`` that are eligible for the work."""
     config = tables.workspaces.get(work.workspace)
     allowed = config.data_centres if config else ()
     found = Candidates()
@@ -95,7 +96,7 @@
 
 
 def can_serve(row: UpstreamRow, work: Work, version: VersionId) -> bool:
-    """Return whether the upstream has said that it serves what the work needs."""
+    """Return whether the upstream announces the version or service of the work."""
     announcement = row.announcement
     if announcement.leaving:
         return False
@@ -110,7 +111,7 @@
 def sample_holders(
     tables: Tables, work: Work, version: VersionId, draw: float
 ) -> dict[UpstreamId, None]:
-    """Return some holders by the index, without repeats."""
+    """Return a sample of holders from the index, without duplicates."""
     sampled: dict[UpstreamId, None] = {}
     for digest in work.prefixes[:2]:
         for upstream in list(tables.homes.get(digest, ()))[-4:]:
@@ -128,7 +129,7 @@
 
 
 def index_upstreams(tables: Tables, now: float) -> None:
-    """Rebuild the index of holders; run it each tick and on each announcement."""
+    """Rebuild the index of holders; call it on each tick and each announcement."""
     holders: dict[str, list[UpstreamId]] = {}
     for upstream, row in tables.upstreams.items():
         if row.left or row.expires_at <= now:
--- a/src/waxwingwell/decisions/cascades.py
+++ b/src/waxwingwell/decisions/cascades.py
@@ -1,7 +1,7 @@
-"""Cascades: answer with a cheap version, rate, and escalate below a threshold.
+"""Cascades: run a cheap version, rate its response, escalate below a threshold.
 
-A rating is modelled as normal with the estimated mean and deviation; only the sums
-of ratings and of their squares are kept, which give no finer shape.
+Ratings are modelled as normally distributed with the estimated mean and deviation,
+since only the sums of the ratings and of their squares are stored.
 """
 
 from __future__ import annotations
@@ -25,16 +25,16 @@
 
 
 CASCADE_TARGET_SLACK = 0.02
-"""How far below the target a cascade may aim when credit is at its cap."""
+"""Rating points by which a cascade's target is lowered when credit is at its cap."""
 LATENCY_PENALTY = 0.1
-"""Part of a cost that a cascade must save to make up for its second answer."""
+"""Share of the cost that a cascade must save to justify its added latency."""
 BISECTION_STEPS = 7
-"""Halvings of the threshold's range; the last step is under 0.01."""
+"""Bisection steps over the threshold's range; the last is smaller than 0.01."""
 
 
 @dataclass(frozen=True, slots=True)
 class CascadeOption:
-    """A cascade's best threshold, its expected cost and the quality it serves."""
+    """A cascade's best threshold, with its expected cost and quality."""
 
     threshold: float
     cost: float
@@ -43,19 +43,19 @@
 
 @dataclass(frozen=True, slots=True)
 class CascadePlan:
-    """The two versions of a cascade, and when it stops at the first."""
+    """The two versions of a cascade, and the rating at which it stops at the first."""
 
     cheap: Option
     strong: Option
     escalated: Estimate
-    """Of the strong version, on escalated requests."""
+    """Estimate of the strong version on escalated requests."""
     threshold: float
 
 
 def may_cascade(work: Work) -> bool:
-    """Tell whether the caller can wait for an answer to be rated and replaced.
+    """Return whether a response may be rated and replaced before it is served.
 
-    A session keeps one version and a stream shows its answer at once.
+    A session keeps one version, and a stream delivers its response at once.
     """
     return work.kind.waits_for_whole and not work.stream and not work.session
 
@@ -63,11 +63,11 @@
 def find_cascade(
     tables: Tables, context: ChoiceContext, primary: Option
 ) -> CascadePlan | None:
-    """Return the cascade that undercuts ``primary``, if any.
+    """Return the cascade that is cheaper than ``primary``, if any.
 
-    Pairs are ranked with an optimistic mean of the cheap version: its answers are
+    Pairs are ranked with an optimistic mean of the cheap version: its responses are
     rated before they are served, so that trying it costs little quality. The
-    threshold comes from the mean itself.
+    threshold is computed from the mean itself.
     """
     work = context.work
     if not may_cascade(work):
@@ -139,10 +139,10 @@
 ) -> CascadeOption | None:
     """Return the cheapest threshold that meets ``target``, or None if none does.
 
-    ``strong`` is the mean quality of escalated answers. Cost rises with the
-    threshold, and quality does up to ``strong``: the least threshold that meets the
-    target is the cheapest. Costs are in the same unit; the cheap answer and its
-    rating are always paid for.
+    ``strong`` is the mean quality of escalated responses. Cost rises with the
+    threshold, and so does quality up to ``strong``: the lowest threshold that meets
+    the target is the cheapest. All costs are in the same unit; the cheap response and
+    its rating are always paid for.
     """
     high = strong
     if _evaluate_threshold(cheap, strong, high)[1] < target:
@@ -164,7 +164,7 @@
 def _evaluate_threshold(
     cheap: Estimate, strong: float, threshold: float
 ) -> tuple[float, float]:
-    """Return the chance that the cheap answer is served, and the mean quality."""
+    """Return the probability of serving the cheap response, and the mean quality."""
     stop_probability = _get_stop_probability(cheap, threshold)
     quality = (
         _get_mean_above(cheap, threshold, stop_probability)
@@ -174,7 +174,7 @@
 
 
 def _get_stop_probability(estimate: Estimate, threshold: float) -> float:
-    """Return the chance that a rating is at or above ``threshold``."""
+    """Return the probability that a rating is at or above ``threshold``."""
     deviations = (threshold - estimate.mean) / estimate.deviation
     return 0.5 * math.erfc(deviations / math.sqrt(2.0))
 
@@ -182,7 +182,7 @@
 def _get_mean_above(
     estimate: Estimate, threshold: float, stop_probability: float
 ) -> float:
-    """Return the expected rating on the event that it is above ``threshold``."""
+    """Return the expected rating, counting ratings below ``threshold`` as 0."""
     deviations = (threshold - estimate.mean) / estimate.deviation
     density = math.exp(-0.5 * deviations * deviations) / math.sqrt(2.0 * math.pi)
     return min(
--- a/src/waxwingwell/decisions/claims.py
+++ b/src/waxwingwell/decisions/claims.py
@@ -1,8 +1,8 @@
-"""Claims on places at upstreams, between a choice and its dispatch.
+"""Reservations of upstream capacity between the choice and the dispatch.
 
-Failure guarded against: an order waits for its ledger row between the two, a few
-milliseconds in which its place would look free. A queue that is handed out in that
-time would send all its orders to the same place, over the upstream's bound.
+An order waits a few milliseconds for its ledger row between the two. If its slot
+looked free in that time, draining the queue would send all queued orders to the same
+upstream and exceed its limit.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 def claim_slot(tables: Tables, request: str, upstream: UpstreamId) -> None:
-    """Count a place as taken for a request that is about to be dispatched."""
+    """Reserve a slot at an upstream for a request that is about to be dispatched."""
     release_claim(tables, request)
     row = tables.upstreams.get(upstream)
     if row is None:
@@ -27,7 +27,7 @@
 
 
 def release_claim(tables: Tables, request: str) -> None:
-    """Give a claimed place back; a request without a claim changes nothing."""
+    """Release the slot claimed for a request; do nothing if there is none."""
     upstream = tables.claims.pop(request, None)
     row = tables.upstreams.get(upstream) if upstream is not None else None
     if row is not None:
--- a/src/waxwingwell/decisions/comparisons.py
+++ b/src/waxwingwell/decisions/comparisons.py
@@ -1,6 +1,6 @@
-"""Evidence of a candidate against its incumbent, like work against like.
+"""Stratified comparison of a candidate's ratings with its incumbent's.
 
-A cell is a workspace and a kind of work.
+The strata are cells: a cell is a workspace and a kind of work.
 """
 
 from __future__ import annotations
@@ -27,13 +27,14 @@
     Cell = tuple[WorkspaceId, str]
 
 MIXTURE_SCALE = 8.0
+"""Scale of the mixture in the confidence sequence of the incumbent's mean."""
 MIN_INCUMBENT_RATINGS = 20
-"""Ratings of the incumbent that make a workspace and kind comparable."""
+"""Minimum number of the incumbent's ratings for a cell to be compared."""
 
 
 @dataclass(frozen=True, slots=True)
 class Comparison:
-    """Candidate against incumbent over the cells where both were rated."""
+    """Comparison with the incumbent over the cells where both versions were rated."""
 
     rated: int
     loss: float
@@ -48,9 +49,9 @@
 ) -> float:
     """Return the log evidence that the candidate is worse in any cell.
 
-    Half of the false alarms allowed goes to the baselines, half to the bets. The
-    wealth is shared between a bet from the beginning and one from each stage's
-    beginning; a weighted sum of wealths is a wealth.
+    Half of the false-alarm probability is spent on the baselines, half on the bets.
+    The wealth is divided between a bet since the start of the roll-out and one since
+    the start of each stage; a weighted sum of wealths is itself a valid wealth.
     """
     incumbent_recent = subtract_base(incumbent_sums, rollout, rollout.incumbent)
     usable = {
@@ -79,20 +80,21 @@
 def get_baseline_deviations(alpha: float) -> float:
     """Return how many standard errors cover the incumbent's mean at all times.
 
-    Over all cells together, weighed as the candidate's ratings are, and but for
-    chance ``alpha``. Source: Waudby-Smith, Arbour, Sinha, Kennedy and Ramdas,
-    "Time-uniform central limit theory and asymptotic confidence sequences", Annals
-    of Statistics 52 (2024), with the mixture at ``MIXTURE_SCALE`` times its scale.
+    The coverage holds for all cells together, weighted by the candidate's ratings,
+    except with probability ``alpha``. Source: Waudby-Smith, Arbour, Sinha, Kennedy and
+    Ramdas, "Time-uniform central limit theory and asymptotic confidence sequences",
+    Annals of Statistics 52 (2024), with the mixture at ``MIXTURE_SCALE`` times its
+    scale.
     """
     spread = math.log(math.sqrt(MIXTURE_SCALE + 1.0) / alpha)
     return math.sqrt(2.0 * (1.0 + 1.0 / MIXTURE_SCALE) * spread)
 
 
 def _find_baseline(sums: RatingSums, incumbent_recent: RatingSums | None) -> float:
-    """Return the incumbent's mean in a cell.
+    """Return the incumbent's mean in a cell, bounded by its recent mean.
 
-    Failure: the work itself becomes harder, both versions fall, and the candidate
-    is blamed against old ratings. The incumbent's recent mean bounds it too.
+    If the work becomes harder, both versions' ratings fall, and a candidate compared
+    with old ratings would be rolled back without being worse.
     """
     mean = sums.total / sums.rated
     if incumbent_recent is None or incumbent_recent.rated < MIN_INCUMBENT_RATINGS:
@@ -111,11 +113,11 @@
     means: dict[Cell, float],
     deviations: float,
 ) -> float:
-    """Return the log wealth of betting against the candidate in ``cells``.
+    """Return the log wealth of the bets against the candidate in ``cells``.
 
-    All baselines are lowered alike, so that their weighed sum lies below the truth.
-    A bet's expected gain is linear in its baseline: errors that cancel in the sum
-    cancel in the wealth.
+    All baselines are lowered by the same margin, so that their weighted sum is below
+    the true value. The expected gain of a bet is linear in its baseline: errors that
+    cancel in the sum cancel in the wealth.
     """
     rated = 0.0
     variance = 0.0
@@ -145,7 +147,7 @@
 def compare(
     candidate_sums: dict[Cell, RatingSums], incumbent_sums: dict[Cell, RatingSums]
 ) -> Comparison:
-    """Compare like with like: each cell weighs as the candidate's ratings there."""
+    """Compare cell by cell, weighted by the number of the candidate's ratings."""
     rated = 0.0
     loss = 0.0
     variance = 0.0
@@ -167,7 +169,10 @@
 
 
 def _sum_variance(sums: RatingSums) -> float:
-    """Return the variance of a sum of ratings; a few assumed ones guard small cells."""
+    """Return the variance of a sum of ratings.
+
+    Four pseudo-ratings with a variance of 0.04 regularise small cells.
+    """
     mean = sums.total / sums.rated
     spread = max(0.0, sums.squares - sums.rated * mean * mean)
     return sums.rated * (spread + 0.04 * 4.0) / (sums.rated + 4.0)
@@ -176,7 +181,7 @@
 def subtract_base(
     cells: dict[Cell, RatingSums], rollout: Rollout, version: VersionId
 ) -> dict[Cell, RatingSums]:
-    """Return what came since the present stage began."""
+    """Return the rating sums since the start of the current stage."""
     base = index_rows(row for row in rollout.base if row.version == version)
     found: dict[Cell, RatingSums] = {}
     for cell, sums in cells.items():
@@ -192,7 +197,7 @@
 
 
 def index_rows(rows: Iterable[Evidence]) -> dict[Cell, RatingSums]:
-    """Return the sums of each workspace and kind that was rated."""
+    """Return the rating sums by cell, without unrated cells."""
     return {
         (row.workspace, row.kind): RatingSums(row.rated, row.total, row.squares)
         for row in rows
--- a/src/waxwingwell/decisions/ejection.py
+++ b/src/waxwingwell/decisions/ejection.py
@@ -1,10 +1,10 @@
-"""Outlier ejection: keep work off upstreams that fail or fall silent.
+"""Outlier ejection: send no work to upstreams that fail or stop responding.
 
-An upstream is ejected after several failures in a row, for a time that doubles with
-each ejection, and comes back on trial with one request at a time. Failures guarded
-against: an upstream that accepts and never answers looks idle, draws all traffic and
-loses it; and a fault common to all (a bad prompt, a cut link of this entry) would
-empty the table. So one holder of each version and half of the peers always stay.
+An upstream is ejected after several consecutive failures, for a time that doubles
+with each ejection, and is then probed with one request at a time. Without ejection,
+an upstream that accepts requests and never responds looks idle, attracts all traffic
+and loses it. A common fault (a bad prompt, a broken link of this entry) must not
+eject every upstream, so one holder of each version and half of the peers always stay.
 """
 
 from __future__ import annotations
@@ -21,15 +21,17 @@
 
 
 FAILURES_TO_EJECT = 3
+"""Consecutive failures after which an upstream is ejected."""
 UNRESPONSIVE_WEIGHT = 2
-"""A silence counts as this many failures: it costs a whole deadline to see one."""
+"""Failures that a missed progress deadline counts as, since it is slow to detect."""
 FIRST_EJECTION_SECONDS = 5.0
 MAX_EJECTION_SECONDS = 60.0
 MAX_EJECTED_SHARE = 0.5
+"""Maximum share of the holders of a version that may be ejected at once."""
 
 
 def record_success(row: UpstreamRow) -> None:
-    """Clear the failures of an upstream that served a request."""
+    """Reset the failure counts of an upstream that completed a request."""
     row.failures = 0
     row.ejections = 0
     row.probing = False
@@ -38,7 +40,7 @@
 def record_failure(
     tables: Tables, upstream: UpstreamId, *, weight: int, now: float
 ) -> bool:
-    """Count a failure; return whether the upstream was ejected for it."""
+    """Count a failure; return whether it caused the upstream's ejection."""
     row = tables.upstreams.get(upstream)
     if row is None:
         return False
@@ -61,7 +63,7 @@
 
 
 def may_eject(tables: Tables, row: UpstreamRow, now: float) -> bool:
-    """Return whether enough peers would stay for each version the row holds."""
+    """Return whether enough peers would remain for each version the row holds."""
     for group in list_groups(row):
         peers = [
             peer
@@ -76,7 +78,7 @@
 
 
 def list_groups(row: UpstreamRow) -> tuple[str, ...]:
-    """Return the names of what the upstream serves: versions, or its service."""
+    """Return the versions that the upstream holds, or the service that it runs."""
     announcement = row.announcement
     if announcement.kind is UpstreamKind.SERVICE:
         return (announcement.service,)
@@ -85,6 +87,6 @@
 
 
 def end_ejection(row: UpstreamRow, now: float) -> None:
-    """Take an upstream back on trial before its time, when no other is left."""
+    """End an ejection early and probe the upstream, when no other is available."""
     row.ejected_until = min(row.ejected_until, now)
     row.probing = True
--- a/src/waxwingwell/decisions/eligibility.py
+++ b/src/waxwingwell/decisions/eligibility.py
@@ -1,4 +1,4 @@
-"""Which versions a request may run on, before any thought of cost or quality."""
+"""Which versions a request may run on, regardless of cost and quality."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 
 def get_effective_status(tables: Tables, spec: VersionSpec) -> VersionStatus:
-    """Return a version's status, with what its roll-out's end implies.
+    """Return a version's status, taking the end of its roll-out into account.
 
-    Failure: a roll-out ends and the version's own status has not followed yet.
-    A rolled-back candidate must then count as withdrawn, not as waiting.
+    When a roll-out ends, the version's own status may lag behind. A rolled-back
+    candidate must count as withdrawn at once, not as a candidate.
     """
     if spec.status is not VersionStatus.CANDIDATE:
         return spec.status
@@ -42,9 +42,9 @@
 def check_pinned(
     tables: Tables, config: WorkspaceConfig, work: Work
 ) -> VersionId | Refusal:
-    """Return the version a session is pinned to, or why it can't go on.
+    """Return the version a session is pinned to, or why it can't continue.
 
-    A session is never moved: the caller decides whether to start a new one.
+    A session never changes its version: the caller decides whether to start a new one.
     """
     spec = tables.versions.get(work.pinned)
     if spec is None or get_effective_status(tables, spec) is VersionStatus.WITHDRAWN:
@@ -63,7 +63,7 @@
 def check_dispatch(tables: Tables, work: Work, version: VersionId) -> Refusal | None:
     """Return why ``version`` may no longer get ``work``, or None if it may.
 
-    Failure: a version is withdrawn while a request waits; dispatch must look again.
+    A version may be withdrawn while a request waits, so dispatch must check again.
     """
     config = tables.workspaces.get(work.workspace)
     if config is None or version not in config.allowed:
@@ -106,9 +106,9 @@
 
 
 def is_loaded(tables: Tables, version: VersionId) -> bool:
-    """Tell whether a live upstream holds a version, as far as the index knows.
+    """Return whether a live upstream holds a version, according to the index.
 
-    Without an index every version counts as held.
+    Without an index every version counts as loaded.
     """
     return not tables.holders or bool(tables.holders.get(version))
 
@@ -116,29 +116,29 @@
 def _prefer_loaded(
     tables: Tables, eligible: tuple[VersionSpec, ...]
 ) -> tuple[VersionSpec, ...]:
-    """Return the versions that some upstream holds, or all if none is held.
+    """Return the versions that some upstream holds, or all if none is loaded.
 
-    Failure: the best version was registered and no engine has loaded it yet, or its
-    engines are gone. Every request would be refused, while others stand ready.
+    If the best version has been registered but not loaded yet, or its engines are
+    gone, every request would be refused although other versions are available.
     """
     loaded = tuple(spec for spec in eligible if is_loaded(tables, spec.version))
     return loaded or eligible
 
 
 def refuse_withdrawn(version: str) -> Refusal:
-    """Return the refusal for work bound to a withdrawn version."""
+    """Return the refusal of work that requires a withdrawn version."""
     return Refusal("version_withdrawn", f"version {version} is withdrawn", 410)
 
 
 def get_exposure_weight(config: WorkspaceConfig) -> float:
-    """Return the weight of exposure to bad versions, 0 to 1; a third is neutral."""
+    """Return the weight of exposure to bad versions, from 0 to 1; 1/3 is neutral."""
     weighing = config.weighing
     total = weighing.cost + weighing.latency + weighing.exposure
     return weighing.exposure / total if total > 0 else 1 / 3
 
 
 def get_latency_weight(config: WorkspaceConfig) -> float:
-    """Return the weight of latency, 0 to 1; a third is neutral."""
+    """Return the weight of latency, from 0 to 1; 1/3 is neutral."""
     weighing = config.weighing
     total = weighing.cost + weighing.latency + weighing.exposure
     return weighing.latency / total if total > 0 else 1 / 3
--- a/src/waxwingwell/decisions/evidence.py
+++ b/src/waxwingwell/decisions/evidence.py
@@ -1,7 +1,7 @@
-"""Evidence: what was sent and rated, kept in the tables and flushed to the leader.
+"""Evidence: counts of requests and ratings, kept in tables and flushed to the leader.
 
-``note_sent`` and ``note_rating`` change this entry's tables at once and collect
-increments. The leader adds the increments of all entries and sends the sums back.
+``note_sent`` and ``note_rating`` update this entry's tables at once and accumulate
+increments. The leader adds up the increments of all entries and sends the totals back.
 """
 
 from __future__ import annotations
@@ -30,13 +30,13 @@
     Key = tuple[WorkspaceId, str, VersionId]
 
 SELECTION_BIAS_ERRORS = 2.0
-"""Standard errors by which an unrated answer's credit is reduced."""
+"""Standard errors by which the credit of an unrated response is reduced."""
 OUTSTANDING_TIMEOUT = 600.0
-"""Seconds after which a rating that never came stops counting as outstanding."""
+"""Seconds after which a missing rating no longer counts as outstanding."""
 
 
 def add_evidence(left: Evidence, right: Evidence) -> Evidence:
-    """Return the sum of two rows of the same key."""
+    """Return the sum of two rows with the same key."""
     return replace(
         left,
         rated=left.rated + right.rated,
@@ -58,10 +58,10 @@
     served: bool = True,
     escalated: bool = False,
 ) -> None:
-    """Note that ``work`` was dispatched to ``version``, once per version tried.
+    """Record that ``work`` was dispatched to ``version``, once per version tried.
 
-    ``rate`` tells whether its answer goes to the rating service. ``served`` is
-    False for a step of a cascade before its last, ``escalated`` is True for a step
+    ``rate`` says whether the response goes to the rating service. ``served`` is False
+    for the steps of a cascade before its last, ``escalated`` is True for the steps
     after its first.
     """
     kind = get_escalated_kind(work.kind.name) if escalated else work.kind.name
@@ -86,7 +86,7 @@
                 tables, work.workspace, name, version, estimate
             )
 
-        # The cheapest that seems good enough is more often flattered than not.
+        # Choosing the cheapest version above the target favours overestimated means.
         surplus = (
             estimate.mean
             - SELECTION_BIAS_ERRORS * estimate.error
@@ -106,9 +106,9 @@
     served: bool = True,
     escalated: bool = False,
 ) -> None:
-    """Take in one rating; ``served`` is False for an answer a cascade passed over.
+    """Record a rating; ``served`` is False for a response that a cascade discarded.
 
-    A rating outside 0 to 1 is clipped: the tests below rely on the bounds.
+    A rating outside 0 to 1 is clipped: the statistical tests rely on the bounds.
     """
     value = min(1.0, max(0.0, rating))
     name = get_escalated_kind(kind.name) if escalated else kind.name
@@ -131,7 +131,7 @@
     *,
     escalated: bool = False,
 ) -> None:
-    """Note that an answer handed to the rating service will get no rating."""
+    """Record that a response sent to the rating service will get no rating."""
     name = get_escalated_kind(kind.name) if escalated else kind.name
     key = (workspace, name, version)
     _add_row(tables, key, Evidence(version, workspace, name, to_rate=-1))
@@ -139,20 +139,20 @@
 
 
 def count_outstanding(tables: Tables, version: VersionId, now: float) -> int:
-    """Return the number of this entry's answers that still wait for a rating."""
+    """Return the number of this entry's responses whose rating is outstanding."""
     return _count_unexpired(tables.outstanding.get(version), now)
 
 
 def count_cell_outstanding(tables: Tables, key: Key, now: float) -> int:
-    """Return the same for one workspace and kind."""
+    """Return the number of outstanding ratings for one workspace, kind and version."""
     return _count_unexpired(tables.cell_outstanding.get(key), now)
 
 
 def take_increments(tables: Tables) -> tuple[Evidence, ...]:
     """Return the rows to send as ``RecordEvidence`` under the next sequence.
 
-    Until ``confirm_increments`` the same rows come back, so that a resend under
-    the same sequence carries the same content.
+    Until ``confirm_increments`` is called, the same rows are returned, so that a retry
+    with the same sequence has the same content.
     """
     if not tables.flushing:
         tables.flushing = tables.increments
@@ -162,14 +162,14 @@
 
 
 def confirm_increments(tables: Tables) -> None:
-    """Forget the rows last taken: the leader has recorded them."""
+    """Drop the rows being flushed: the leader has recorded them."""
     tables.flushing = {}
 
 
 def merge_sums(tables: Tables, rows: Iterable[Evidence], now: float) -> None:
-    """Take the leader's sums over all entries, and add what it can't know yet.
+    """Apply the leader's totals over all entries, plus the increments it lacks.
 
-    Call ``confirm_increments`` first where the sums may hold the rows last taken.
+    Call ``confirm_increments`` first if the totals may include the rows being flushed.
     """
     for row in rows:
         key = (row.workspace, row.kind, row.version)
--- a/src/waxwingwell/decisions/exploration.py
+++ b/src/waxwingwell/decisions/exploration.py
@@ -1,4 +1,4 @@
-"""Exploring: which unknown version is worth a request, under a budget."""
+"""Exploration of versions with few ratings, within a budget."""
 
 from __future__ import annotations
 
@@ -22,28 +22,31 @@
 REJECT_DEVIATIONS = 3.0
 """Standard errors below the target at which a version is no longer explored."""
 UNCERTAIN_REJECT_DEVIATIONS = 5.0
-"""The same for a version with few ratings, whose first ones may have been unlucky."""
+"""The same for a version whose few ratings may be poor by chance."""
 EXPLORE_PROBABILITY = 0.8
+"""Probability that a request may explore while the budget lasts."""
 EXPLORE_BASE = 300.0
-"""Answers for one workspace and kind that may always be explored."""
+"""Base exploration budget of a workspace and kind, in responses."""
 EXPLORE_SHARE = 0.05
-"""Share of later answers that may be explored, if exposure counted for nothing."""
+"""Additional budget as a share of responses, at an exposure weight of 0."""
 PROBE_SHARE = 0.015
-"""Share of answers that may probe versions which seem too poor."""
+"""Share of responses that may probe versions whose mean is below the target."""
 PROBE_MIN_SPARE_CREDIT = 0.5
-"""Spare credit, of 1 at its cap, that probing needs."""
+"""Spare credit that probing requires, where 1 is the cap."""
 PROBE_MAX_RATINGS = 60.0
+"""Number of ratings from which a version is no longer probed."""
 PROBE_DEVIATIONS = 6.0
+"""Standard errors below the target beyond which a version is no longer probed."""
 EXPLORE_MIN_CREDIT = -1.5
-"""Rating points of credit below which nothing is explored until the debt is paid."""
+"""Credit, in rating points, below which exploration is suspended."""
 EXPLORE_MAX_OUTSTANDING = 12
-"""Cap on explored answers whose rating is outstanding, since ratings lag."""
+"""Cap on explored responses with an outstanding rating, since ratings lag."""
 
 
 def get_exploration_limit(
     config: WorkspaceConfig, account: QualityAccount, entries: int
 ) -> float:
-    """Return how many answers of a workspace and kind may have been explored."""
+    """Return the exploration budget of a workspace and kind so far, in responses."""
     risk_tolerance = 1.0 - get_exposure_weight(config)
     base = EXPLORE_BASE * risk_tolerance / max(1, entries)
     return base + (EXPLORE_SHARE * risk_tolerance + PROBE_SHARE) * account.sent
@@ -52,7 +55,7 @@
 def find_option_to_explore(
     tables: Tables, context: ChoiceContext, primary: Option, now: float, draw: float
 ) -> Option | None:
-    """Return the version most worth exploring, when budget and draw allow."""
+    """Return the best version to explore, if the budget and ``draw`` allow it."""
     limit = get_exploration_limit(context.config, context.account, tables.entries)
     explored = context.account.explored + 1
     if draw >= EXPLORE_PROBABILITY or explored > limit:
@@ -86,10 +89,11 @@
 def _find_option_to_probe(
     tables: Tables, context: ChoiceContext, primary: Option, now: float
 ) -> Option | None:
-    """Return the least known cheaper version, also one that seems too poor.
+    """Return the cheaper version with the largest error, even if it seems too poor.
 
-    Failure: a good version's first ratings are unlucky, it is given up, and a dear
-    one serves everything for good. While credit is to spare it gets another chance.
+    A good version whose first ratings are poor by chance would be abandoned, and an
+    expensive one would serve all requests permanently. Spare credit pays for testing
+    it again.
     """
     found: Option | None = None
     for option in context.options:
@@ -112,10 +116,10 @@
 
 
 def _get_expected_improvement(context: ChoiceContext, option: Option) -> float:
-    """Return by how much a version is expected to exceed the target, if it does.
+    """Return the expected improvement of a version over the target.
 
-    This is the expected improvement (Jones, Schonlau and Welch, 1998): it is small
-    for what is known to miss the target and for what is known too well to surprise.
+    See Jones, Schonlau and Welch (1998). It is small for versions known to miss the
+    target and for versions whose mean is known precisely.
     """
     estimate = option.estimate
     distance = (estimate.mean - context.target) / estimate.error
@@ -135,6 +139,6 @@
 def _has_outstanding_capacity(
     tables: Tables, context: ChoiceContext, option: Option, now: float
 ) -> bool:
-    """Tell whether few enough explored answers wait for their rating."""
+    """Return whether the outstanding ratings of the option are below the cap."""
     key = (context.work.workspace, context.work.kind.name, option.version)
     return count_cell_outstanding(tables, key, now) < EXPLORE_MAX_OUTSTANDING
--- a/src/waxwingwell/decisions/holders.py
+++ b/src/waxwingwell/decisions/holders.py
@@ -1,4 +1,4 @@
-"""How many upstreams should hold each version, one stage of its roll-out ahead."""
+"""How many upstreams should hold each version, planned one roll-out stage ahead."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 
 MIN_HOLDERS = 2
-"""Holders of each version that takes work, so that one may fail."""
+"""Minimum number of holders of a version, so that one may fail."""
 
 
 @dataclass(frozen=True, slots=True)
 class HolderTarget:
-    """Holders that a version should have, and those it has or will have."""
+    """Wanted number of holders of a version, and the present and ordered ones."""
 
     version: VersionId
     wanted: int
@@ -35,7 +35,7 @@
 
 
 def list_live_engines(tables: Tables, now: float) -> list[UpstreamRow]:
-    """Return the model engines that may be given orders."""
+    """Return the live model engines, which may receive load orders."""
     return [
         row
         for row in tables.upstreams.values()
@@ -51,7 +51,7 @@
     pending: Collection[tuple[UpstreamId, VersionId]],
     rows: list[UpstreamRow],
 ) -> list[HolderTarget]:
-    """Return what each version of the catalogue that takes work should have."""
+    """Return the holder targets of the catalogue's versions that receive new work."""
     targets = []
     for version, spec in tables.versions.items():
         if spec.status in (VersionStatus.ENDING, VersionStatus.WITHDRAWN):
@@ -68,7 +68,7 @@
 
 
 def find_rollout(tables: Tables, version: VersionId) -> Rollout | None:
-    """Return the roll-out that brings the version in, if there is one."""
+    """Return the roll-out whose candidate is the version, or None."""
     for rollout in tables.rollouts.values():
         if rollout.candidate == version:
             return rollout
@@ -77,7 +77,7 @@
 
 
 def count_wanted(rollout: Rollout | None, rows: list[UpstreamRow]) -> int:
-    """Return the holders a version should have, one stage of its roll-out ahead."""
+    """Return the wanted number of holders, one stage of the roll-out ahead."""
     if rollout is None:
         return MIN_HOLDERS
 
@@ -98,14 +98,14 @@
 def count_holders_for_share(
     rollout: Rollout, rows: list[UpstreamRow], share: float
 ) -> int:
-    """Return the holders that a share of the incumbent's sessions needs."""
+    """Return the number of holders needed for a share of the incumbent's sessions."""
     serving = {rollout.incumbent, rollout.candidate}
     pool = sum(1 for row in rows if serving & set(row.announcement.versions))
     return max(ceil(share * pool), MIN_HOLDERS)
 
 
 def is_stage_loaded(tables: Tables, rollout: Rollout, stage: int, now: float) -> bool:
-    """Return whether enough upstreams report the candidate for a stage to begin."""
+    """Return whether enough upstreams report the candidate to start a stage."""
     rows = list_live_engines(tables, now)
     stages = rollout.pace.stages
     wanted = count_holders_for_share(rollout, rows, stages[min(stage, len(stages) - 1)])
@@ -113,5 +113,5 @@
 
 
 def count_holders(rows: list[UpstreamRow], version: VersionId) -> int:
-    """Return how many upstreams report the version."""
+    """Return the number of upstreams that report the version."""
     return sum(1 for row in rows if version in row.announcement.versions)
--- a/src/waxwingwell/decisions/load.py
+++ b/src/waxwingwell/decisions/load.py
@@ -1,10 +1,11 @@
-"""Estimate an upstream's load now from a report that lags.
-
-A report tells what stood at ``heard_at``. Own dispatches and finishes since then are
-exact; those of the other entries are inferred from this entry's share of the demand.
-Failure guarded against: with the same stale report at every entry, all would send to
-the upstream that looked idle, until the next report shows it flooded. Counting the
-own dispatches since the report, scaled, makes each entry turn away by itself.
+"""Estimate an upstream's current load from a stale report.
+
+A report describes the load at ``heard_at``. This entry's own dispatches and
+completions since then are known exactly; those of the other entries are inferred from
+this entry's share of the demand. With the same stale report at every entry, all would
+send to the upstream that looked idle until the next report shows it overloaded.
+Adding the own dispatches since the report, scaled, makes each entry shift its traffic
+without coordination.
 """
 
 from __future__ import annotations
@@ -24,12 +25,15 @@
 DEFAULT_TOKENS_PER_SECOND = 50.0
 DEFAULT_PREFILL_PER_SECOND = 8000.0
 DEFAULT_SERVICE_SECONDS = 0.05
-"""Time of one call of a plain service where nothing was reported."""
+"""Seconds that a call of a plain service takes if nothing was reported."""
 OTHER_ENTRIES_WEIGHT = 0.25
-"""Trust in others doing as this entry did since the report; see the design note."""
+"""Weight of the assumption that the other entries dispatched like this one.
+
+See the design note.
+"""
 MAX_SCALE = 16.0
 MAX_KEPT_TIMES = 512
-"""Dispatch and finish times kept for one upstream."""
+"""Maximum number of dispatch or completion times kept for one upstream."""
 
 BOUNDS = {
     Priority.ORDER: 1.25,
@@ -37,12 +41,14 @@
     Priority.TAG: 0.95,
     Priority.REPORT: 0.85,
 }
-"""Load an upstream may carry, as a share of its capacity, once work of a priority is
-added. The steps keep room for the next higher priority at any time."""
+"""Maximum load of an upstream, as a share of its capacity, including new work.
+
+The steps between the priorities reserve capacity for the next higher one.
+"""
 
 
 def estimate_scale(tables: Tables) -> float:
-    """Return the demand of all entries over the demand at this one, at least 1."""
+    """Return the ratio of all entries' demand to this entry's demand, at least 1."""
     own_rate = 0.0
     other_rate = 0.0
     for demand in tables.demand.values():
@@ -56,7 +62,7 @@
 
 
 def estimate_outstanding(row: UpstreamRow, scale: float) -> float:
-    """Return the requests that the upstream holds now, running and queued."""
+    """Return the estimated number of requests running or queued at the upstream."""
     report = row.announcement.load
     if report is None:
         return (row.in_flight + row.claimed) * scale
@@ -69,7 +75,7 @@
 
 
 def count_since(times: list[float], since: float) -> int:
-    """Return how many of the times, oldest first, are later than ``since``."""
+    """Return how many of the ascending ``times`` are later than ``since``."""
     if not times or times[0] > since:
         return len(times)
 
@@ -77,14 +83,14 @@
 
 
 def get_outstanding_limit(row: UpstreamRow, share: float) -> float:
-    """Return how many requests may be there, for a bound out of ``BOUNDS``."""
+    """Return the maximum number of outstanding requests, for a share of ``BOUNDS``."""
     return max(row.announcement.capacity * share, 1.0)
 
 
 def estimate_wait(
     row: UpstreamRow, work: Work, outstanding: float, now: float
 ) -> float:
-    """Return the seconds before the upstream begins with the work's own prompt."""
+    """Return the expected seconds before the upstream starts the work's prefill."""
     capacity = row.announcement.capacity
     wait = 0.0
     excess = outstanding + 1.0 - capacity
@@ -98,7 +104,7 @@
 
 
 def estimate_service_time(row: UpstreamRow, work: Work) -> float:
-    """Return the seconds for which the work holds its place at the upstream."""
+    """Return the expected seconds for which the work occupies a slot."""
     if work.service:
         return DEFAULT_SERVICE_SECONDS
 
@@ -108,7 +114,7 @@
 
 
 def estimate_prefill_backlog(row: UpstreamRow, now: float) -> float:
-    """Return the seconds of prompt reading that stand before a new prompt."""
+    """Return the expected seconds of prefill queued ahead of a new prompt."""
     own = max(row.prefill_until - now, 0.0)
     report = row.announcement.load
     if report is None:
@@ -120,14 +126,14 @@
 
 
 def get_prefill_rate(row: UpstreamRow) -> float:
-    """Return the prompt tokens a second that the upstream reads."""
+    """Return the upstream's prefill rate in tokens per second."""
     report = row.announcement.load
     rate = report.prefill_per_second if report else 0.0
     return rate or DEFAULT_PREFILL_PER_SECOND
 
 
 def trim_times(times: list[float], since: float) -> None:
-    """Drop the times up to ``since`` in place, and the oldest beyond the cap."""
+    """Remove in place the times up to ``since`` and the oldest beyond the maximum."""
     cut = max(bisect_right(times, since), len(times) - MAX_KEPT_TIMES)
     if cut > 0:
         del times[:cut]
--- a/src/waxwingwell/decisions/loading.py
+++ b/src/waxwingwell/decisions/loading.py
@@ -1,10 +1,10 @@
 """Decide which upstreams should hold which versions, ahead of a roll-out's stages.
 
-The result is desired state: an order names every version that an upstream should
-hold and is repeated until the upstream reports it. Only reported versions are ever
-routed to. Failure guarded against: a stage that begins before its weights are there
-sends its sessions to the few holders, and a whole fleet loading at once takes the
-weight store's rate from the load that is needed first.
+The result is desired state: an order lists every version that an upstream should hold
+and is repeated until the upstream reports them. Requests are routed only to reported
+versions. A stage that started before its weights are loaded would send its sessions
+to the few holders, and if a whole fleet loaded at once, the most urgent load would
+have to share the weight store's rate with all others.
 """
 
 from __future__ import annotations
@@ -28,15 +28,15 @@
 
 
 MAX_VERSIONS = 4
-"""Versions that one upstream is asked to hold at once."""
+"""Maximum number of versions that one upstream is ordered to hold."""
 LOAD_TIMEOUT = 300.0
-"""Seconds after which an ordered load that was not reported is given up."""
+"""Seconds after which an ordered load that has not been reported is abandoned."""
 MINUTE_SECONDS = 60.0
 
 
 @dataclass(frozen=True, slots=True)
 class WeightStore:
-    """What the weight store bears, as the operators know it."""
+    """Limits of the weight store, as configured by the operators."""
 
     loads_per_minute: float = 6.0
     max_concurrent: int = 2
@@ -44,33 +44,33 @@
 
 @dataclass(slots=True)
 class Loading:
-    """Loads that were ordered; kept by whoever leads, empty for a new leader."""
+    """State of the ordered loads; kept by the leader, empty for a new one."""
 
     ordered: dict[tuple[UpstreamId, VersionId], float] = field(default_factory=dict)
-    """When each load that is not reported yet was first ordered."""
+    """Time of the first order of each load that is not reported yet."""
     starts: list[float] = field(default_factory=list)
-    """Times of the orders of the last minute, oldest first."""
+    """Start times of the loads of the last minute, oldest first."""
     timed_out: dict[tuple[UpstreamId, VersionId], float] = field(default_factory=dict)
-    """When a load timed out; it is tried elsewhere, and here only after a while."""
+    """Time of each timeout; for a while the load is attempted only elsewhere."""
 
 
 @dataclass(frozen=True, slots=True)
 class LoadOrder:
-    """All versions that one upstream should hold."""
+    """The complete list of versions that one upstream should hold."""
 
     upstream: UpstreamId
     versions: tuple[VersionId, ...]
     fencing: int = 0
-    """Filled in by the leader that sends it."""
+    """Fencing token, set by the leader that sends the order."""
 
 
 def plan_loads(
     tables: Tables, loading: Loading, store: WeightStore, now: float
 ) -> list[LoadOrder]:
-    """Return an order for each upstream that does not hold what it should.
+    """Return an order for each upstream whose versions differ from the desired ones.
 
-    Run it each tick; it starts new loads within the store's rate and repeats the
-    orders that are not fulfilled yet.
+    Call it on each tick; it starts new loads within the store's limits and repeats
+    the orders that are not fulfilled yet.
     """
     rows = list_live_engines(tables, now)
     prune_loads(loading, rows, now)
@@ -90,7 +90,7 @@
 
 
 def prune_loads(loading: Loading, rows: list[UpstreamRow], now: float) -> None:
-    """Forget the loads that are reported or whose upstream is gone; time out others."""
+    """Drop loads that are reported or whose upstream is gone; time out late ones."""
     held = {row.announcement.upstream: row.announcement.versions for row in rows}
     for load_key, ordered_at in list(loading.ordered.items()):
         upstream, version = load_key
@@ -106,7 +106,7 @@
 
 
 def can_start_load(loading: Loading, store: WeightStore, now: float) -> bool:
-    """Return whether the weight store bears one more load now."""
+    """Return whether the weight store's limits allow one more load now."""
     del loading.starts[: bisect_right(loading.starts, now - MINUTE_SECONDS)]
     if len(loading.ordered) >= store.max_concurrent:
         return False
@@ -117,7 +117,7 @@
 def find_largest_shortfall(
     tables: Tables, loading: Loading, rows: list[UpstreamRow]
 ) -> HolderTarget | None:
-    """Return the version that lacks the greatest share of its holders, if any does."""
+    """Return the target that lacks the largest share of its holders, or None."""
     targets = [
         target
         for target in list_holder_targets(tables, loading.ordered, rows)
@@ -134,19 +134,20 @@
 def pick_holder(
     loading: Loading, rows: list[UpstreamRow], version: VersionId
 ) -> UpstreamRow | None:
-    """Return the upstream that should load the version next, if any may.
+    """Return the upstream that should load the version next, or None.
 
-    Data centres without a holder go first, then the upstream that holds least. One
-    load at a time for each upstream, since loading slows its answers.
+    The data centre with the fewest holders goes first, then the upstream with the
+    fewest versions. Each upstream loads one version at a time, since loading slows
+    its responses.
     """
     busy = {upstream for upstream, _ in loading.ordered}
     holders_by_data_centre: dict[str, int] = {}
     for row in rows:
         name = row.announcement.upstream
         if version in row.announcement.versions or (name, version) in loading.ordered:
-            data_centre = row.announcement.data_centre
-            holders_by_data_centre[data_centre] = (
-                holders_by_data_centre.get(data_centre, 0) + 1
+            location = row.announcement.data_centre
+            holders_by_data_centre[location] = (
+                holders_by_data_centre.get(location, 0) + 1
             )
 
     candidates = [
@@ -171,7 +172,7 @@
 def make_orders(
     tables: Tables, loading: Loading, rows: list[UpstreamRow]
 ) -> list[LoadOrder]:
-    """Return the orders whose desired state differs from the reported one."""
+    """Return the orders for upstreams whose desired and reported versions differ."""
     orders = []
     for row in rows:
         announcement = row.announcement
@@ -195,8 +196,8 @@
 def should_unload(tables: Tables, version: VersionId) -> bool:
     """Return whether no upstream should hold the version any more.
 
-    A version that ends gracefully stays for its sessions; one that the catalogue does
-    not know is left alone, for the catalogue at hand may be older than the upstream.
+    A version that ends gracefully stays loaded for its sessions. One missing from the
+    catalogue stays too, since this copy may be older than the upstream's state.
     """
     spec = tables.versions.get(version)
     return spec is not None and spec.status is VersionStatus.WITHDRAWN
--- a/src/waxwingwell/decisions/offers.py
+++ b/src/waxwingwell/decisions/offers.py
@@ -1,4 +1,4 @@
-"""Which new sessions a roll-out's candidate gets."""
+"""Assignment of new sessions to a roll-out's candidate."""
 
 from __future__ import annotations
 
@@ -23,6 +23,7 @@
 
 
 HASH_RANGE = float(1 << 64)
+"""Number of values of the 64-bit hash."""
 
 
 def is_candidate_open(
@@ -32,11 +33,11 @@
     rollout: Rollout,
     now: float,
 ) -> bool:
-    """Tell whether new work goes to the candidate in its incumbent's place.
+    """Return whether new work goes to the candidate instead of the incumbent.
 
-    Failure: ratings lag, and a bad candidate serves hundreds of answers before its
-    first rating. The cap on unrated answers holds it back; each entry keeps to its
-    own part of the cap, so that no agreement between entries is needed.
+    Ratings lag, so a bad candidate would serve hundreds of responses before its first
+    rating. The cap on unrated responses prevents that; each entry enforces its own
+    part of the cap, so that the entries need no coordination.
     """
     candidate = tables.versions.get(rollout.candidate)
     if candidate is None or rollout.candidate not in config.allowed:
@@ -45,7 +46,7 @@
     if get_effective_status(tables, candidate) is not VersionStatus.CANDIDATE:
         return False
 
-    # Its sessions would be pinned to a version that no engine has loaded yet.
+    # Otherwise sessions would be pinned to a version that no engine has loaded.
     if not is_loaded(tables, rollout.candidate):
         return False
 
@@ -60,8 +61,8 @@
 def get_candidate_share(rollout: Rollout, config: WorkspaceConfig) -> float:
     """Return the share of a workspace's new sessions that the candidate gets.
 
-    The roll-out's and the workspace's own pace both bound it; a workspace that
-    weighs exposure above the other measures moves more slowly.
+    It is limited by the pace of both the roll-out and the workspace; a workspace that
+    weights exposure above the other criteria advances more slowly.
     """
     if rollout.status is not RolloutStatus.RUNNING:
         return 0.0
@@ -73,10 +74,11 @@
 
 
 def get_session_position(rollout: Rollout, work: Work) -> float:
-    """Return the stable place of a session in a roll-out, 0 to under 1.
+    """Return the stable position of a session in a roll-out, in [0, 1).
 
-    The place is the same at every entry and at every stage, so that each stage's
-    sessions hold those of the stage before. Work without a session places itself.
+    The position is the same at every entry and every stage, so that each stage's
+    sessions include those of the stage before. Work without a session is hashed by
+    its request.
     """
     key = work.session or work.request
     return _hash_to_fraction(f"{rollout.candidate}|{work.workspace}|{key}")
@@ -88,6 +90,7 @@
 
 
 def _stage_share(stages: tuple[float, ...], stage: int) -> float:
+    """Return the share of sessions at a stage; past the last stage, the last share."""
     if not stages or stage < 0:
         return 0.0
 
--- a/src/waxwingwell/decisions/options.py
+++ b/src/waxwingwell/decisions/options.py
@@ -1,4 +1,4 @@
-"""What is known of each open version for the request at hand."""
+"""The eligible versions of a request, with their cost and estimated quality."""
 
 from __future__ import annotations
 
@@ -21,17 +21,18 @@
 
 
 MIN_RATINGS = 8.0
-"""Own ratings below which a version is unknown, whatever its prior says."""
+"""Number of own ratings below which a version is unknown, whatever its prior."""
 SINGLE_TARGET_SLACK = 0.01
-"""How far below the target a version may be when credit is at its cap."""
+"""Rating points by which the target is lowered when credit is at its cap."""
 TARGET_RAISE_PER_DEBT = 0.01
-"""Rise of the target for each rating point of debt."""
+"""Increase of the target per rating point of debt."""
 MAX_TARGET_RAISE = 0.05
+"""Maximum increase of the target, in rating points."""
 
 
 @dataclass(frozen=True, slots=True)
 class Option:
-    """An open version with what is known of it for the request at hand."""
+    """An eligible version with its expected cost and quality for the request."""
 
     version: VersionId
     cost: float
@@ -40,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChoiceContext:
-    """What all steps of one choice need."""
+    """Data shared by all steps of one version choice."""
 
     config: WorkspaceConfig
     work: Work
@@ -48,7 +49,7 @@
     account: QualityAccount
     target: float
     caution: float
-    """Standard errors by which a mean must exceed the target."""
+    """Standard errors by which a version's mean must exceed the target."""
 
 
 def build_context(
@@ -57,7 +58,7 @@
     work: Work,
     eligible: tuple[VersionSpec, ...],
 ) -> ChoiceContext:
-    """Return the open versions, cheapest first, with target and caution."""
+    """Return the context with the eligible versions, cheapest first."""
     options = [
         Option(
             spec.version,
@@ -83,12 +84,12 @@
 
 
 def get_cost(spec: VersionSpec, work: Work) -> float:
-    """Return the expected price of an answer, in micro-units."""
+    """Return the expected price of the request, in micro-units."""
     return spec.price_in * work.prompt_tokens + spec.price_out * work.answer_tokens
 
 
 def is_confident(context: ChoiceContext, option: Option) -> bool:
-    """Tell whether a version meets the target with the caution asked for."""
+    """Return whether a version meets the target with the required confidence."""
     estimate = option.estimate
     if estimate.rated < MIN_RATINGS:
         return False
@@ -98,10 +99,10 @@
 
 
 def find_primary(context: ChoiceContext) -> Option:
-    """Return the cheapest confident option, or else the most promising one.
+    """Return the cheapest confident option, or else the one with the best upper bound.
 
-    Failure: the best version known misses the target, and a better but unknown one
-    never gets a request because caution counts against it. Its chances count here.
+    If all known versions miss the target, a better unknown one would never get a
+    request with a lower bound, since its large error would count against it.
     """
     for option in context.options:
         if is_confident(context, option):
@@ -113,7 +114,7 @@
 
 
 def find_safest(context: ChoiceContext) -> Option:
-    """Return the cheapest confident option, or else the one least likely to be bad."""
+    """Return the cheapest confident option, or else the best by lower bound."""
     for option in context.options:
         if is_confident(context, option):
             return option
@@ -127,10 +128,10 @@
 
 
 def get_spare_credit(context: ChoiceContext) -> float:
-    """Return how much credit there is to spare, 0 to 1 at the cap.
+    """Return the spare credit, from 0 to 1 at the cap.
 
-    Failure: versions on the target's edge stay unsure, a dear one far above it
-    serves everything, and quality is paid for that nobody asked for. With credit to
-    spare the aim is trimmed; credit falls when that was too much, and ends it.
+    Versions close to the target stay uncertain, so an expensive one far above it would
+    serve all requests and exceed the requested quality. Spare credit lowers the
+    target; if that lowers it too far, the credit falls and the target recovers.
     """
     return max(0.0, 2.0 * context.account.credit / CREDIT_CAP - 1.0)
--- a/src/waxwingwell/decisions/prefixes.py
+++ b/src/waxwingwell/decisions/prefixes.py
@@ -1,9 +1,9 @@
-"""Guess how much of a prompt an upstream still has in its prefix cache.
+"""Estimate how much of a prompt is in an upstream's prefix cache.
 
-Cache events come late and with gaps, so a hit is a probability: it starts below one
-and decays with the time since the prefix was last sent or reported there. What the
-other entries sent is unknown here; they agree without messages on a session's home
-by rendezvous hashing, so the home has a probability of its own.
+Cache events arrive late and with gaps, so a hit is a probability: it starts below one
+and decays with the time since the prefix was last sent to or reported by the upstream.
+The requests of other entries are unknown here; all entries agree on a session's home
+upstream by rendezvous hashing, without messages, so the home has its own probability.
 """
 
 from __future__ import annotations
@@ -23,23 +23,23 @@
 
 
 INITIAL_HIT_PROBABILITY = 0.95
-"""Chance that a prefix just sent is found again."""
+"""Probability that a prefix sent just now is still cached."""
 HIT_DECAY_SECONDS = 240.0
-"""Seconds in which that chance falls to 1/e."""
+"""Seconds in which the hit probability falls to 1/e."""
 HOME_HIT_PROBABILITY = 0.6
-"""Chance that another entry has sent the prefix to the session's home."""
+"""Probability that another entry has sent the prefix to the session's home."""
 NEGLIGIBLE_MISS = 0.06
-"""Chance of a miss below which shorter prefixes are not looked at."""
+"""Probability of a miss below which shorter prefixes are ignored."""
 MAX_KEPT_PREFIXES = 4096
-"""Prefixes remembered for one upstream; the oldest are dropped."""
+"""Maximum number of prefixes kept per upstream; the oldest are dropped."""
 MAX_INDEXED_PREFIXES = 20_000
-"""Prefixes whose upstreams are remembered."""
+"""Maximum number of prefixes in the index of recent upstreams."""
 
 
 def estimate_cached(
     row: UpstreamRow, work: Work, *, is_home: bool, now: float
 ) -> float:
-    """Return the prompt tokens that the upstream is expected not to read again."""
+    """Return the expected number of prompt tokens that need no prefill."""
     known = row.prefixes
     if not is_home and known.keys().isdisjoint(work.prefixes):
         return 0.0
@@ -66,9 +66,9 @@
 
 
 def find_home(work: Work, upstreams: Iterable[UpstreamId]) -> UpstreamId | None:
-    """Return the upstream on which all entries agree for the work's session.
+    """Return the home upstream of the work's session, the same at every entry.
 
-    Work without a session has none: its longest prefix is another on each turn.
+    Work without a session has none: its longest prefix changes with each turn.
     """
     if not work.session or not work.prefixes:
         return None
@@ -87,7 +87,7 @@
 def remember_prefixes(
     tables: Tables, upstream: UpstreamId, digests: Iterable[str], now: float
 ) -> None:
-    """Note that prompts with these prefixes are at the upstream from ``now`` on."""
+    """Record that the upstream received prompts with these prefixes at ``now``."""
     row = tables.upstreams.get(upstream)
     if row is None:
         return
@@ -104,7 +104,7 @@
 
 
 def note_evicted(tables: Tables, upstream: UpstreamId, digests: Iterable[str]) -> None:
-    """Take a cache event: the upstream no longer holds these prefixes."""
+    """Apply a cache event: the upstream has evicted these prefixes."""
     row = tables.upstreams.get(upstream)
     if row is None:
         return
@@ -117,6 +117,6 @@
 def drop_oldest(
     table: dict[str, float] | dict[str, dict[UpstreamId, float]], cap: int
 ) -> None:
-    """Drop the entries written longest ago until at most ``cap`` are left."""
+    """Drop the least recently written entries until at most ``cap`` remain."""
     while len(table) > cap:
         del table[next(iter(table))]
--- a/src/waxwingwell/decisions/quality.py
+++ b/src/waxwingwell/decisions/quality.py
@@ -1,4 +1,4 @@
-"""Estimates of a version's quality for one workspace and kind of work."""
+"""Estimates of a version's quality by workspace and kind of work."""
 
 from __future__ import annotations
 
@@ -13,21 +13,23 @@
 
 
 PRIOR_WEIGHT = 1.0
-"""Ratings that ``VersionSpec.quality_prior`` is worth."""
+"""Weight of ``VersionSpec.quality_prior``, in ratings."""
 POOL_WEIGHT = 2.0
-"""Most ratings that the workspace's other kinds together are worth."""
+"""Maximum weight of the workspace's other kinds together, in ratings."""
 PRIOR_VARIANCE = 0.04
-"""Variance of a single rating before any was seen."""
+"""Prior variance of a single rating."""
 VARIANCE_WEIGHT = 8.0
+"""Weight of ``PRIOR_VARIANCE``, in ratings."""
 ESCALATED_LOSS = 0.05
-"""Loss of a version on escalated requests, which are the hard ones, before any."""
+"""Prior loss of quality on escalated requests, which are the hard ones."""
 ESCALATED_WEIGHT = 4.0
+"""Weight of the prior for escalated requests, in ratings."""
 ESCALATED_SUFFIX = "+escalated"
 
 
 @dataclass(frozen=True, slots=True)
 class Estimate:
-    """Mean rating of a version, with its standard error and a rating's deviation."""
+    """Mean rating of a version, its standard error and the ratings' deviation."""
 
     mean: float
     error: float
@@ -40,8 +42,8 @@
 ) -> Estimate:
     """Estimate quality from own ratings, other kinds' ratings and the prior.
 
-    The other kinds and the prior weigh as a few ratings do, so that they count
-    where ratings are sparse and vanish where there are many.
+    The other kinds and the prior have the weight of a few ratings, so that they matter
+    where ratings are sparse and are negligible where there are many.
     """
     spec = tables.versions[version]
     weight = PRIOR_WEIGHT
@@ -72,10 +74,10 @@
 
 
 def get_escalated_kind(kind: str) -> str:
-    """Return the kind under which escalated answers are rated.
+    """Return the name of the kind under which escalated responses are rated.
 
-    Failure: escalated requests are the hard ones, so their ratings would make a
-    strong version look worse for all requests than it is. They are kept apart.
+    Escalated requests are the hard ones. Counted with the others, their ratings would
+    underestimate a strong version's quality over all requests.
     """
     return kind + ESCALATED_SUFFIX
 
@@ -87,7 +89,7 @@
     version: VersionId,
     overall: Estimate,
 ) -> Estimate:
-    """Estimate the quality of ``version`` on escalated requests alone."""
+    """Estimate the quality of ``version`` on escalated requests only."""
     own = tables.rating_stats.get((workspace, get_escalated_kind(kind), version))
     rated = own.rated if own else 0.0
     total = own.total if own else 0.0
@@ -99,6 +101,7 @@
 def _pool_other_kinds(
     tables: Tables, workspace: WorkspaceId, kind: str, version: VersionId
 ) -> tuple[float, float]:
+    """Return the number and the total of the ratings of the workspace's other kinds."""
     config = tables.workspaces.get(workspace)
     if config is None:
         return 0.0, 0.0
--- a/src/waxwingwell/decisions/queue.py
+++ b/src/waxwingwell/decisions/queue.py
@@ -1,8 +1,8 @@
-"""The waiting queue of an entry: a table, and systems that run over it.
+"""The waiting queue of an entry, and the functions that operate on it.
 
-Higher priorities go first, and among equals the workspace that holds least. The
-queue is bounded by the wait it implies, not by a count: places in it mean nothing
-to a caller, seconds do.
+Higher priorities go first, and within a priority the workspace with the fewest
+requests in flight. The queue is bounded by the expected wait, not by its length,
+since a caller notices only the time.
 """
 
 from __future__ import annotations
@@ -32,25 +32,25 @@
 
 
 SHED_MARGIN = 2.0
-"""Finishes may come this much faster than of late before work is shed early."""
+"""Factor on the recent completion rate, so that work is not shed too early."""
 
 
 @dataclass(frozen=True, slots=True)
 class Dequeued:
-    """A waiting request that has left the queue, and what becomes of it."""
+    """A request that has left the waiting queue, and its outcome."""
 
     waiting: Waiting
     result: UpstreamChoice | Refusal
-    """Where to dispatch it now, or its final refusal."""
+    """The upstream to dispatch it to now, or its final refusal."""
 
 
 def place_work(
     tables: Tables, work: Work, version: VersionId, *, now: float, draw: float
 ) -> UpstreamChoice | Refusal | Waiting:
-    """Place admitted work: at an upstream now, in the queue, or refuse it.
+    """Choose an upstream for admitted work, or enqueue or refuse it.
 
-    Work never passes those that wait already; call ``take_next`` after it. A chosen
-    place stays claimed until ``note_dispatch`` or ``release``.
+    New work never overtakes requests that already wait; call ``take_next`` afterwards.
+    The slot at a chosen upstream stays reserved until ``note_dispatch`` or ``release``.
     """
     if tables.waiting:
         return enqueue(tables, work, version, now)
@@ -66,7 +66,7 @@
 
 
 def enqueue(tables: Tables, work: Work, version: VersionId, now: float) -> Waiting:
-    """Let an admitted request wait; it leaves by ``take_next`` or ``shed_expired``."""
+    """Enqueue an admitted request; ``take_next`` or ``shed_expired`` removes it."""
     config = tables.workspaces.get(work.workspace)
     expires_at = now + (config.limits.max_wait if config else 0.0)
     if work.deadline:
@@ -79,15 +79,15 @@
 
 
 def remove_waiting(tables: Tables, request: str) -> Waiting | None:
-    """Take out a request whose caller has gone; None if it had left already."""
+    """Remove and return a cancelled request; None if it is no longer queued."""
     return tables.waiting.pop(request, None)
 
 
 def take_next(tables: Tables, now: float, draw: float) -> Dequeued | None:
-    """Take the next request that has room somewhere; None if none has.
+    """Dequeue the next request for which an upstream has capacity; None if none.
 
-    Run it each tick and after each finish until it gives None. Whatever changed
-    while the request waited (a withdrawal, say) must be checked after it.
+    Call it on each tick and after each completion until it returns None. The caller
+    must check what may have changed during the wait, such as a withdrawal.
     """
     over_share = find_over_share(tables)
     saturated: dict[tuple[str, tuple[str, ...]], int] = {}
@@ -115,7 +115,7 @@
 
 
 def list_allowed(tables: Tables, work: Work) -> tuple[str, ...]:
-    """Return the data centres where the work may run; empty allows all."""
+    """Return the data centres where the work may run; if empty, all are allowed."""
     config = tables.workspaces.get(work.workspace)
     return config.data_centres if config else ()
 
@@ -123,7 +123,7 @@
 def sort_waiting(
     tables: Tables, over_share: set[tuple[WorkspaceId, Priority]]
 ) -> list[Waiting]:
-    """Return the waiting requests in the order in which they are served."""
+    """Return the waiting requests in the order of service."""
     held = {name: demand.in_flight for name, demand in tables.demand.items()}
 
     def order(waiting: Waiting) -> tuple[bool, int, int, int]:
@@ -139,9 +139,9 @@
 
 
 def shed_expired(tables: Tables, now: float) -> list[Dequeued]:
-    """Take out those whose time is over or whose turn would come too late.
+    """Dequeue the requests that have expired or can't be served in time.
 
-    Higher priorities that arrived later push waiting work back. What can no longer be
+    Later arrivals of higher priority delay waiting work. Work that can no longer be
     served in time is refused at once rather than at the end of its wait.
     """
     rate = estimate_finish_rate(tables, now) * SHED_MARGIN
@@ -161,7 +161,7 @@
 
 
 def refuse_expired(waiting: Waiting, now: float) -> Refusal:
-    """Return the refusal of a request that waited in vain."""
+    """Return the refusal of a request that was not served in time."""
     waited = max(now - waiting.arrived_at, 0.0)
     return Refusal(
         "overloaded", "no upstream had room in time", 503, min(max(waited, 1.0), 30.0)
--- a/src/waxwingwell/decisions/retries.py
+++ b/src/waxwingwell/decisions/retries.py
@@ -1,7 +1,7 @@
-"""Retries: what may be retried, and how much of it.
+"""Retries: which requests may be retried, and the retry budget.
 
-The budget is a share of recent requests, not a count for each one: when everything
-fails, retries stay at that share instead of multiplying the load by their count.
+The budget is a share of recent requests, not a number of retries per request: when
+all requests fail, retries add only that share to the load instead of multiplying it.
 """
 
 from __future__ import annotations
@@ -13,29 +13,29 @@
 
 
 RETRY_SHARE = 0.1
-"""Retries allowed for each recent request."""
+"""Retries allowed per recent request."""
 RETRY_FLOOR = 3.0
-"""Retries allowed in a window even without requests, for entries with few callers."""
+"""Retries always allowed within the window, for entries with few requests."""
 RETRY_WINDOW = 10.0
-"""Seconds over which requests and retries count as recent."""
+"""Time constant in seconds with which recent requests and retries decay."""
 
 
 class DispatchState(StrEnum):
-    """How far an attempt came before it failed."""
+    """The progress of an attempt before it failed."""
 
     NOT_SENT = "not_sent"
-    """No byte of it left: the connection could not be made."""
+    """No byte was sent: the connection could not be established."""
     REFUSED = "refused"
-    """The upstream said that it did not run it."""
+    """The upstream reported that it did not run the request."""
     SENT = "sent"
-    """It may have run: no answer came."""
+    """The request may have run: no response arrived."""
     RESPONDING = "answering"
-    """The caller has had a part of the answer."""
+    """The caller has received a part of the response."""
 
 
 @dataclass(slots=True)
 class RetryBudget:
-    """Requests and retries of late, both decaying over the window."""
+    """Recent requests and retries, both decaying exponentially."""
 
     requests: float = 0.0
     retries: float = 0.0
@@ -43,13 +43,13 @@
 
 
 def note_request(budget: RetryBudget, now: float) -> None:
-    """Count a first attempt."""
+    """Record the first attempt of a request."""
     decay_budget(budget, now)
     budget.requests += 1.0
 
 
 def may_retry(budget: RetryBudget, now: float) -> bool:
-    """Return whether one more retry is within the budget, and take it if so."""
+    """Return whether the budget allows one more retry, and count it if so."""
     decay_budget(budget, now)
     if budget.retries + 1.0 > RETRY_FLOOR + RETRY_SHARE * budget.requests:
         return False
@@ -59,7 +59,7 @@
 
 
 def decay_budget(budget: RetryBudget, now: float) -> None:
-    """Let both counts decay up to ``now``; time that steps back changes nothing."""
+    """Decay both counts to ``now``; a clock that steps back changes nothing."""
     at = budget.updated_at
     budget.requests = decay_rate(budget.requests, at, RETRY_WINDOW, now)
     budget.retries = decay_rate(budget.retries, at, RETRY_WINDOW, now)
@@ -67,10 +67,10 @@
 
 
 def is_retry_safe(repeatable: bool, dispatch_state: DispatchState) -> bool:
-    """Return whether a retry can neither run work twice nor garble an answer.
+    """Return whether a retry can neither run work twice nor corrupt a response.
 
-    What provably did not run may always be retried. What may have run may be retried
-    only if it is idempotent and the caller has seen nothing of the answer yet.
+    A request that provably did not run may always be retried. One that may have run
+    may be retried only if it is idempotent and no part of the response has been sent.
     """
     if dispatch_state in (DispatchState.NOT_SENT, DispatchState.REFUSED):
         return True
--- a/src/waxwingwell/decisions/rollouts.py
+++ b/src/waxwingwell/decisions/rollouts.py
@@ -1,7 +1,7 @@
 """Roll-outs: when a candidate advances, completes or is rolled back.
 
-The judgement needs the durable roll-out record and the summed evidence alone, so a
-new leader goes on where the old one stopped. Design: docs/design/rollouts.md.
+The evaluation depends only on the durable roll-out record and the total evidence, so
+a new leader continues where the old one stopped. Design: docs/design/rollouts.md.
 """
 
 from __future__ import annotations
@@ -30,15 +30,15 @@
     from .comparisons import Cell
 
 MIN_RATINGS = 20
-"""Ratings of a candidate before its first advance."""
+"""Minimum number of ratings of a candidate before its first advance."""
 MIN_STAGE_RATINGS = 10
-"""Ratings of a candidate at each later stage."""
+"""Minimum number of ratings of a candidate in each stage."""
 ADVANCE_DEVIATIONS = 1.64
-"""Standard errors by which a loss must be ruled out before an advance."""
+"""Standard errors added to the loss before it is compared with the tolerance."""
 
 
 class RolloutAction(StrEnum):
-    """What to do with a roll-out."""
+    """Action to take on a roll-out."""
 
     STAY = "stay"
     ADVANCE = "advance"
@@ -48,13 +48,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutEvaluation:
-    """A judgement, with the figures that it rests on."""
+    """The action for a roll-out, and the figures behind it."""
 
     action: RolloutAction
     reason: str
     rated: int = 0
     loss: float = 0.0
-    """Incumbent's mean rating minus the candidate's, like work against like."""
+    """Incumbent's mean rating minus the candidate's, compared cell by cell."""
     error: float = 0.0
     log_wealth: float = 0.0
     """Log evidence that the candidate is worse."""
@@ -76,7 +76,7 @@
     incumbent: Iterable[Evidence],
     now: float,
 ) -> RolloutEvaluation:
-    """Judge a roll-out from the evidence of both versions, summed over entries."""
+    """Evaluate a roll-out from both versions' evidence, totalled over all entries."""
     if rollout.status not in (RolloutStatus.RUNNING, RolloutStatus.PAUSED):
         return RolloutEvaluation(RolloutAction.STAY, "the roll-out has ended")
 
@@ -109,7 +109,7 @@
     evidence: Iterable[Evidence],
     now: float,
 ) -> tuple[RolloutStep, ...]:
-    """Judge every roll-out and return the changes that the leader should propose.
+    """Evaluate every roll-out and return the changes for the leader to propose.
 
     ``now`` is the leader's wall clock, as ``Rollout.stage_at`` is.
     """
@@ -133,10 +133,10 @@
 
 
 def take_base(rollout: Rollout, evidence: Iterable[Evidence]) -> tuple[Evidence, ...]:
-    """Return the rows to keep as ``Rollout.base`` when a stage begins.
+    """Return the rows to store as ``Rollout.base`` at the start of a stage.
 
-    Failure: a version turns bad at a late stage and its earlier good ratings hide
-    it. The test also runs on what came since the base, where nothing hides it.
+    If a version regresses at a late stage, its earlier good ratings hide that in the
+    totals. So the test also runs on the ratings since the base alone.
     """
     versions = (rollout.candidate, rollout.incumbent)
     return tuple(row for row in evidence if row.version in versions)
@@ -161,7 +161,7 @@
 def _describe_missing_evidence(
     rollout: Rollout, comparison: Comparison, stage_sums: dict[Cell, RatingSums]
 ) -> str:
-    """Return what an advance still waits for, or nothing."""
+    """Return which evidence is missing for an advance, or an empty string."""
     if comparison.rated < MIN_RATINGS:
         return f"waits for {MIN_RATINGS - comparison.rated} more ratings"
 
@@ -180,7 +180,7 @@
 def _get_tolerance(rollout: Rollout) -> float:
     """Return the loss that must be ruled out before the next stage.
 
-    It shrinks with the share at stake: little traffic may go on less knowledge.
+    It decreases with the share of the next stage: a small share needs less certainty.
     """
     stages = rollout.pace.stages
     share = stages[min(rollout.stage + 1, len(stages) - 1)]
--- a/src/waxwingwell/decisions/sampling.py
+++ b/src/waxwingwell/decisions/sampling.py
@@ -1,4 +1,4 @@
-"""Which answers go to the rating service."""
+"""Sampling of responses for the rating service."""
 
 from __future__ import annotations
 
@@ -16,30 +16,31 @@
 
 
 RATE_ALL_BELOW = 30.0
-"""Own ratings below which every answer is rated."""
+"""Number of own ratings below which every response is rated."""
 RATING_COST_SHARE = 0.01
-"""Share of an answer's cost that its ratings may always cost."""
+"""Share of the cost of responses that may be spent on ratings at any weights."""
 EXPOSURE_COST_SHARE = 0.01
-"""What is added to it if exposure is all that counts."""
+"""Additional share of the cost at an exposure weight of 1."""
 BORDERLINE_DEVIATIONS = 2.0
-"""Standard errors above the target within which a version is a close call."""
+"""Standard errors above the target within which a version is borderline."""
 BORDERLINE_FACTOR = 1.5
-"""How much more often the answers of a close call are rated."""
+"""Factor by which responses of a borderline version are rated more often."""
 MIN_ESCALATED_SHARE = 0.5
-"""Least share of escalated answers to rate.
+"""Minimum share of escalated responses to rate.
 
-Failure: a strong version turns bad and serves nothing but escalated answers; there
-are few of them, and a small sample would take thousands of requests to tell.
+A strong version may serve only escalated responses. Those are few, so with a small
+sample a regression would go undetected for thousands of requests.
 """
 SECOND_DRAW_FACTOR = 7919.0
-"""Factor that turns one draw into a second one, independent enough for sampling."""
+"""Factor that derives a second draw from the first, nearly independent of it."""
 
 
 def get_sample_share(config: WorkspaceConfig, cost: float, price: float) -> float:
-    """Return the share of a known version's answers to rate.
+    """Return the share of a known version's responses to rate.
 
-    Exposure is found as fast as answers are rated, so its weight sets the share;
-    dear answers are rated more often, since a rating adds little to their cost.
+    Bad versions are detected as fast as responses are rated, so the exposure weight
+    determines the share. Expensive responses are rated more often, since a rating
+    adds little to their cost.
     """
     exposure = get_exposure_weight(config)
     share = 0.05 + 0.15 * exposure
@@ -59,7 +60,7 @@
     *,
     min_share: float = 0.0,
 ) -> bool:
-    """Draw whether an answer is rated; unknown versions always are."""
+    """Return whether a response is rated; those of unknown versions always are."""
     if estimate.rated < RATE_ALL_BELOW:
         return True
 
@@ -71,5 +72,5 @@
 
 
 def derive_draw(draw: float) -> float:
-    """Return a second draw, uniform in 0 to 1, made from the first."""
+    """Return a second draw, uniform in [0, 1), derived from the first."""
     return draw * SECOND_DRAW_FACTOR % 1.0
--- a/src/waxwingwell/decisions/shares.py
+++ b/src/waxwingwell/decisions/shares.py
@@ -1,4 +1,4 @@
-"""Fair shares between workspaces: who must let others go first."""
+"""Fair sharing of capacity between workspaces."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 
 MAX_RUNNING_SHARE = 0.5
-"""A workspace with more than this share of the running work goes after others."""
+"""Share of the running work above which a workspace yields to others."""
 
 
 def find_over_share(tables: Tables) -> set[tuple[WorkspaceId, Priority]]:
-    """Return the workspaces and priorities that must let others go first.
+    """Return the workspaces and priorities that exceed their fair share.
 
-    Failure guarded against: a workspace that floods the highest priority would, by
-    priority alone, keep all others out for good. So when its running work of a
-    priority and above fills most of the places and another workspace waits, its
-    further work of that priority goes last and keeps to the lowest bound.
+    By priority alone, a workspace that floods the highest priority would starve all
+    others. So when its running work of a priority and above takes most of the
+    capacity and another workspace waits, its further work of that priority goes last
+    and is limited as the lowest priority is.
     """
     names = {waiting.work.workspace for waiting in tables.waiting.values()}
     if len(names) < 2:
@@ -43,7 +43,7 @@
 
 
 def count_running(tables: Tables) -> dict[tuple[WorkspaceId, Priority], int]:
-    """Return the admitted requests that do not wait, by workspace and priority."""
+    """Return the number of running requests by workspace and priority."""
     running = {
         (name, priority): count
         for name, demand in tables.demand.items()
--- a/src/waxwingwell/decisions/tables.py
+++ b/src/waxwingwell/decisions/tables.py
@@ -1,7 +1,7 @@
-"""The tables of an entry, which decisions read and systems run over.
+"""The state of an entry that its routing decisions read.
 
-One ``Tables`` holds all that an entry's decisions depend on: a decision is
-replayable from it, the request and ``now`` alone. Monotonic seconds throughout.
+One ``Tables`` holds everything that an entry's decisions depend on: a decision can be
+replayed from it, the request and ``now`` alone. All times are monotonic seconds.
 """
 
 from __future__ import annotations
@@ -23,64 +23,64 @@
 
 @dataclass(slots=True)
 class UpstreamRow:
-    """What this entry knows of one upstream."""
+    """This entry's state of one upstream."""
 
     announcement: Announcement
     expires_at: float
-    """When the announcement's lease runs out."""
+    """When the announcement's lease expires."""
     heard_at: float
-    """When the present load report was made, as far as is known."""
+    """Estimated time at which the current load report was made."""
     left: bool = False
-    """It said that it leaves, or its lease ran out; kept as a tombstone."""
+    """Whether it has left or its lease has expired; the row stays as a tombstone."""
     dispatched: list[float] = field(default_factory=list)
-    """Times of own dispatches since the load report, oldest first."""
+    """Times of this entry's dispatches since the load report, oldest first."""
     in_flight: int = 0
-    """This entry's requests running there."""
+    """This entry's requests running at the upstream."""
     failures: int = 0
-    """Failures in a row."""
+    """Consecutive failures."""
     ejected_until: float = 0.0
     prefixes: dict[str, float] = field(default_factory=dict)
-    """Prompt-prefix digest to the time it was last sent there."""
+    """Time of the last request, by digest of its prompt prefixes."""
     finished: list[float] = field(default_factory=list)
-    """Times of own finishes since the load report, oldest first."""
+    """Times of this entry's completions since the load report, oldest first."""
     prefill_until: float = 0.0
-    """When the prompts that this entry sent are expected to be read in."""
+    """Expected end of the prefill of the prompts that this entry sent."""
     ejections: int = 0
-    """Ejections without a success since; each doubles the next one's length."""
+    """Ejections since the last success; each doubles the duration of the next."""
     claimed: int = 0
-    """Requests chosen for it that are not dispatched yet; see ``claims``."""
+    """Slots reserved for requests that are not dispatched yet; see ``claims``."""
     probing: bool = False
-    """Back from an ejection on trial: one request at a time until one succeeds."""
+    """Whether it gets one request at a time after an ejection, until one succeeds."""
 
     taken_at: float = 0.0
-    """When this entry took the announcement in."""
+    """When this entry received the announcement."""
 
 
 @dataclass(frozen=True, slots=True)
 class Waiting:
-    """A request that waits at this entry for room at an upstream."""
+    """A request that waits at this entry for upstream capacity."""
 
     work: Work
     version: VersionId
     arrived_at: float
     expires_at: float
-    """When it is refused if it was not dispatched by then."""
+    """When it is refused unless it has been dispatched."""
     number: int
-    """Order of arrival, for a stable order among equals."""
+    """Sequence number of arrival, for a stable order among equal requests."""
 
 
 @dataclass(slots=True)
 class WorkspaceDemand:
-    """Load of one workspace, here and at the other entries."""
+    """Load of one workspace, at this entry and at the others."""
 
     in_flight: int = 0
     tokens: float = 0.0
-    """Token bucket of admissions at this entry."""
+    """Tokens in the admission bucket of this entry."""
     refilled_at: float = 0.0
     rate: float = 0.0
-    """Requests a second offered at this entry, smoothed; refused ones count too."""
+    """Smoothed requests per second offered at this entry, including refused ones."""
     rate_updated_at: float = 0.0
-    """When ``rate`` was last smoothed."""
+    """When ``rate`` was last updated."""
     held: dict[Priority, int] = field(default_factory=dict)
     """This entry's admitted requests by priority."""
     elsewhere_in_flight: int = 0
@@ -89,14 +89,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Work:
-    """A request as the decisions see it."""
+    """The properties of a request that decisions depend on."""
 
     request: str
     workspace: WorkspaceId
     kind: WorkKind
     priority: Priority
     model: str = ""
-    """Model or version that the caller asked for; empty leaves it to the router."""
+    """Requested model or version; if empty, the router chooses."""
     session: str = ""
     pinned: VersionId = VersionId("")
     stream: bool = False
@@ -105,19 +105,19 @@
     """Name of the plain service; empty for model work."""
     prompt_tokens: int = 0
     answer_tokens: int = 256
-    """Expected length of the answer."""
+    """Expected number of output tokens."""
     prefixes: tuple[str, ...] = ()
     """Digests of the prompt's prefixes, longest first."""
     prefix_tokens: tuple[int, ...] = ()
     """Tokens that each of ``prefixes`` covers."""
     data_centre: str = ""
-    """Data centre of the entry that decides."""
+    """Data centre of this entry."""
     deadline: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """A final answer: the request was not run."""
+    """A refusal: the request was not run."""
 
     code: str
     """Machine-readable reason, for example ``version_withdrawn``."""
@@ -125,14 +125,14 @@
     status: int
     """HTTP status."""
     retry_after: float | None = None
-    """Seconds after which it is worth coming back; None if it never is."""
+    """Seconds after which to retry; None if a retry is pointless."""
 
 
 @dataclass(slots=True)
 class RatingStats:
-    """Ratings of one version for one workspace and kind since it last changed.
+    """Rating sums of one version, workspace and kind since the last detected change.
 
-    ``recent_*`` forget older ratings, so that a version turning bad shows soon.
+    ``recent_*`` decay exponentially, so that they reveal a fall in quality early.
     """
 
     rated: float = 0.0
@@ -144,23 +144,23 @@
 
 @dataclass(slots=True)
 class QualityAccount:
-    """What this entry served for one workspace and kind, against its target."""
+    """Quality served by this entry for one workspace and kind, against its target."""
 
     credit: float = 0.0
-    """Sum of rating minus target over the answers served, clipped."""
+    """Sum of rating minus target over the responses served, clipped."""
     sent: int = 0
     explored: int = 0
 
 
 @dataclass(slots=True)
 class Tables:
-    """Everything that an entry's decisions read."""
+    """All state that an entry's decisions read."""
 
     config_version: int = 0
     workspaces: dict[WorkspaceId, WorkspaceConfig] = field(default_factory=dict)
     versions: dict[VersionId, VersionSpec] = field(default_factory=dict)
     rollouts: dict[str, Rollout] = field(default_factory=dict)
-    """By model."""
+    """Roll-outs by model."""
     evidence: dict[tuple[WorkspaceId, str, VersionId], Evidence] = field(
         default_factory=dict
     )
@@ -169,24 +169,24 @@
     distances: dict[str, float] = field(default_factory=dict)
     """One-way seconds from this entry's data centre to each data centre."""
     waiting: dict[str, Waiting] = field(default_factory=dict)
-    """The waiting queue, by request id."""
+    """Waiting queue, by request id."""
     claims: dict[str, UpstreamId] = field(default_factory=dict)
-    """Upstreams with a place claimed, by request id."""
+    """Upstream with a slot reserved, by request id."""
     waited: int = 0
-    """Requests that ever waited; numbers the next one."""
+    """Number of requests enqueued so far, the number of the latest one."""
     finish_rate: float = 0.0
-    """Finishes a second at this entry, smoothed."""
+    """Smoothed completions per second at this entry."""
     finish_rate_updated_at: float = 0.0
     holders: dict[str, list[UpstreamId]] = field(default_factory=dict)
-    """Upstreams by version or service: a hint, rebuilt by ``index_upstreams``."""
+    """Upstreams by version or service; a hint, rebuilt by ``index_upstreams``."""
     homes: dict[str, dict[UpstreamId, float]] = field(default_factory=dict)
-    """Prompt-prefix digest to the upstreams it was lately sent to; a hint."""
+    """Upstreams that recently received a prompt prefix, by digest; a hint."""
     rating_heard_at: float = 0.0
-    """When a rating last arrived; old ratings make decisions cautious."""
+    """When the last rating arrived; stale ratings make decisions conservative."""
     rating_price: float = 0.0
-    """Micro-units that one rating costs."""
+    """Price of one rating in micro-units."""
     entries: int = 1
-    """Entries at work; each takes its part of the cap on unrated answers."""
+    """Number of running entries, which share the cap on unrated responses."""
     rating_stats: dict[tuple[WorkspaceId, str, VersionId], RatingStats] = field(
         default_factory=dict
     )
@@ -194,16 +194,16 @@
         default_factory=dict
     )
     outstanding: dict[VersionId, list[float]] = field(default_factory=dict)
-    """Times of this entry's answers that wait for their rating, oldest first."""
+    """Dispatch times of responses with an outstanding rating, oldest first."""
     cell_outstanding: dict[tuple[WorkspaceId, str, VersionId], list[float]] = field(
         default_factory=dict
     )
-    """The same for each workspace and kind."""
+    """``outstanding`` by workspace, kind and version."""
     increments: dict[tuple[WorkspaceId, str, VersionId], Evidence] = field(
         default_factory=dict
     )
-    """This entry's evidence that was not yet handed out for flushing."""
+    """This entry's evidence that is not being flushed yet."""
     flushing: dict[tuple[WorkspaceId, str, VersionId], Evidence] = field(
         default_factory=dict
     )
-    """Evidence handed out for flushing and not confirmed yet."""
+    """This entry's evidence that is being flushed and not confirmed yet."""
--- a/src/waxwingwell/decisions/upstreams.py
+++ b/src/waxwingwell/decisions/upstreams.py
@@ -1,8 +1,8 @@
-"""Choose the upstream for a request, and keep the table that the choice reads.
+"""Choose the upstream for a request, and maintain the table that the choice reads.
 
-The choice minimises the expected time to the first token: wait, prompt tokens not
-covered by a probable cached prefix, and the way there and back. Load is bounded: an
-upstream at its bound for the work's priority takes no more of it.
+The choice minimises the expected time to the first token: queueing, prefill of the
+prompt tokens that are probably not cached, and the network round trip. Load is
+bounded: an upstream at its limit for the work's priority receives no more of it.
 """
 
 from __future__ import annotations
@@ -40,39 +40,41 @@
 
 
 TIE_SECONDS = 0.004
-"""Estimates this close are equal; the draw or the session's home decides."""
+"""Difference in seconds up to which estimates count as tied."""
 TIE_SHARE = 0.1
-"""Estimates within this share of the best are equal as well."""
+"""Difference, as a share of the best estimate, up to which estimates count as tied."""
 BUSY = "busy"
-"""Code of the refusal that a place in the waiting queue may cure."""
+"""Refusal code for work that may wait in the queue instead."""
 UNAVAILABLE = "no_upstream"
 BUSY_RETRY_AFTER = 1.0
+"""Seconds to retry after when every upstream is at capacity."""
 UNAVAILABLE_RETRY_AFTER = 5.0
+"""Seconds to retry after when no upstream serves the work."""
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamChoice:
-    """The upstream that should take the work, and what is expected of it."""
+    """The chosen upstream and its estimated latency."""
 
     upstream: UpstreamId
     wait: float
-    """Seconds before it begins with the work."""
+    """Expected seconds before it starts the work."""
     first_token: float
-    """Seconds to the first token at this entry."""
+    """Expected seconds to the first token at this entry."""
     reason: str
     """``home``, ``prefix``, ``load`` or ``only``; for traces and metrics."""
 
 
 @dataclass(slots=True)
 class UpstreamEstimate:
-    """What one upstream promises for one request, in seconds and tokens."""
+    """Estimated latency, in seconds, and cached tokens of one upstream."""
 
     upstream: UpstreamId
     wait: float
     first_token: float
     cached: float
     round_trip: float
-    """Seconds there and back."""
+    """Seconds of the network round trip."""
 
 
 def choose_upstream(
@@ -86,8 +88,8 @@
 ) -> UpstreamChoice | Refusal:
     """Return the best upstream for the work, or why there is none.
 
-    ``draw`` is uniform in [0, 1). ``version`` is not read for plain services. A
-    refusal with code ``busy`` may wait in the queue; any other is final.
+    ``draw`` is uniform in [0, 1). ``version`` is ignored for plain services. Work
+    refused with code ``busy`` may wait in the queue; any other refusal is final.
     """
     found = find_candidates(tables, work, version, exclude, now=now, draw=draw)
     if not found.rows and found.ejected is not None:
@@ -117,7 +119,7 @@
 def filter_by_capacity(
     tables: Tables, work: Work, rows: list[UpstreamRow]
 ) -> list[tuple[UpstreamRow, float]]:
-    """Return the upstreams with room for the work, and what each holds now."""
+    """Return the upstreams with capacity for the work, with their estimated load."""
     scale = estimate_scale(tables)
     share = BOUNDS[work.priority]
     found = []
@@ -139,9 +141,9 @@
 ) -> list[tuple[UpstreamRow, float]]:
     """Return the upstreams without a recent failure, or all if each has one.
 
-    Failure guarded against: an order sent to an upstream that has just failed, or
-    comes back on trial, may be lost, and may not be sent again. Idempotent work finds
-    out whether the upstream is well.
+    An order sent to an upstream that has just failed or is being probed may be lost,
+    and it may not be retried. Idempotent work tests whether the upstream has
+    recovered.
     """
     healthy = [pair for pair in found if not pair[0].probing and not pair[0].failures]
     return healthy or found
@@ -156,7 +158,7 @@
     home: UpstreamId | None,
     now: float,
 ) -> UpstreamEstimate:
-    """Return what one upstream promises for the work."""
+    """Return the estimate of one upstream for the work."""
     announcement = row.announcement
     upstream = announcement.upstream
     wait = estimate_wait(row, work, outstanding, now)
@@ -174,7 +176,11 @@
 def pick_estimate(
     estimates: list[UpstreamEstimate], home: UpstreamId | None, draw: float
 ) -> UpstreamChoice:
-    """Return the best estimate; among equals the session's home, else by the draw."""
+    """Return the choice with the best estimate.
+
+    Ties go to the session's home upstream, else to the shortest round trip and then
+    by ``draw``.
+    """
     best = min(estimate.first_token for estimate in estimates)
     cutoff = best + max(TIE_SECONDS, best * TIE_SHARE)
     tied = [estimate for estimate in estimates if estimate.first_token <= cutoff]
@@ -192,7 +198,7 @@
 
 
 def make_choice(estimate: UpstreamEstimate, reason: str) -> UpstreamChoice:
-    """Return the choice of an estimated upstream."""
+    """Return the choice for an estimate."""
     return UpstreamChoice(
         estimate.upstream, estimate.wait, estimate.first_token, reason
     )
@@ -201,7 +207,7 @@
 def note_dispatch(
     tables: Tables, upstream: UpstreamId, work: Work, *, now: float
 ) -> None:
-    """Count a request that this entry sends to the upstream now."""
+    """Record that this entry dispatches a request to the upstream now."""
     release_claim(tables, work.request)
     row = tables.upstreams.get(upstream)
     if row is None:
@@ -219,7 +225,7 @@
 def note_finish(
     tables: Tables, upstream: UpstreamId, *, failed: bool, now: float
 ) -> None:
-    """Count the end of a dispatched request; ``failed`` by the upstream's fault."""
+    """Record the end of a request; ``failed`` means a fault of the upstream."""
     tables.finish_rate = count_event(
         tables.finish_rate, tables.finish_rate_updated_at, FINISH_WINDOW, now
     )
@@ -238,5 +244,5 @@
 
 
 def note_silence(tables: Tables, upstream: UpstreamId, *, now: float) -> None:
-    """Count a progress deadline that passed; the request itself still has to end."""
+    """Record a missed progress deadline; the request itself has not ended yet."""
     record_failure(tables, upstream, weight=UNRESPONSIVE_WEIGHT, now=now)
--- a/src/waxwingwell/decisions/versions.py
+++ b/src/waxwingwell/decisions/versions.py
@@ -1,6 +1,6 @@
 """Choice of version: the cheapest that meets the quality target with confidence.
 
-Design and what lost against it: docs/design/version-choice.md.
+Design and rejected alternatives: docs/design/version-choice.md.
 """
 
 from __future__ import annotations
@@ -37,34 +37,34 @@
 
 
 RATING_STALE_SECONDS = 120.0
-"""Seconds without any rating after which the ratings count as stopped."""
+"""Seconds without any rating after which ratings count as stopped."""
 STOPPED_RATING_SHARE = 0.25
-"""Share of answers rated while ratings have stopped, to notice their return."""
+"""Share of responses sent for rating while ratings have stopped, to detect recovery."""
 
 
 @dataclass(frozen=True, slots=True)
 class VersionChoice:
-    """The versions to try, cheapest first, and how to treat their answers."""
+    """The versions to try, cheapest first, and how to handle their responses."""
 
     plan: tuple[VersionId, ...]
     threshold: float
     """Rating at or above which a cascade stops; 0 for a single version."""
     rate: bool
-    """Whether the answer that is served goes to the rating service.
+    """Whether the response that is served goes to the rating service.
 
-    The earlier answers of a cascade are always rated before they are served.
+    The earlier responses of a cascade are always rated before they may be served.
     """
     reason: str
     explored: bool = False
-    """Whether the exploration budget pays for it."""
+    """Whether the request counts against the exploration budget."""
 
 
 def choose_version(
     tables: Tables, work: Work, *, now: float, draw: float
 ) -> VersionChoice | Refusal:
-    """Choose the version, or cascade, that answers ``work``.
+    """Choose the version or cascade for ``work``.
 
-    ``draw`` is uniform in 0 to 1. A refusal is final: the request was not run.
+    ``draw`` is uniform in [0, 1). A refusal is final: the request was not run.
     """
     config = tables.workspaces.get(work.workspace)
     if config is None:
@@ -88,7 +88,7 @@
 
 
 def have_ratings_stopped(tables: Tables, now: float) -> bool:
-    """Tell whether no rating came for so long that the evidence grows stale."""
+    """Return whether the last rating is so old that the evidence is stale."""
     return (
         not tables.rating_heard_at
         or now - tables.rating_heard_at > RATING_STALE_SECONDS
@@ -96,7 +96,7 @@
 
 
 def should_pin(work: Work, choice: VersionChoice) -> bool:
-    """Tell whether the session must be pinned to the choice's version."""
+    """Return whether the session must be pinned to the chosen version."""
     return bool(work.session) and not work.pinned and len(choice.plan) == 1
 
 
@@ -153,11 +153,12 @@
 
 
 def _choose_without_ratings(context: ChoiceContext, draw: float) -> VersionChoice:
-    """Choose while ratings have stopped: nothing new, nothing that needs a rating.
+    """Choose while ratings have stopped, without exploration, candidates or cascades.
 
-    Failure: the rating service is down, so a bad turn would not be seen and a
-    cascade would wait for ratings that never come. Only versions with ratings of
-    their own, or else the best expected one, get work, and the caution is doubled.
+    While the rating service is down, a fall in quality would go undetected and a
+    cascade would wait for ratings that never arrive. Only versions with ratings of
+    their own, or else the one with the best lower bound, get work, and the caution is
+    more than doubled.
     """
     cautious = replace(context, caution=2.0 * context.caution + 1.0)
     primary = find_safest(cautious)
@@ -169,9 +170,9 @@
 def _substitute_candidate(
     tables: Tables, context: ChoiceContext, choice: VersionChoice, now: float
 ) -> VersionChoice:
-    """Put a roll-out's candidate in its incumbent's place for its share of sessions.
+    """Replace a roll-out's incumbent by its candidate for its share of sessions.
 
-    Who asks for the incumbent by its full name gets it.
+    Work that names the incumbent version explicitly gets it.
     """
     for rollout in tables.rollouts.values():
         if (
--- a/src/waxwingwell/decisions/waits.py
+++ b/src/waxwingwell/decisions/waits.py
@@ -1,4 +1,4 @@
-"""The wait that an entry's queue implies for new work."""
+"""Estimate the queueing time of new work at an entry."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 
 
 FINISH_WINDOW = 2.0
-"""Seconds over which finishes are smoothed into a rate."""
+"""Seconds over which the completion rate is smoothed."""
 MIN_FINISH_RATE = 0.2
-"""Finishes a second assumed where none was seen of late."""
+"""Completions per second assumed if there were no recent ones."""
 RANK = {priority: rank for rank, priority in enumerate(PRIORITY_ORDER)}
-"""Place of each priority in the order of service, from 0."""
+"""Rank of each priority in the order of service, starting at 0."""
 
 
 def estimate_queue_wait(tables: Tables, work: Work, now: float) -> float:
-    """Return the seconds that new work would wait in this entry's queue."""
+    """Return the expected seconds that new work would wait in this entry's queue."""
     ahead: dict[WorkspaceId, int] = {}
     rank = RANK[work.priority]
     for waiting in tables.waiting.values():
@@ -38,18 +38,18 @@
 
 
 def count_ahead(ahead: dict[WorkspaceId, int], workspace: WorkspaceId) -> int:
-    """Return how much of the waiting work in ``ahead`` is served before new work.
+    """Return how many of the requests in ``ahead`` are served before new work.
 
-    It is the workspace's own, and at most one more than that of each other, for the
-    shares are fair: a workspace that floods the queue lengthens its own wait and not
-    another's.
+    These are the workspace's own, and of each other workspace at most one more than
+    that, since the shares are fair: a workspace that floods the queue prolongs its own
+    wait and not that of others.
     """
     own = ahead.get(workspace, 0) + 1
     return sum(min(others, own) for others in ahead.values())
 
 
 def estimate_finish_rate(tables: Tables, now: float) -> float:
-    """Return the finishes a second to reckon with at this entry."""
+    """Return the expected completions per second at this entry."""
     rate = decay_rate(
         tables.finish_rate, tables.finish_rate_updated_at, FINISH_WINDOW, now
     )
