--- a/src/waxwingwell/decisions/bets.py
+++ b/src/waxwingwell/decisions/bets.py
@@ -41,9 +41,7 @@
     """
     max_loss = stake * (1.0 - mean)
     gain = sums.rated * mean - sums.total
-    return stake * gain - _get_quadratic_factor(
-        max_loss
-    ) * stake * stake * _sum_squared_deviations(sums, mean)
+    return stake * gain - _quad_factor(max_loss) * stake * stake * _spread(sums, mean)
 
 
 def log_mean_exp(logs: tuple[float, ...]) -> float:
@@ -54,13 +52,13 @@
     )
 
 
-def _sum_squared_deviations(sums: RatingSums, mean: float) -> float:
+def _spread(sums: RatingSums, mean: float) -> float:
     """Return the sum of squared deviations from ``mean``."""
     spread = sums.squares - 2.0 * mean * sums.total + sums.rated * mean * mean
     return max(0.0, spread)
 
 
-def _get_quadratic_factor(max_loss: float) -> float:
+def _quad_factor(max_loss: float) -> float:
     """Return the quadratic term's factor for a bet that loses at most ``max_loss``."""
     if max_loss < 1e-4:
         return 0.5
--- a/src/waxwingwell/decisions/sampling.py
+++ b/src/waxwingwell/decisions/sampling.py
@@ -18,9 +18,9 @@
 RATE_ALL_BELOW = 30.0
 """Number of own ratings below which every response is rated."""
 RATING_COST_SHARE = 0.01
-"""Share of the cost of responses that may be spent on ratings at any weights."""
+"""Share of the responses' cost that ratings may cost, whatever the weights."""
 EXPOSURE_COST_SHARE = 0.01
-"""Additional share of the cost at an exposure weight of 1."""
+"""Additional share of that cost at an exposure weight of 1."""
 BORDERLINE_DEVIATIONS = 2.0
 """Standard errors above the target within which a version is borderline."""
 BORDERLINE_FACTOR = 1.5
--- a/tests/decisions/factories.py
+++ b/tests/decisions/factories.py
@@ -1,4 +1,4 @@
-"""Small factories of tables and work."""
+"""Factories for tables and work."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def make_row(name: str, **changes: Any) -> UpstreamRow:
-    """Return a live upstream; fields of row and announcement may be changed."""
+    """Return a live upstream; ``changes`` override fields of row and announcement."""
     announced: dict[str, Any] = {
         "upstream": UpstreamId(name),
         "incarnation": 1,
@@ -52,7 +52,7 @@
     limits: Limits | None = None,
     data_centres: tuple[str, ...] = (),
 ) -> WorkspaceConfig:
-    """Return a configuration with no rules but its limits and data centres."""
+    """Return a configuration with only limits and data centres set."""
     return WorkspaceConfig(
         workspace=name,
         revision=1,
@@ -78,7 +78,7 @@
 
 
 def make_work(name: str = "r1", **changes: Any) -> Work:
-    """Return a question of 800 prompt tokens; any field may be changed."""
+    """Return a question of 800 prompt tokens; ``changes`` override any field."""
     priority = changes.pop("priority", Priority.QUESTION)
     kind = WorkKind(str(priority), priority, 0.8)
     fields: dict[str, Any] = {
--- a/tests/decisions/fixtures_quality.py
+++ b/tests/decisions/fixtures_quality.py
@@ -1,4 +1,4 @@
-"""Small tables for the tests of versions, evidence and roll-outs."""
+"""Fixtures for the tests of versions, evidence and roll-outs."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 def make_tables(rollout: Rollout | None = None) -> Tables:
-    """Return tables of one workspace that allows small@1, small@2 and large@1."""
+    """Return tables with one workspace that allows small@1, small@2 and large@1."""
     specs = (
         make_spec(CHEAP, 1.0),
         make_spec(CANDIDATE, 1.0, status=VersionStatus.CANDIDATE),
@@ -95,7 +95,7 @@
     now: float,
     kind: WorkKind = QUESTION,
 ) -> None:
-    """Send and rate one answer for each rating."""
+    """Record one request and its rating for each of ``ratings``."""
     for rating in ratings:
         note_sent(tables, make_work(kind), version, rate=True, now=now)
         note_rating(tables, WORKSPACE, kind, version, rating, now)
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -1,4 +1,4 @@
-"""Limits of a workspace, alone and shared between entries."""
+"""Admission within a workspace's limits, at one entry and divided between entries."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
                 self.assertEqual({one.code for one in refused}, {code})
                 self.assertTrue(all(one.retry_after for one in refused))
 
-    def test_unknown_workspace_is_never_worth_coming_back(self) -> None:
+    def test_unknown_workspace_is_refused_without_retry(self) -> None:
         tables = make_tables()
         work = make_work(workspace=WorkspaceId("nobody"))
         refusal = admit(tables, work, 1.0)
@@ -65,10 +65,10 @@
         self.assertIsInstance(report, Refusal)
         self.assertEqual(order, Admitted(0.0))
 
-    def test_shares_the_rate_between_entries(self) -> None:
+    def test_divides_the_rate_between_entries(self) -> None:
         """Two entries get half of a workspace's requests each.
 
-        Were the limit kept by each alone, the workspace would have twice its rate.
+        If each applied the full limit, the workspace would get twice its rate.
         """
         tables = make_tables(configs=(make_config(limits=Limits(10.0, 1000)),))
         tables.demand[WORKSPACE] = WorkspaceDemand(rate=20.0, elsewhere_rate=20.0)
@@ -82,11 +82,11 @@
         self.assertLessEqual(admitted, 60)
         self.assertGreaterEqual(admitted, 40)
 
-    def test_idle_entry_gives_its_share_back(self) -> None:
+    def test_idle_entry_releases_its_share(self) -> None:
         """A workspace's callers move from one entry to another.
 
-        Did the old entry go on telling its rate, the new one would keep to half of
-        the limit for good.
+        If the old entry's rate did not decay, the new one would stay limited to a
+        part of the limit permanently.
         """
         tables = make_tables()
         for number in range(20):
--- a/tests/decisions/test_cascades.py
+++ b/tests/decisions/test_cascades.py
@@ -1,4 +1,4 @@
-"""Cascades: the threshold meets the target at the least expected cost."""
+"""Cascades: the threshold meets the target at the lowest expected cost."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
                 assert option is not None
                 self.assertTrue(least <= option.cost <= most, option)
 
-    def test_out_of_reach(self) -> None:
+    def test_unreachable_target(self) -> None:
         self.assertIsNone(find(0.3, 0.6, 0.9))
 
     @settings(max_examples=100)
--- a/tests/decisions/test_ejection.py
+++ b/tests/decisions/test_ejection.py
@@ -1,4 +1,4 @@
-"""Ejection and probing back."""
+"""Outlier ejection and probing."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 NAMES = [UpstreamId(name) for name in "abcd"]
 
 
-def make_four() -> Tables:
+def make_four_upstreams() -> Tables:
     return make_tables(*(make_row(name) for name in NAMES))
 
 
@@ -40,14 +40,14 @@
 
 
 class TestEjection(unittest.TestCase):
-    def test_silent_upstream_is_ejected_and_probed(self) -> None:
-        """An upstream takes requests and never answers: it looks idle to everyone.
+    def test_unresponsive_upstream_is_ejected_and_probed(self) -> None:
+        """An upstream accepts requests and never responds, so it looks idle.
 
-        Two progress deadlines pass, so it is ejected. After the ejection it gets one
-        request at a time; another failure ejects it for twice as long, a success
-        takes it back.
+        It is ejected after two missed progress deadlines. After the ejection it gets
+        one request at a time; another failure ejects it for twice as long, a success
+        ends the probing.
         """
-        tables = make_four()
+        tables = make_four_upstreams()
         row = tables.upstreams[A]
         note_silence(tables, A, now=1.0)
         self.assertEqual(row.ejected_until, 0.0)
@@ -67,7 +67,7 @@
         self.assertEqual((row.failures, row.ejections), (0, 0))
 
     def test_success_clears_failures(self) -> None:
-        tables = make_four()
+        tables = make_four_upstreams()
         for now in range(6):
             fail_at(tables, A, float(now))
             note_dispatch(tables, A, make_work(), now=float(now))
@@ -75,19 +75,21 @@
 
         self.assertEqual(tables.upstreams[A].ejected_until, 0.0)
 
-    def test_all_failing_leaves_half(self) -> None:
-        """A fault common to all (a cut link of this entry) fails every request.
+    def test_common_fault_ejects_at_most_half(self) -> None:
+        """A common fault (a broken link of this entry) fails every request.
 
-        Were each upstream ejected, callers would be refused long after the link is
-        back.
+        If every upstream were ejected, callers would be refused long after the link
+        has recovered.
         """
-        tables = make_four()
+        tables = make_four_upstreams()
         for now in range(20):
             for name in NAMES:
                 fail_at(tables, name, 1.0 + now / 10)
 
-        staying = [row for row in tables.upstreams.values() if row.ejected_until <= 3.0]
-        self.assertEqual(len(staying), 2)
+        remaining = [
+            row for row in tables.upstreams.values() if row.ejected_until <= 3.0
+        ]
+        self.assertEqual(len(remaining), 2)
 
     @given(
         st.lists(
@@ -98,13 +100,13 @@
     def test_never_ejects_all(
         self, events: list[tuple[UpstreamId, bool, float]]
     ) -> None:
-        tables = make_four()
+        tables = make_four_upstreams()
         now = 1.0
         for upstream, failed, pause in events:
             now += pause
             note_dispatch(tables, upstream, make_work(), now=now)
             note_finish(tables, upstream, failed=failed, now=now)
-            staying = [
+            remaining = [
                 row for row in tables.upstreams.values() if row.ejected_until <= now
             ]
-            self.assertGreaterEqual(len(staying), 2)
+            self.assertGreaterEqual(len(remaining), 2)
--- a/tests/decisions/test_evidence.py
+++ b/tests/decisions/test_evidence.py
@@ -1,4 +1,4 @@
-"""Evidence: increments, sums over entries, and what is outstanding."""
+"""Evidence: increments, totals over entries and outstanding ratings."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
 
 
 class TestIncrements(unittest.TestCase):
-    def test_a_resend_has_the_same_rows(self) -> None:
-        """An entry would count ratings twice, or lose them, after a lost answer.
+    def test_a_retried_flush_has_the_same_rows(self) -> None:
+        """The reply to a flush is lost with its connection, and more ratings arrive.
 
-        Rows are taken and sent, the answer is lost, more ratings come, and the
-        entry sends again under the same sequence. Cause: the connection broke.
+        The entry retries with the same sequence. With other rows, ratings would be
+        counted twice or lost.
         """
         tables = make_tables()
         rate_responses(tables, CHEAP, (0.5, 0.7), 1.0)
@@ -42,7 +42,7 @@
         self.assertEqual((row.rated, row.sent, row.to_rate), (1, 1, 1))
         self.assertAlmostEqual(row.total, 0.9)
 
-    def test_sums_keep_what_the_leader_has_not_seen(self) -> None:
+    def test_merged_totals_include_unflushed_increments(self) -> None:
         tables = make_tables()
         rate_responses(tables, CHEAP, (0.5,), 1.0)
         (flushed,) = take_increments(tables)
@@ -77,7 +77,7 @@
         self.assertEqual(tables.evidence[KEY].total, 1.0)
         self.assertEqual(tables.evidence[KEY].squares, 1.0)
 
-    def test_escalated_answers_are_rated_apart(self) -> None:
+    def test_escalated_responses_are_rated_separately(self) -> None:
         tables = make_tables()
         note_sent(tables, make_work(), CHEAP, rate=True, now=1.0, escalated=True)
         note_rating(tables, WORKSPACE, QUESTION, CHEAP, 0.2, 2.0, escalated=True)
@@ -87,11 +87,11 @@
         self.assertEqual(count_outstanding(tables, CHEAP, 2.0), 0)
         self.assertLess(tables.accounts[WORKSPACE, "question"].credit, 0.0)
 
-    def test_unseen_bad_answers_are_charged(self) -> None:
-        """The target would be missed while the account says that it is met.
+    def test_unrated_bad_responses_are_charged(self) -> None:
+        """A version regresses while every second response is rated.
 
-        A version turns bad; one answer in two is rated. Until the turn is found,
-        the unrated answers were credited as if they were good.
+        Until the regression is detected, unrated responses are credited at the old
+        mean; kept, that credit would hide that the target is missed.
         """
         tables = make_tables()
         for number in range(100):
@@ -101,15 +101,15 @@
                 note_rating(tables, WORKSPACE, QUESTION, CHEAP, 0.8, 1.0)
 
         account = tables.accounts[WORKSPACE, "question"]
-        rich = account.credit
+        credit_before = account.credit
         for number in range(40):
             note_sent(tables, make_work(), CHEAP, rate=number % 2 == 0, now=2.0)
             if number % 2 == 0:
                 note_rating(tables, WORKSPACE, QUESTION, CHEAP, 0.3, 2.0)
 
-        self.assertLess(account.credit, rich - 40 * 0.4 * 0.5)
+        self.assertLess(account.credit, credit_before - 40 * 0.4 * 0.5)
 
-    def test_credit_counts_served_answers_only(self) -> None:
+    def test_credit_counts_served_responses_only(self) -> None:
         tables = make_tables()
         note_rating(tables, WORKSPACE, QUESTION, CHEAP, 0.1, 1.0, served=False)
         self.assertNotIn((WORKSPACE, "question"), tables.accounts)
--- a/tests/decisions/test_loading.py
+++ b/tests/decisions/test_loading.py
@@ -1,4 +1,4 @@
-"""Placement of versions ahead of roll-outs, within the weight store's rate."""
+"""Loading of versions ahead of roll-out stages, within the weight store's limits."""
 
 from __future__ import annotations
 
@@ -51,18 +51,18 @@
 
 
 def apply_orders(tables: Tables, orders: list[LoadOrder]) -> None:
-    """Let the upstreams report what they were ordered to hold."""
+    """Make the upstreams report the versions that they were ordered to hold."""
     for order in orders:
         row = tables.upstreams[order.upstream]
         row.announcement = replace(row.announcement, versions=order.versions)
 
 
 class TestLoading(unittest.TestCase):
-    def test_loads_ahead_of_the_stage_and_spread(self) -> None:
-        """A stage of half the sessions begins while one engine holds the version.
+    def test_loads_ahead_of_the_stage_across_data_centres(self) -> None:
+        """The holders of the next stage are loaded during the current one.
 
-        Its sessions would queue there for as long as loading takes; so the holders of
-        the next stage are loaded during the present one.
+        If a stage with half of the sessions started while one engine holds the
+        version, its sessions would queue there until the others have loaded it.
         """
         tables = make_fleet()
         loading = Loading()
@@ -79,7 +79,7 @@
         self.assertTrue(is_stage_loaded(tables, tables.rollouts["fitter"], 1, 0.0))
         self.assertFalse(is_stage_loaded(tables, tables.rollouts["fitter"], 2, 0.0))
 
-    def test_stands_still_or_goes_back_with_the_rollout(self) -> None:
+    def test_follows_a_paused_or_ended_rollout(self) -> None:
         cases = {
             "paused": (RolloutStatus.PAUSED, VersionStatus.CANDIDATE, 2),
             "rolled back": (RolloutStatus.ROLLED_BACK, VersionStatus.WITHDRAWN, 0),
@@ -102,7 +102,7 @@
                 )
                 self.assertEqual(held, holders)
 
-    def test_drops_only_what_was_withdrawn(self) -> None:
+    def test_unloads_only_withdrawn_versions(self) -> None:
         cases = {
             VersionStatus.ENDING: True,
             VersionStatus.ACTIVE: True,
@@ -117,10 +117,11 @@
                 orders = plan_loads(tables, Loading(), STORE, 1.0)
                 self.assertEqual(not orders, stays)
 
-    def test_gives_up_a_load_that_never_ends(self) -> None:
-        """An engine takes the order and never reports the version.
+    def test_abandons_a_load_that_never_ends(self) -> None:
+        """An engine accepts the order and never reports the version.
 
-        Were it waited for, it would hold one of the store's places for good.
+        Without a timeout it would occupy one of the store's concurrent loads
+        permanently.
         """
         tables = make_fleet()
         loading = Loading()
@@ -136,7 +137,7 @@
         st.lists(st.tuples(st.floats(0.0, 40.0), st.booleans()), max_size=60),
         st.integers(0, 2),
     )
-    def test_keeps_to_the_stores_rate(
+    def test_stays_within_the_stores_limits(
         self, steps: list[tuple[float, bool]], stage: int
     ) -> None:
         tables = make_fleet(stage=stage)
--- a/tests/decisions/test_queue.py
+++ b/tests/decisions/test_queue.py
@@ -1,4 +1,4 @@
-"""The waiting queue: order, fairness and bound."""
+"""The waiting queue: order, fairness and bounded wait."""
 
 from __future__ import annotations
 
@@ -38,24 +38,24 @@
 
 
 A = UpstreamId("a")
-LOUD, QUIET = WorkspaceId("loud"), WorkspaceId("quiet")
+FLOODING, QUIET = WorkspaceId("flooding"), WorkspaceId("quiet")
 LIMITS = Limits(requests_per_second=1000.0, max_in_flight=500, max_wait=5.0)
 
 
-def make_two() -> Tables:
+def make_two_workspaces() -> Tables:
     return make_tables(
         make_row("a", capacity=4, load=None),
-        configs=(make_config(LOUD, LIMITS), make_config(QUIET, LIMITS)),
+        configs=(make_config(FLOODING, LIMITS), make_config(QUIET, LIMITS)),
     )
 
 
-def take_all(tables: Tables, now: float) -> list[Work]:
-    """Dispatch all that has room, and return it in order."""
+def dispatch_all(tables: Tables, now: float) -> list[Work]:
+    """Dispatch all requests for which there is capacity; return them in order."""
     taken = []
-    while (next_one := take_next(tables, now, 0.5)) is not None:
-        assert isinstance(next_one.result, UpstreamChoice)
-        work = next_one.waiting.work
-        note_dispatch(tables, next_one.result.upstream, work, now=now)
+    while (dequeued := take_next(tables, now, 0.5)) is not None:
+        assert isinstance(dequeued.result, UpstreamChoice)
+        work = dequeued.waiting.work
+        note_dispatch(tables, dequeued.result.upstream, work, now=now)
         taken.append(work)
 
     return taken
@@ -63,21 +63,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Flood:
-    """Requests of the loud workspace: priorities in turn, and their number."""
+    """Load of the flooding workspace; its requests cycle through ``priorities``."""
 
     priorities: list[Priority]
     per_tick: int
     ticks: int
 
     service: float
-    """Seconds that one request takes."""
+    """Service time of one request in seconds."""
     tick: float = 0.05
-    """Seconds of one tick."""
+    """Length of one tick in seconds."""
 
 
 def run_flood(flood: Flood) -> tuple[Counter[WorkspaceId], Counter[WorkspaceId]]:
-    """Run it beside one question a second; return who was served and refused."""
-    tables = make_two()
+    """Run the flood beside one question per second of a quiet workspace.
+
+    Return the numbers of served and of refused requests by workspace.
+    """
+    tables = make_two_workspaces()
     running: list[tuple[float, Work]] = []
     served: Counter[WorkspaceId] = Counter()
     refused: Counter[WorkspaceId] = Counter()
@@ -86,7 +89,9 @@
         offered = []
         for number in range(tick * flood.per_tick, (tick + 1) * flood.per_tick):
             priority = flood.priorities[number % len(flood.priorities)]
-            offered.append(make_work(f"l{number}", workspace=LOUD, priority=priority))
+            offered.append(
+                make_work(f"l{number}", workspace=FLOODING, priority=priority)
+            )
 
         if tick % round(1.0 / flood.tick) == 0:
             offered.append(make_work(f"q{tick}", workspace=QUIET))
@@ -107,7 +112,7 @@
             release(tables, taken.waiting.work, now)
             refused[taken.waiting.work.workspace] += 1
 
-        running += [(now + flood.service, work) for work in take_all(tables, now)]
+        running += [(now + flood.service, work) for work in dispatch_all(tables, now)]
 
     return served, refused
 
@@ -123,29 +128,29 @@
         ):
             enqueue(tables, make_work(priority, priority=priority), VERSION, 1.0)
 
-        order = [work.priority for work in take_all(tables, 1.0)]
+        order = [work.priority for work in dispatch_all(tables, 1.0)]
         self.assertEqual(order, list(Priority))
 
-    def test_keeps_room_for_orders(self) -> None:
-        tables = make_two()
+    def test_reserves_capacity_for_orders(self) -> None:
+        tables = make_two_workspaces()
         for number in range(20):
-            work = make_work(f"r{number}", workspace=LOUD, priority=Priority.REPORT)
+            work = make_work(f"r{number}", workspace=FLOODING, priority=Priority.REPORT)
             enqueue(tables, work, VERSION, 1.0)
 
-        self.assertEqual(len(take_all(tables, 1.0)), 3)
-        order = make_work("o", workspace=LOUD, priority=Priority.ORDER)
+        self.assertEqual(len(dispatch_all(tables, 1.0)), 3)
+        order = make_work("o", workspace=FLOODING, priority=Priority.ORDER)
         enqueue(tables, order, VERSION, 1.0)
-        self.assertEqual(take_all(tables, 1.0), [order])
+        self.assertEqual(dispatch_all(tables, 1.0), [order])
 
-    def test_chosen_place_stays_taken_until_the_dispatch(self) -> None:
+    def test_chosen_slot_stays_reserved_until_the_dispatch(self) -> None:
         """Orders wait for their ledger rows between the choice and the dispatch.
 
-        All that wait are handed out meanwhile. Did a chosen place look free until the
-        dispatch, all of them would be sent to the same few places.
+        The rest of the queue is drained meanwhile. If a chosen slot looked free until
+        the dispatch, all queued orders would be sent to the same few slots.
         """
-        tables = make_two()
+        tables = make_two_workspaces()
         works = [
-            make_work(f"o{n}", workspace=LOUD, priority=Priority.ORDER)
+            make_work(f"o{n}", workspace=FLOODING, priority=Priority.ORDER)
             for n in range(9)
         ]
         for work in works:
@@ -167,24 +172,24 @@
         self.assertIsNone(take_next(tables, 1.0, 0.5))
 
     def test_flood_does_not_starve_another_workspace(self) -> None:
-        """One workspace sends twenty times as much as the engine bears, also orders.
+        """One workspace sends orders at twenty times the engine's capacity.
 
-        Another sends one question a second. In order of arrival, or by priority
-        alone, its questions would stand behind the flood for good.
+        Another sends one question per second. In order of arrival, or by priority
+        alone, its questions would wait behind the flood indefinitely.
         """
         flood = Flood([Priority.ORDER], per_tick=5, ticks=400, service=0.8)
         served, refused = run_flood(flood)
         self.assertGreaterEqual(served[QUIET], 18)
         self.assertEqual(refused[QUIET], 0)
-        self.assertGreater(refused[LOUD], 1000)
-        self.assertGreater(served[LOUD], 50)
+        self.assertGreater(refused[FLOODING], 1000)
+        self.assertGreater(served[FLOODING], 50)
 
-    def test_flood_sheds_no_other_workspace(self) -> None:
-        """A workspace floods questions and orders; another sends a question a second.
+    def test_flood_does_not_shed_another_workspace(self) -> None:
+        """One workspace floods questions and orders; another sends a question a second.
 
-        The flood's orders stand before that question in the queue. Counted one by one
-        they make its turn look too late, and it was refused, although fair shares
-        serve it long before most of them.
+        The flood's orders precede that question in the queue. If each of them counted,
+        its turn would seem too late and it would be refused, although fair sharing
+        serves it long before most of them.
         """
         mixed = [Priority.QUESTION, Priority.ORDER]
         flood = Flood(mixed, per_tick=1, ticks=600, service=1.5, tick=0.01)
@@ -200,7 +205,7 @@
         per_tick=st.integers(2, 6),
         service=st.floats(0.2, 1.5),
     )
-    def test_no_mix_of_one_workspace_starves_another(
+    def test_no_mix_of_priorities_starves_another_workspace(
         self, priorities: list[Priority], per_tick: int, service: float
     ) -> None:
         flood = Flood(priorities, per_tick, ticks=200, service=service)
@@ -211,7 +216,7 @@
     @given(
         st.lists(
             st.tuples(
-                st.sampled_from([LOUD, QUIET]),
+                st.sampled_from([FLOODING, QUIET]),
                 st.sampled_from(list(Priority)),
                 st.floats(0.0, 0.3),
                 st.booleans(),
@@ -222,7 +227,7 @@
     def test_queue_is_bounded_by_the_wait(
         self, events: list[tuple[WorkspaceId, Priority, float, bool]]
     ) -> None:
-        tables = make_two()
+        tables = make_two_workspaces()
         running: list[Work] = []
         now = 1.0
         gone: set[str] = set()
@@ -237,7 +242,7 @@
                 release(tables, running.pop(), now)
 
             shed = shed_expired(tables, now)
-            running += take_all(tables, now)
+            running += dispatch_all(tables, now)
             for taken in shed:
                 release(tables, taken.waiting.work, now)
                 self.assertNotIn(taken.waiting.work.request, gone)
--- a/tests/decisions/test_retries.py
+++ b/tests/decisions/test_retries.py
@@ -1,4 +1,4 @@
-"""Retries are bounded by a share of requests and never run work twice."""
+"""Retry budget and retry safety."""
 
 from __future__ import annotations
 
@@ -33,10 +33,10 @@
                 self.assertEqual(is_retry_safe(repeatable, state), safe)
 
     def test_retry_storm_stays_within_the_budget(self) -> None:
-        """Every upstream fails each request, and each failure asks for a retry.
+        """Every attempt fails, and each failure asks for a retry.
 
-        With a count of three a request the load would be fourfold just when the
-        upstreams are down.
+        With three retries per request instead of a budget, the load would be fourfold
+        just when the upstreams are down.
         """
         budget = RetryBudget()
         granted = 0
--- a/tests/decisions/test_rollouts.py
+++ b/tests/decisions/test_rollouts.py
@@ -1,4 +1,4 @@
-"""Roll-outs: judgement under continuous looking, interruption and late ratings."""
+"""Roll-out evaluation: repeated evaluation, leader changes and late ratings."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 OLD = make_row(CHEAP, draw_ratings(1, 0.8, 2000))
 
 
-class TestJudge(unittest.TestCase):
+class TestEvaluation(unittest.TestCase):
     def test_actions(self) -> None:
         cases: tuple[tuple[str, int, list[float], RolloutAction], ...] = (
             ("nothing rated", 0, [], RolloutAction.STAY),
@@ -48,7 +48,7 @@
                 found = judge_rollout(make_rollout(stage), (row,), (OLD,), 1.0)
                 self.assertEqual(found.action, action, found)
 
-    def test_few_ratings_of_the_incumbent_judge_nothing(self) -> None:
+    def test_few_ratings_of_the_incumbent_cause_no_action(self) -> None:
         old = make_row(CHEAP, [0.9] * 5)
         row = make_row(CANDIDATE, [0.1] * 50)
         found = judge_rollout(make_rollout(), (row,), (old,), 1.0)
@@ -69,12 +69,12 @@
                 found = judge_rollout(rollout, (row,), (OLD,), 1.0)
                 self.assertEqual(found.action, action)
 
-    def test_continuous_looking_seldom_blames_a_good_version(self) -> None:
-        """Looks after each rating at 200 good candidates; at most 1 % may fall."""
-        blamed = 0
+    def test_repeated_evaluation_seldom_rolls_back_a_good_version(self) -> None:
+        """Of 200 good candidates evaluated every 5 ratings, at most 1 % roll back."""
+        rolled_back = 0
         for seed in range(200):
             ratings = draw_ratings(1000 + seed, 0.8, 120)
-            blamed += any(
+            rolled_back += any(
                 judge_rollout(
                     make_rollout(), (make_row(CANDIDATE, ratings[:seen]),), (OLD,), 1.0
                 ).action
@@ -82,13 +82,13 @@
                 for seen in range(5, 121, 5)
             )
 
-        self.assertLessEqual(blamed, 2)
+        self.assertLessEqual(rolled_back, 2)
 
-    def test_turns_bad_at_a_late_stage(self) -> None:
-        """Users of half the sessions get poor answers while the roll-out goes on.
+    def test_regression_at_a_late_stage(self) -> None:
+        """A candidate that regresses at a late stage must be rolled back.
 
-        The candidate is good for 2,000 ratings, reaches stage 4 of 5, and turns
-        bad. Cause to guard against: its earlier ratings hide the turn.
+        It regresses at stage 4 of 5, with half of the sessions, after 2,000 good
+        ratings. In the totals these would hide the regression.
         """
         before = make_row(CANDIDATE, draw_ratings(4, 0.8, 2000))
         rollout = make_rollout(stage=3)
@@ -98,7 +98,7 @@
         found = judge_rollout(rollout, (after,), (OLD,), 1.0)
         self.assertEqual(found.action, RolloutAction.ROLL_BACK, found)
 
-    def test_sums_over_entries_and_kinds(self) -> None:
+    def test_totals_over_kinds(self) -> None:
         old = make_row(CHEAP, draw_ratings(6, 0.6, 500), "report")
         rows = (
             make_row(CANDIDATE, draw_ratings(7, 0.8, 40)),
@@ -108,10 +108,10 @@
         self.assertEqual(found.action, RolloutAction.ADVANCE, found)
         self.assertEqual(found.rated, 80)
 
-    def test_the_task_grows_harder_for_both(self) -> None:
-        """A good candidate would be withdrawn because its users ask harder things.
+    def test_harder_work_lowers_both_versions(self) -> None:
+        """A good candidate must not be rolled back because the work became harder.
 
-        After the stage began the incumbent's ratings fall as the candidate's do.
+        After the start of the stage the ratings of both versions fall alike.
         """
         rollout = make_rollout(stage=2)
         start = make_row(CANDIDATE, draw_ratings(9, 0.8, 100))
@@ -124,11 +124,11 @@
 
 
 class TestSteps(unittest.TestCase):
-    def test_interrupted_halfway(self) -> None:
-        """A leader dies between judging and proposing; the next one judges again.
+    def test_new_leader_proposes_the_same_step(self) -> None:
+        """A leader fails between evaluation and proposal; the next one repeats both.
 
-        Operators would see a stage skipped, or the roll-out begin anew. The new
-        leader has only the durable record and sums, and must propose the same step.
+        The new leader has only the durable record and the totals. If it proposed
+        another step, a stage would be skipped or the roll-out would start again.
         """
         rollout = make_rollout(stage=2)
         rows = (make_row(CANDIDATE, draw_ratings(2, 0.8, 500)), OLD)
@@ -140,8 +140,8 @@
             [(step.stage, step.status) for step in first],
         )
 
-    def test_never_sideways(self) -> None:
-        """Whatever the ratings, a step is the next stage, the end, or back."""
+    def test_steps_lead_to_the_next_stage_or_the_end(self) -> None:
+        """Any step advances by one stage, completes or rolls back."""
         rng = random.Random(12)
         for number in range(60):
             stage = rng.randrange(5)
@@ -156,9 +156,9 @@
                     self.assertEqual(step.stage, stage)
 
     def test_ratings_after_a_roll_back_change_nothing(self) -> None:
-        """Late good ratings would bring a withdrawn candidate back to callers.
+        """Late good ratings must not revive a candidate that was rolled back.
 
-        The roll-out is rolled back; ratings that were under way arrive after it.
+        Ratings in transit at the time of the roll-back arrive after it.
         """
         rollout = replace(make_rollout(stage=1), status=RolloutStatus.ROLLED_BACK)
         rows = (make_row(CANDIDATE, [0.95] * 500), OLD)
@@ -167,25 +167,26 @@
 
 class TestBets(unittest.TestCase):
     def test_wealth_of_fair_bets_seldom_grows(self) -> None:
-        """By Ville's inequality at most 5 % of fair bets ever reach 20 times."""
-        need = math.log(20.0)
+        """By Ville's inequality at most 5 % of fair bets ever grow 20-fold."""
+        threshold = math.log(20.0)
         reached = 0
         for seed in range(300):
             ratings = draw_ratings(5000 + seed, 0.75, 200)
             reached += any(
-                bet_on(ratings[:seen], 0.745) >= need for seen in range(1, 201, 3)
+                get_log_wealth(ratings[:seen], 0.745) >= threshold
+                for seen in range(1, 201, 3)
             )
 
         self.assertLessEqual(reached, 15)
 
-    def test_wealth_of_a_true_claim_grows(self) -> None:
+    def test_wealth_grows_if_the_mean_is_lower(self) -> None:
         for loss, count in ((0.1, 150), (0.2, 60), (0.4, 25)):
             with self.subTest(loss):
                 ratings = draw_ratings(21, 0.75 - loss, count)
-                self.assertGreater(bet_on(ratings, 0.75), math.log(100.0))
+                self.assertGreater(get_log_wealth(ratings, 0.75), math.log(100.0))
 
     def test_baseline_covers_the_mean_at_all_times(self) -> None:
-        """Means of 300 incumbents, looked at while their ratings triple in number."""
+        """Checks 300 incumbents' means while their ratings triple in number."""
         deviations = get_baseline_deviations(0.05)
         missed = 0
         for seed in range(300):
@@ -199,7 +200,7 @@
         self.assertGreater(get_baseline_deviations(0.005), deviations)
 
 
-def bet_on(ratings: list[float], mean: float) -> float:
+def get_log_wealth(ratings: list[float], mean: float) -> float:
     row = make_row(CHEAP, ratings)
     sums = RatingSums(row.rated, row.total, row.squares)
     return log_mean_exp(
--- a/tests/decisions/test_upstreams.py
+++ b/tests/decisions/test_upstreams.py
@@ -1,4 +1,4 @@
-"""Upstream choice: who may be chosen, who is, and what the counts do to it."""
+"""Upstream choice: eligibility, preference and the effect of load counts."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class TestEligibility(unittest.TestCase):
-    def test_passes_over_those_that_may_not_take_it(self) -> None:
+    def test_skips_ineligible_upstreams(self) -> None:
         cases: dict[str, dict[str, Any]] = {
             "left": {"left": True},
             "leaving": {"leaving": True},
@@ -61,11 +61,11 @@
                     assert isinstance(choice, UpstreamChoice)
                     self.assertEqual(choice.upstream, B)
 
-    def test_refuses_when_none_is_left(self) -> None:
+    def test_refuses_without_eligible_upstream(self) -> None:
         cases: dict[str, tuple[dict[str, Any], frozenset[UpstreamId], str]] = {
             "no holder": ({"versions": ()}, frozenset[UpstreamId](), "no_upstream"),
             "excluded": ({}, frozenset({A}), "no_upstream"),
-            "full": ({"load": BUSY_LOAD}, frozenset[UpstreamId](), BUSY),
+            "at capacity": ({"load": BUSY_LOAD}, frozenset[UpstreamId](), BUSY),
         }
         for name, (changes, exclude, code) in cases.items():
             with self.subTest(name):
@@ -87,11 +87,11 @@
         assert isinstance(choice, UpstreamChoice)
         self.assertEqual(choice.upstream, B)
 
-    def test_takes_the_ejected_back_when_no_other_is_left(self) -> None:
+    def test_probes_the_ejected_upstream_when_no_other_is_left(self) -> None:
         """The only holder that is not ejected leaves.
 
-        The caller would be refused until the ejection's end although the upstream
-        may be well again; so it is taken back on trial.
+        Callers would be refused until the ejection ends although the ejected upstream
+        may have recovered, so it must be probed.
         """
         tables = make_tables(
             make_row("a", ejected_until=60.0), make_row("b", left=True)
@@ -105,7 +105,7 @@
 
 
 class TestPreference(unittest.TestCase):
-    def test_prefers_the_sooner_first_token(self) -> None:
+    def test_prefers_the_earliest_first_token(self) -> None:
         half = LoadReport(running=8, backlog_tokens=8000, prefill_per_second=8000.0)
         cases: dict[str, dict[str, Any]] = {
             "nearer": {"data_centre": "cmc"},
@@ -136,10 +136,10 @@
         self.assertEqual(choice.upstream, B)
 
     def test_entries_agree_on_a_session_without_messages(self) -> None:
-        """A session's next turn reaches another entry, which never saw the session.
+        """A session's next turn reaches another entry, which has no state of it.
 
-        Without a common home each entry would send it to another upstream, and each
-        would read the whole prompt again.
+        Without a common home upstream each entry would choose a different one, and
+        each of those would prefill the whole prompt again.
         """
         homes = set()
         for _entry in range(2):
@@ -151,11 +151,11 @@
 
         self.assertEqual(len(homes), 1)
 
-    def test_sends_no_order_to_one_that_just_failed(self) -> None:
-        """An upstream fails a question; the next order would be sent there as well.
+    def test_sends_no_order_to_an_upstream_that_just_failed(self) -> None:
+        """An upstream has failed a question; the next order must go elsewhere.
 
-        Orders run at most once, so a lost one can't be sent again. Questions go on to
-        show whether the upstream is well.
+        Orders run at most once, so a lost one can't be retried. Questions may still
+        be sent to test whether the upstream has recovered.
         """
         cases: dict[str, dict[str, Any]] = {
             "failed": {"failures": 1},
@@ -174,11 +174,11 @@
                 ]
                 self.assertEqual(names, [B, A])
 
-    def test_turns_away_from_a_stale_report(self) -> None:
+    def test_compensates_for_a_stale_report(self) -> None:
         """Ten requests arrive between two load reports.
 
-        The report says that one upstream is idle and the other half full. Were it
-        taken at its word, all ten would go to the idle one.
+        The report says that one upstream is idle and the other is half loaded. From
+        the report alone, all ten requests would go to the idle one.
         """
         half = LoadReport(running=4, tokens_per_second=50.0, prefill_per_second=8000.0)
         tables = make_tables(make_row("a"), make_row("b", load=half))
@@ -216,7 +216,7 @@
         draw=st.floats(0.0, 1.0, exclude_max=True),
         excluded=st.frozensets(st.integers(0, 49)),
     )
-    def test_never_chooses_one_that_may_not_take_it(
+    def test_never_chooses_an_ineligible_upstream(
         self, rows: list[dict[str, object]], draw: float, excluded: frozenset[int]
     ) -> None:
         tables = make_tables(
--- a/tests/decisions/test_versions.py
+++ b/tests/decisions/test_versions.py
@@ -1,4 +1,4 @@
-"""Choice of version: what is allowed, what is pinned, what is cheapest."""
+"""Version choice: allowed versions, pinned sessions and the cheapest version."""
 
 from __future__ import annotations
 
@@ -90,7 +90,7 @@
         assert isinstance(found, Refusal)
         self.assertEqual(found.code, "workspace_not_found")
 
-    def test_nothing_open(self) -> None:
+    def test_no_active_version(self) -> None:
         tables = make_tables()
         for version in (CHEAP, STRONG):
             spec = tables.versions[version]
@@ -100,9 +100,9 @@
         assert isinstance(found, Refusal)
         self.assertEqual(found.code, "no_version_open")
 
-    def test_versions_without_an_upstream_are_passed_by(self) -> None:
-        # The engines of the cheap version restart all at once. Its requests would be
-        # refused for minutes, while the strong version stands ready.
+    def test_versions_without_an_upstream_are_skipped(self) -> None:
+        # If all engines of the cheap version restart at once, its requests would be
+        # refused for minutes although the strong version is available.
         tables = make_tables(make_rollout(stage=4))
         for held, expected in (
             ({STRONG}, {STRONG}),
@@ -121,7 +121,7 @@
 
                 self.assertLessEqual(chosen, expected)
 
-    def test_dispatch_looks_again(self) -> None:
+    def test_dispatch_checks_the_version_again(self) -> None:
         tables = make_all_statuses()
         cases = (
             (CHEAP, "", None),
@@ -180,18 +180,18 @@
         work = make_work(QUESTION)
         self.assertEqual(len(choose(tables, work).plan), 1)
 
-    def test_dear_ratings_forbid_a_cascade(self) -> None:
+    def test_expensive_ratings_prevent_a_cascade(self) -> None:
         tables = make_tables()
         rate_responses(tables, CHEAP, (0.5, 1.0, 0.9, 0.4) * 20, 9.0, REPORT)
         rate_responses(tables, STRONG, (0.9, 0.95) * 20, 9.0, REPORT)
         tables.rating_price = 150.0
         self.assertEqual(choose(tables, make_work(REPORT)).plan, (STRONG,))
 
-    def test_ratings_stop(self) -> None:
-        """Quality would fall unseen while the rating service is down.
+    def test_conservative_choice_without_ratings(self) -> None:
+        """The rating service is down for minutes while requests continue.
 
-        Ratings arrive, then none for minutes while requests go on. Cause: the
-        service is down. Choices must use what is known, try nothing, and say so.
+        A fall in quality would go undetected, so choices must rely on known versions,
+        explore nothing and give the reason.
         """
         tables = make_tables(make_rollout(stage=4))
         rate_responses(tables, CHEAP, GOOD, 1.0)
@@ -204,11 +204,10 @@
         found = choose(tables, make_work(session="s"), now=502.0)
         self.assertEqual(found.plan, (CANDIDATE,))
 
-    def test_a_version_turns_bad(self) -> None:
-        """Answers of a long trusted version become poor from one moment on.
+    def test_regression_of_a_known_version(self) -> None:
+        """The responses of a version with hundreds of good ratings become poor.
 
-        Hundreds of good ratings, then poor ones. The lifetime mean would stay
-        above the target for hundreds of requests more.
+        Its lifetime mean would stay above the target for hundreds of further requests.
         """
         tables = make_tables()
         rate_responses(tables, STRONG, GOOD, 1.0)
@@ -220,10 +219,10 @@
 
 class TestCandidate(unittest.TestCase):
     def test_ratings_after_a_withdrawal(self) -> None:
-        """A withdrawn version would come back to callers on late praise.
+        """Late good ratings must not revive a withdrawn candidate.
 
-        The candidate is rolled back and withdrawn while ratings of its answers are
-        under way; they arrive, all good, after the withdrawal.
+        It is rolled back and withdrawn while ratings of its responses are in transit;
+        they arrive, all good, after the withdrawal.
         """
         rollout = replace(make_rollout(stage=4), status=RolloutStatus.ROLLED_BACK)
         tables = make_tables(rollout)
@@ -246,7 +245,7 @@
                 ]
                 self.assertTrue(least <= plans.count((CANDIDATE,)) <= most)
 
-    def test_no_share(self) -> None:
+    def test_paused_or_rolled_back_candidate_gets_no_sessions(self) -> None:
         paused = replace(make_rollout(stage=4), status=RolloutStatus.PAUSED)
         rolled_back = replace(paused, status=RolloutStatus.ROLLED_BACK)
         for name, rollout in (("paused", paused), ("rolled back", rolled_back)):
@@ -262,7 +261,7 @@
         assert isinstance(found, Refusal)
         self.assertEqual(found.code, "version_withdrawn")
 
-    def test_exposure_slows_the_share(self) -> None:
+    def test_exposure_weight_reduces_the_share(self) -> None:
         tables = make_tables()
         config = tables.workspaces[WORKSPACE]
         careful = replace(config, weighing=Weighing(exposure=4.0))
@@ -271,7 +270,7 @@
         self.assertLess(get_candidate_share(rollout, careful), 0.2)
         self.assertEqual(get_candidate_share(make_rollout(stage=4), careful), 1.0)
 
-    def test_cap_on_unrated(self) -> None:
+    def test_cap_on_unrated_responses(self) -> None:
         pace = RolloutPace(max_unrated=8)
         tables = make_tables(make_rollout(4, pace))
         tables.entries = 2
@@ -383,7 +382,7 @@
 
 
 def make_all_statuses() -> Tables:
-    """Return tables with an ending, a withdrawn and a not allowed version."""
+    """Return tables with also an ending, a withdrawn and a disallowed version."""
     tables = make_tables()
     cheap = tables.versions[CHEAP]
     extra = (
@@ -408,7 +407,7 @@
     allowed: set[int],
     ratings: list[tuple[int, float]],
 ) -> Tables:
-    """Return tables of five versions with any status, allowance and evidence."""
+    """Return tables of five versions with these statuses, allowed set and ratings."""
     tables = make_tables()
     cheap = tables.versions[CHEAP]
     tables.versions.clear()
@@ -423,7 +422,7 @@
     tables.workspaces[WORKSPACE] = replace(config, allowed=chosen)
     for name, (count, rating) in zip(names, ratings, strict=False):
         rate_responses(tables, name, (rating,) * count, 1.0)
-        unlisted = Evidence(name, WORKSPACE, "stray", count, count * rating)
-        tables.evidence[WORKSPACE, "stray", name] = unlisted
+        unlisted = Evidence(name, WORKSPACE, "unlisted", count, count * rating)
+        tables.evidence[WORKSPACE, "unlisted", name] = unlisted
 
     return tables
