--- a/src/waxwingwell/decisions/admission.py
+++ b/src/waxwingwell/decisions/admission.py
@@ -68,7 +68,9 @@
 
     demand.tokens -= 1.0
     demand.in_flight += 1
-    demand.held[work.priority] = demand.held.get(work.priority, 0) + 1
+    demand.in_flight_by_priority[work.priority] = (
+        demand.in_flight_by_priority.get(work.priority, 0) + 1
+    )
     return Admitted(wait)
 
 
@@ -167,5 +169,5 @@
         return
 
     demand.in_flight = max(demand.in_flight - 1, 0)
-    held = demand.held.get(work.priority, 0)
-    demand.held[work.priority] = max(held - 1, 0)
+    held = demand.in_flight_by_priority.get(work.priority, 0)
+    demand.in_flight_by_priority[work.priority] = max(held - 1, 0)
--- a/src/waxwingwell/decisions/candidates.py
+++ b/src/waxwingwell/decisions/candidates.py
@@ -114,7 +114,7 @@
     """Return a sample of holders from the index, without duplicates."""
     sampled: dict[UpstreamId, None] = {}
     for digest in work.prefixes[:2]:
-        for upstream in list(tables.homes.get(digest, ()))[-4:]:
+        for upstream in list(tables.recent_upstreams.get(digest, ()))[-4:]:
             sampled[upstream] = None
 
     holders = tables.holders.get(work.service or version, [])
--- a/src/waxwingwell/decisions/prefixes.py
+++ b/src/waxwingwell/decisions/prefixes.py
@@ -95,12 +95,12 @@
     for digest in digests:
         row.prefixes.pop(digest, None)
         row.prefixes[digest] = now
-        homes = tables.homes.pop(digest, {})
-        homes[upstream] = now
-        tables.homes[digest] = homes
+        recent_upstreams = tables.recent_upstreams.pop(digest, {})
+        recent_upstreams[upstream] = now
+        tables.recent_upstreams[digest] = recent_upstreams
 
     drop_oldest(row.prefixes, MAX_KEPT_PREFIXES)
-    drop_oldest(tables.homes, MAX_INDEXED_PREFIXES)
+    drop_oldest(tables.recent_upstreams, MAX_INDEXED_PREFIXES)
 
 
 def note_evicted(tables: Tables, upstream: UpstreamId, digests: Iterable[str]) -> None:
@@ -111,7 +111,7 @@
 
     for digest in digests:
         row.prefixes.pop(digest, None)
-        tables.homes.get(digest, {}).pop(upstream, None)
+        tables.recent_upstreams.get(digest, {}).pop(upstream, None)
 
 
 def drop_oldest(
--- a/src/waxwingwell/decisions/queue.py
+++ b/src/waxwingwell/decisions/queue.py
@@ -72,8 +72,8 @@
     if work.deadline:
         expires_at = min(expires_at, work.deadline)
 
-    tables.waited += 1
-    waiting = Waiting(work, version, now, expires_at, tables.waited)
+    tables.enqueued += 1
+    waiting = Waiting(work, version, now, expires_at, tables.enqueued)
     tables.waiting[work.request] = waiting
     return waiting
 
--- a/src/waxwingwell/decisions/shares.py
+++ b/src/waxwingwell/decisions/shares.py
@@ -47,7 +47,7 @@
     running = {
         (name, priority): count
         for name, demand in tables.demand.items()
-        for priority, count in demand.held.items()
+        for priority, count in demand.in_flight_by_priority.items()
     }
     for waiting in tables.waiting.values():
         key = (waiting.work.workspace, waiting.work.priority)
--- a/src/waxwingwell/decisions/tables.py
+++ b/src/waxwingwell/decisions/tables.py
@@ -81,7 +81,7 @@
     """Smoothed requests per second offered at this entry, including refused ones."""
     rate_updated_at: float = 0.0
     """When ``rate`` was last updated."""
-    held: dict[Priority, int] = field(default_factory=dict)
+    in_flight_by_priority: dict[Priority, int] = field(default_factory=dict)
     """This entry's admitted requests by priority."""
     elsewhere_in_flight: int = 0
     elsewhere_rate: float = 0.0
@@ -172,14 +172,14 @@
     """Waiting queue, by request id."""
     claims: dict[str, UpstreamId] = field(default_factory=dict)
     """Upstream with a slot reserved, by request id."""
-    waited: int = 0
+    enqueued: int = 0
     """Number of requests enqueued so far, the number of the latest one."""
     finish_rate: float = 0.0
     """Smoothed completions per second at this entry."""
     finish_rate_updated_at: float = 0.0
     holders: dict[str, list[UpstreamId]] = field(default_factory=dict)
     """Upstreams by version or service; a hint, rebuilt by ``index_upstreams``."""
-    homes: dict[str, dict[UpstreamId, float]] = field(default_factory=dict)
+    recent_upstreams: dict[str, dict[UpstreamId, float]] = field(default_factory=dict)
     """Upstreams that recently received a prompt prefix, by digest; a hint."""
     rating_heard_at: float = 0.0
     """When the last rating arrived; stale ratings make decisions conservative."""
--- a/tests/decisions/test_upstreams.py
+++ b/tests/decisions/test_upstreams.py
@@ -141,15 +141,15 @@
         Without a common home upstream each entry would choose a different one, and
         each of those would prefill the whole prompt again.
         """
-        homes = set()
+        chosen_upstreams = set()
         for _entry in range(2):
             tables = make_tables(*(make_row(f"u{number}") for number in range(6)))
             work = make_work(session="s1", prefixes=("p",), prefix_tokens=(700,))
             choice = choose_upstream(tables, work, VERSION, now=1.0, draw=0.3)
             assert isinstance(choice, UpstreamChoice)
-            homes.add(choice.upstream)
+            chosen_upstreams.add(choice.upstream)
 
-        self.assertEqual(len(homes), 1)
+        self.assertEqual(len(chosen_upstreams), 1)
 
     def test_sends_no_order_to_an_upstream_that_just_failed(self) -> None:
         """An upstream has failed a question; the next order must go elsewhere.
