--- a/src/waxwingwell/decisions/loading.py
+++ b/src/waxwingwell/decisions/loading.py
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WeightStore:
-    """Limits of the weight store, as configured by the operators."""
+    """Limits of the weight store, as known to the operators."""
 
     loads_per_minute: float = 6.0
     max_concurrent: int = 2
