--- a/src/waxwingwell/decisions/ejection.py
+++ b/src/waxwingwell/decisions/ejection.py
@@ -1,10 +1,10 @@
-"""Outlier ejection: keep work off upstreams that fail or fall silent.
+"""Outlier ejection: send no work to upstreams that fail or stop responding.
 
-An upstream is ejected after several failures in a row, for a time that doubles with
-each ejection, and comes back on trial with one request at a time. Failures guarded
-against: an upstream that accepts and never answers looks idle, draws all traffic and
-loses it; and a fault common to all (a bad prompt, a cut link of this entry) would
-empty the table. So one holder of each version and half of the peers always stay.
+An upstream is ejected after several consecutive failures, for a time that doubles
+with each ejection, and is then probed with one request at a time. Without ejection,
+an upstream that accepts requests and never responds looks idle, attracts all traffic
+and loses it. A common fault (a bad prompt, a broken link of this entry) must not
+eject every upstream, so one holder of each version and half of the peers always stay.
 """
 
 from __future__ import annotations
@@ -21,56 +21,64 @@
 
 
 FAILURES_TO_EJECT = 3
-SILENCE_WEIGHT = 2
-"""A silence counts as this many failures: it costs a whole deadline to see one."""
-FIRST_EJECTION = 5.0
-MAX_EJECTION = 60.0
+"""Consecutive failures after which an upstream is ejected."""
+UNRESPONSIVE_WEIGHT = 2
+"""Failures that a missed progress deadline counts as, since it is slow to detect."""
+FIRST_EJECTION_SECONDS = 5.0
+MAX_EJECTION_SECONDS = 60.0
 MAX_EJECTED_SHARE = 0.5
+"""Maximum share of the holders of a version that may be ejected at once."""
 
 
-def note_success(row: UpstreamRow) -> None:
-    """Clear the failures of an upstream that served a request."""
+def record_success(row: UpstreamRow) -> None:
+    """Reset the failure counts of an upstream that completed a request."""
     row.failures = 0
     row.ejections = 0
     row.probing = False
 
 
-def note_failure(
+def record_failure(
     tables: Tables, upstream: UpstreamId, *, weight: int, now: float
 ) -> bool:
-    """Count a failure; return whether the upstream was ejected for it."""
+    """Count a failure; return whether it caused the upstream's ejection."""
     row = tables.upstreams.get(upstream)
     if row is None:
         return False
 
     row.failures += weight
-    enough = row.failures >= FAILURES_TO_EJECT or row.probing
-    if not enough or row.ejected_until > now or not may_eject(tables, row, now):
+    threshold_reached = row.failures >= FAILURES_TO_EJECT or row.probing
+    if (
+        not threshold_reached
+        or row.ejected_until > now
+        or not may_eject(tables, row, now)
+    ):
         return False
 
-    row.ejected_until = now + min(FIRST_EJECTION * 2**row.ejections, MAX_EJECTION)
+    row.ejected_until = now + min(
+        FIRST_EJECTION_SECONDS * 2**row.ejections, MAX_EJECTION_SECONDS
+    )
     row.ejections = min(row.ejections + 1, 10)
     row.probing = True
     return True
 
 
 def may_eject(tables: Tables, row: UpstreamRow, now: float) -> bool:
-    """Return whether enough peers would stay for each version the row holds."""
+    """Return whether enough peers would remain for each version the row holds."""
     for group in list_groups(row):
         peers = [
             peer
             for peer in tables.upstreams.values()
             if not peer.left and peer.expires_at > now and group in list_groups(peer)
         ]
-        staying = sum(1 for peer in peers if peer.ejected_until <= now) - 1
-        if staying < max(1.0, len(peers) * (1.0 - MAX_EJECTED_SHARE)):
+        remaining = sum(1 for peer in peers if peer.ejected_until <= now) - 1
+        if remaining < max(1.0, len(peers) * (1.0 - MAX_EJECTED_SHARE)):
             return False
 
     return True
 
 
 def list_groups(row: UpstreamRow) -> tuple[str, ...]:
-    """Return the names of what the upstream serves: versions, or its service."""
+    """Return the versions that the upstream holds, or the service that it runs."""
     announcement = row.announcement
     if announcement.kind is UpstreamKind.SERVICE:
         return (announcement.service,)
@@ -78,7 +86,7 @@
     return announcement.versions
 
 
-def lift_ejection(row: UpstreamRow, now: float) -> None:
-    """Take an upstream back on trial before its time, when no other is left."""
+def end_ejection(row: UpstreamRow, now: float) -> None:
+    """End an ejection early and probe the upstream, when no other is available."""
     row.ejected_until = min(row.ejected_until, now)
     row.probing = True
--- a/src/waxwingwell/decisions/rollouts.py
+++ b/src/waxwingwell/decisions/rollouts.py
@@ -1,7 +1,7 @@
 """Roll-outs: when a candidate advances, completes or is rolled back.
 
-The judgement needs the durable roll-out record and the summed evidence alone, so a
-new leader goes on where the old one stopped. Design: docs/design/rollouts.md.
+The evaluation depends only on the durable roll-out record and the total evidence, so
+a new leader continues where the old one stopped. Design: docs/design/rollouts.md.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 from ..records import RolloutStatus
 from .comparisons import Comparison
 from .comparisons import compare
+from .comparisons import compute_log_evidence
 from .comparisons import index_rows
 from .comparisons import subtract_base
-from .comparisons import weigh_evidence
 
 
 if TYPE_CHECKING:
@@ -26,19 +26,19 @@
     from ..records import Evidence
     from ..records import Rollout
     from ..records import VersionId
-    from .bets import Sums
+    from .bets import RatingSums
     from .comparisons import Cell
 
-LEAST_RATED = 20
-"""Ratings of a candidate before its first advance."""
-LEAST_RATED_STAGE = 10
-"""Ratings of a candidate at each later stage."""
+MIN_RATINGS = 20
+"""Minimum number of ratings of a candidate before its first advance."""
+MIN_STAGE_RATINGS = 10
+"""Minimum number of ratings of a candidate in each stage."""
 ADVANCE_DEVIATIONS = 1.64
-"""Standard errors by which a loss must be ruled out before an advance."""
+"""Standard errors added to the loss before it is compared with the tolerance."""
 
 
 class RolloutAction(StrEnum):
-    """What to do with a roll-out."""
+    """Action to take on a roll-out."""
 
     STAY = "stay"
     ADVANCE = "advance"
@@ -47,14 +47,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RolloutVerdict:
-    """A judgement, with the figures that it rests on."""
+class RolloutEvaluation:
+    """The action for a roll-out, and the figures behind it."""
 
     action: RolloutAction
     reason: str
     rated: int = 0
     loss: float = 0.0
-    """Incumbent's mean rating minus the candidate's, like work against like."""
+    """Incumbent's mean rating minus the candidate's, compared cell by cell."""
     error: float = 0.0
     log_wealth: float = 0.0
     """Log evidence that the candidate is worse."""
@@ -75,33 +75,33 @@
     candidate: Iterable[Evidence],
     incumbent: Iterable[Evidence],
     now: float,
-) -> RolloutVerdict:
-    """Judge a roll-out from the evidence of both versions, summed over entries."""
+) -> RolloutEvaluation:
+    """Evaluate a roll-out from both versions' evidence, totalled over all entries."""
     if rollout.status not in (RolloutStatus.RUNNING, RolloutStatus.PAUSED):
-        return RolloutVerdict(RolloutAction.STAY, "the roll-out has ended")
+        return RolloutEvaluation(RolloutAction.STAY, "the roll-out has ended")
 
-    mine = index_rows(candidate)
-    theirs = index_rows(incumbent)
-    fresh = subtract_base(mine, rollout, rollout.candidate)
-    compared = compare(mine, theirs)
-    wealth = weigh_evidence(rollout, mine, fresh, theirs)
+    candidate_sums = index_rows(candidate)
+    incumbent_sums = index_rows(incumbent)
+    stage_sums = subtract_base(candidate_sums, rollout, rollout.candidate)
+    comparison = compare(candidate_sums, incumbent_sums)
+    wealth = compute_log_evidence(rollout, candidate_sums, stage_sums, incumbent_sums)
     if wealth >= math.log(2.0 / rollout.pace.false_alarm):
-        reason = f"rated worse than {rollout.incumbent} by {compared.loss:.3f}"
-        return _verdict(RolloutAction.ROLL_BACK, reason, compared, wealth)
+        reason = f"rated worse than {rollout.incumbent} by {comparison.loss:.3f}"
+        return _make_evaluation(RolloutAction.ROLL_BACK, reason, comparison, wealth)
 
     if rollout.status is RolloutStatus.PAUSED:
-        return _verdict(RolloutAction.STAY, "paused", compared, wealth)
+        return _make_evaluation(RolloutAction.STAY, "paused", comparison, wealth)
 
-    missing = _find_missing(rollout, compared, fresh)
+    missing = _describe_missing_evidence(rollout, comparison, stage_sums)
     if missing:
         waited = max(0.0, now - rollout.stage_at)
         reason = f"{missing}, {waited:.0f} s into the stage"
-        return _verdict(RolloutAction.STAY, reason, compared, wealth)
+        return _make_evaluation(RolloutAction.STAY, reason, comparison, wealth)
 
     last = rollout.stage + 1 >= len(rollout.pace.stages)
     action = RolloutAction.COMPLETE if last else RolloutAction.ADVANCE
     reason = f"a loss above {_get_tolerance(rollout):.3f} is ruled out"
-    return _verdict(action, reason, compared, wealth)
+    return _make_evaluation(action, reason, comparison, wealth)
 
 
 def step_rollouts(
@@ -109,7 +109,7 @@
     evidence: Iterable[Evidence],
     now: float,
 ) -> tuple[RolloutStep, ...]:
-    """Judge every roll-out and return the changes that the leader should propose.
+    """Evaluate every roll-out and return the changes for the leader to propose.
 
     ``now`` is the leader's wall clock, as ``Rollout.stage_at`` is.
     """
@@ -119,13 +119,13 @@
 
     steps: list[RolloutStep] = []
     for rollout in rollouts.values():
-        verdict = judge_rollout(
+        evaluation = judge_rollout(
             rollout,
             rows.get(rollout.candidate, ()),
             rows.get(rollout.incumbent, ()),
             now,
         )
-        step = _make_step(rollout, verdict)
+        step = _make_step(rollout, evaluation)
         if step is not None:
             steps.append(step)
 
@@ -133,19 +133,19 @@
 
 
 def take_base(rollout: Rollout, evidence: Iterable[Evidence]) -> tuple[Evidence, ...]:
-    """Return the rows to keep as ``Rollout.base`` when a stage begins.
+    """Return the rows to store as ``Rollout.base`` at the start of a stage.
 
-    Failure: a version turns bad at a late stage and its earlier good ratings hide
-    it. The test also runs on what came since the base, where nothing hides it.
+    If a version regresses at a late stage, its earlier good ratings hide that in the
+    totals. So the test also runs on the ratings since the base alone.
     """
     versions = (rollout.candidate, rollout.incumbent)
     return tuple(row for row in evidence if row.version in versions)
 
 
-def _make_step(rollout: Rollout, verdict: RolloutVerdict) -> RolloutStep | None:
+def _make_step(rollout: Rollout, evaluation: RolloutEvaluation) -> RolloutStep | None:
     stage = rollout.stage
     status = RolloutStatus.RUNNING
-    match verdict.action:
+    match evaluation.action:
         case RolloutAction.STAY:
             return None
         case RolloutAction.ADVANCE:
@@ -155,22 +155,22 @@
         case RolloutAction.ROLL_BACK:
             status = RolloutStatus.ROLLED_BACK
 
-    return RolloutStep(rollout.model, stage, status, verdict.reason)
+    return RolloutStep(rollout.model, stage, status, evaluation.reason)
 
 
-def _find_missing(
-    rollout: Rollout, compared: Comparison, fresh: dict[Cell, Sums]
+def _describe_missing_evidence(
+    rollout: Rollout, comparison: Comparison, stage_sums: dict[Cell, RatingSums]
 ) -> str:
-    """Return what an advance still waits for, or nothing."""
-    if compared.rated < LEAST_RATED:
-        return f"waits for {LEAST_RATED - compared.rated} more ratings"
+    """Return which evidence is missing for an advance, or an empty string."""
+    if comparison.rated < MIN_RATINGS:
+        return f"waits for {MIN_RATINGS - comparison.rated} more ratings"
 
-    recent = int(sum(sums.rated for sums in fresh.values()))
-    if recent < LEAST_RATED_STAGE:
-        return f"waits for {LEAST_RATED_STAGE - recent} more ratings of this stage"
+    recent = int(sum(sums.rated for sums in stage_sums.values()))
+    if recent < MIN_STAGE_RATINGS:
+        return f"waits for {MIN_STAGE_RATINGS - recent} more ratings of this stage"
 
     tolerance = _get_tolerance(rollout)
-    worst = compared.loss + ADVANCE_DEVIATIONS * compared.error
+    worst = comparison.loss + ADVANCE_DEVIATIONS * comparison.error
     if worst > tolerance:
         return f"a loss up to {worst:.3f} is possible, above {tolerance:.3f}"
 
@@ -180,16 +180,16 @@
 def _get_tolerance(rollout: Rollout) -> float:
     """Return the loss that must be ruled out before the next stage.
 
-    It shrinks with the share at stake: little traffic may go on less knowledge.
+    It decreases with the share of the next stage: a small share needs less certainty.
     """
     stages = rollout.pace.stages
     share = stages[min(rollout.stage + 1, len(stages) - 1)]
     return rollout.pace.margin / math.sqrt(max(share, 0.01))
 
 
-def _verdict(
-    action: RolloutAction, reason: str, compared: Comparison, wealth: float
-) -> RolloutVerdict:
-    return RolloutVerdict(
-        action, reason, compared.rated, compared.loss, compared.error, wealth
+def _make_evaluation(
+    action: RolloutAction, reason: str, comparison: Comparison, wealth: float
+) -> RolloutEvaluation:
+    return RolloutEvaluation(
+        action, reason, comparison.rated, comparison.loss, comparison.error, wealth
     )
--- a/src/waxwingwell/decisions/shares.py
+++ b/src/waxwingwell/decisions/shares.py
@@ -1,4 +1,4 @@
-"""Fair shares between workspaces: who must let others go first."""
+"""Fair sharing of capacity between workspaces."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
     from .tables import Tables
 
 
-MOST_HELD = 0.5
-"""A workspace with more than this share of the running work goes after others."""
+MAX_RUNNING_SHARE = 0.5
+"""Share of the running work above which a workspace yields to others."""
 
 
 def find_over_share(tables: Tables) -> set[tuple[WorkspaceId, Priority]]:
-    """Return the workspaces and priorities that must let others go first.
+    """Return the workspaces and priorities that exceed their fair share.
 
-    Failure guarded against: a workspace that floods the highest priority would, by
-    priority alone, keep all others out for good. So when its running work of a
-    priority and above fills most of the places and another workspace waits, its
-    further work of that priority goes last and keeps to the lowest bound.
+    By priority alone, a workspace that floods the highest priority would starve all
+    others. So when its running work of a priority and above takes most of the
+    capacity and another workspace waits, its further work of that priority goes last
+    and is limited as the lowest priority is.
     """
     names = {waiting.work.workspace for waiting in tables.waiting.values()}
     if len(names) < 2:
@@ -31,26 +31,26 @@
 
     running = count_running(tables)
     total = sum(running.values())
-    over = set()
+    over_share = set()
     for name in names:
         held = 0
         for priority in PRIORITY_ORDER:
             held += running.get((name, priority), 0)
-            if held > total * MOST_HELD:
-                over.add((name, priority))
+            if held > total * MAX_RUNNING_SHARE:
+                over_share.add((name, priority))
 
-    return over
+    return over_share
 
 
 def count_running(tables: Tables) -> dict[tuple[WorkspaceId, Priority], int]:
-    """Return the admitted requests that do not wait, by workspace and priority."""
+    """Return the number of running requests by workspace and priority."""
     running = {
         (name, priority): count
         for name, demand in tables.demand.items()
-        for priority, count in demand.held.items()
+        for priority, count in demand.in_flight_by_priority.items()
     }
     for waiting in tables.waiting.values():
-        spot = (waiting.work.workspace, waiting.work.priority)
-        running[spot] = max(running.get(spot, 0) - 1, 0)
+        key = (waiting.work.workspace, waiting.work.priority)
+        running[key] = max(running.get(key, 0) - 1, 0)
 
     return running
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -1,4 +1,4 @@
-"""Limits of a workspace, alone and shared between entries."""
+"""Admission within a workspace's limits, at one entry and divided between entries."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from waxwingwell.decisions.admission import admit
 from waxwingwell.decisions.admission import release
 from waxwingwell.decisions.admission import smooth_demand
-from waxwingwell.decisions.queue import put_waiting
+from waxwingwell.decisions.queue import enqueue
 from waxwingwell.decisions.tables import Refusal
 from waxwingwell.decisions.tables import WorkspaceDemand
 from waxwingwell.records import Limits
@@ -46,7 +46,7 @@
                 self.assertEqual({one.code for one in refused}, {code})
                 self.assertTrue(all(one.retry_after for one in refused))
 
-    def test_unknown_workspace_is_never_worth_coming_back(self) -> None:
+    def test_unknown_workspace_is_refused_without_retry(self) -> None:
         tables = make_tables()
         work = make_work(workspace=WorkspaceId("nobody"))
         refusal = admit(tables, work, 1.0)
@@ -55,24 +55,24 @@
 
     def test_refuses_a_wait_beyond_the_limit(self) -> None:
         tables = make_tables(configs=(make_config(limits=Limits(max_wait=2.0)),))
-        tables.finish_rate, tables.finish_rated_at = 2.0, 1.0
+        tables.finish_rate, tables.finish_rate_updated_at = 2.0, 1.0
         for number in range(6):
             work = make_work(f"w{number}", priority=Priority.TAG)
-            put_waiting(tables, work, VERSION, 1.0)
+            enqueue(tables, work, VERSION, 1.0)
 
         report = admit(tables, make_work("r", priority=Priority.REPORT), 1.0)
         order = admit(tables, make_work("o", priority=Priority.ORDER), 1.0)
         self.assertIsInstance(report, Refusal)
         self.assertEqual(order, Admitted(0.0))
 
-    def test_shares_the_rate_between_entries(self) -> None:
+    def test_divides_the_rate_between_entries(self) -> None:
         """Two entries get half of a workspace's requests each.
 
-        Were the limit kept by each alone, the workspace would have twice its rate.
+        If each applied the full limit, the workspace would get twice its rate.
         """
         tables = make_tables(configs=(make_config(limits=Limits(10.0, 1000)),))
         tables.demand[WORKSPACE] = WorkspaceDemand(rate=20.0, elsewhere_rate=20.0)
-        tables.demand[WORKSPACE].rated_at = 0.001
+        tables.demand[WORKSPACE].rate_updated_at = 0.001
         admitted = 0
         for number in range(200):
             now = number / 20
@@ -82,11 +82,11 @@
         self.assertLessEqual(admitted, 60)
         self.assertGreaterEqual(admitted, 40)
 
-    def test_idle_entry_gives_its_share_back(self) -> None:
+    def test_idle_entry_releases_its_share(self) -> None:
         """A workspace's callers move from one entry to another.
 
-        Did the old entry go on telling its rate, the new one would keep to half of
-        the limit for good.
+        If the old entry's rate did not decay, the new one would stay limited to a
+        part of the limit permanently.
         """
         tables = make_tables()
         for number in range(20):
