--- a/src/waxwingwell/adapters/registry/__init__.py
+++ b/src/waxwingwell/adapters/registry/__init__.py
@@ -1,1 +1,1 @@
-"""The registry: controls that keep the routing document, roll-outs and upstreams."""
+"""The registry: controls that store the routing document, roll-outs and upstreams."""
--- a/src/waxwingwell/adapters/registry/api.py
+++ b/src/waxwingwell/adapters/registry/api.py
@@ -1,6 +1,6 @@
-"""What operators and upstreams ask of a registry, whatever they speak.
+"""Protocol-independent operations of a registry for operators and upstreams.
 
-Any control answers; what must be the newest is asked of the leader.
+Any control accepts them. Commands and reads of the newest state go to the leader.
 """
 
 from __future__ import annotations
@@ -26,10 +26,10 @@
 from ..events import log_event
 from ..links import call_link
 from ..measures import ORDERS
-from .hub import spread_news
+from .hub import broadcast_announcement
 from .members import is_leading
-from .members import read_here
-from .members import submit_here
+from .members import read_local_state
+from .members import submit_locally
 
 
 if TYPE_CHECKING:
@@ -45,12 +45,12 @@
 
 
 CALL_SECONDS = 0.8
-"""For a call to the leader; operators try another control after a second."""
+"""Timeout of a call to the leader; operators try another control after a second."""
 
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """A document that can't be published, and every reason."""
+    """The outcome for an invalid document, with all validation findings."""
 
     findings: tuple[Finding, ...]
 
@@ -58,7 +58,7 @@
 def publish_document(
     context: RegistryContext, document: Document, source: bytes
 ) -> Deferred[Accepted | NotAccepted | Refused]:
-    """Check a document and put it into force on all members."""
+    """Validate a document and commit it to the replicated log."""
     findings = find_faults(document)
     if findings:
         log_event(
@@ -72,10 +72,10 @@
     return submit(context, command)
 
 
-def begin_rollout(
+def start_rollout(
     context: RegistryContext, service: str, target: str, duration: float
 ) -> Deferred[Accepted | NotAccepted]:
-    """Order a move of a service's traffic to another version."""
+    """Start a roll-out that shifts a service's traffic to another version."""
     command = BeginRollout(
         service=service,
         target=target,
@@ -86,20 +86,20 @@
 
 
 def submit(context: RegistryContext, command: RoutingCommand) -> Deferred[Any]:
-    """Put a command through the log, here or at the leader."""
+    """Submit a command to the replicated log, through the leader if it is elsewhere."""
     now = context.clock()
     if is_leading(context, now):
         encoded = msgspec.msgpack.encode(command)
-        answer = submit_here(context, command, encoded)
+        reply = submit_locally(context, command, encoded)
     else:
-        answer = ask_leader(context, SubmitRouting(command=command))
+        reply = ask_leader(context, SubmitRouting(command=command))
 
-    answer.addCallback(log_outcome, type(command).__name__)
-    return answer
+    reply.addCallback(log_outcome, type(command).__name__)
+    return reply
 
 
 def log_outcome(outcome: Any, command: str) -> Any:
-    """Log what became of an order."""
+    """Log and count the outcome of a command, then pass it on."""
     reason = outcome.reason if isinstance(outcome, NotAccepted) else ""
     accepted = isinstance(outcome, Accepted)
     ORDERS.labels(command, str(accepted).lower()).inc()
@@ -108,7 +108,7 @@
 
 
 def ask_leader(context: RegistryContext, body: Message) -> Deferred[Any]:
-    """Call the leader; without one the answer is ``NotAccepted`` at once."""
+    """Call the leader; without a link to one, reply ``NotAccepted`` at once."""
     leader = "" if context.group is None else leader_of(context.group)
     link = context.controls.get(leader)
     if link is None:
@@ -121,38 +121,42 @@
 
 
 def read_newest(context: RegistryContext) -> Deferred[RoutingNow | NotAccepted]:
-    """Return the newest state, proven by the leader's lease."""
+    """Return the newest committed state, as confirmed by the leader's lease."""
     if is_leading(context, context.clock()):
-        return succeed(read_here(context))
+        return succeed(read_local_state(context))
 
     return ask_leader(context, ReadRouting())
 
 
-def announce(context: RegistryContext, news: Announcement) -> None:
-    """Take an upstream's announcement; gateways know of it when this returns."""
-    context.heard[news.upstream] = (news.incarnation, news.sequence)
-    spread_news(context, news)
+def announce(context: RegistryContext, announcement: Announcement) -> None:
+    """Apply an upstream's announcement; changes are sent before this returns."""
+    context.direct_heartbeats[announcement.upstream] = (
+        announcement.incarnation,
+        announcement.sequence,
+    )
+    broadcast_announcement(context, announcement)
 
 
 def withdraw(context: RegistryContext, upstream: str, incarnation: int | None) -> bool:
-    """Take an upstream's leave; false if nothing is known of it here.
+    """Deregister an upstream; return false if it is unknown and can't be identified.
 
-    Without an incarnation the one that is known leaves.
+    Without an incarnation, the known one is deregistered. An upstream unknown here is
+    deregistered only if the incarnation is given.
     """
     held = context.fleet.upstreams.get(upstream)
     if held is not None:
-        news = msgspec.structs.replace(
+        announcement = msgspec.structs.replace(
             held.news,
             state=UpstreamState.GONE,
             incarnation=held.news.incarnation if incarnation is None else incarnation,
         )
-        spread_news(context, news)
+        broadcast_announcement(context, announcement)
         return True
 
     if incarnation is None:
         return False
 
-    news = Announcement(
+    announcement = Announcement(
         upstream=upstream,
         service="",
         host="",
@@ -164,5 +168,5 @@
         incarnation=incarnation,
         sequence=0,
     )
-    spread_news(context, news)
+    broadcast_announcement(context, announcement)
     return True
--- a/src/waxwingwell/adapters/registry/context.py
+++ b/src/waxwingwell/adapters/registry/context.py
@@ -25,26 +25,28 @@
 
 
 @dataclass(slots=True)
-class Sent:
-    """What a gateway's link has been sent."""
+class SentState:
+    """What was sent on a gateway's connection."""
 
     index: int = -1
+    """Log index of the routing state that was sent last."""
     version: int = -1
-    news: bool = True
-    """All news was sent; false if some found the link full."""
+    """Version of the document that was sent last."""
+    announced: bool = True
+    """Whether all announcements were sent; false if the link dropped one as full."""
 
 
 @dataclass(slots=True)
 class RolloutWatch:
-    """What the leader remembers of a move under way."""
+    """The leader's view of a roll-out in progress."""
 
-    began_at: float
+    started_at: float
     evidence: EvidenceTable
 
 
 @dataclass(slots=True, kw_only=True)
 class RegistryContext:
-    """What the parts of a registry process share."""
+    """State shared by the modules of a registry process."""
 
     settings: RegistrySettings
     reactor: Any
@@ -53,23 +55,26 @@
     state: RoutingState = field(default_factory=RoutingState)
     group: Group | None = None
     reopen_at: float = 0.0
+    """When to reopen the data folder after the group was closed."""
     flush_due: bool = False
+    """Whether a flush is scheduled in this turn of the reactor."""
     node: LinkNode | None = None
     controls: dict[str, Link] = field(default_factory=dict)
-    """Our links to the other controls, by name."""
-    peers: dict[LinkProtocol, Sent] = field(default_factory=dict)
-    """Connections of gateways, and what each has been sent."""
-    behind: set[str] = field(default_factory=set)
-    """Controls whose link was full, or down, when there was news."""
+    """Outgoing links to the other controls, by name."""
+    gateway_links: dict[LinkProtocol, SentState] = field(default_factory=dict)
+    """Connections of gateways, with what was sent on each."""
+    unannounced: set[str] = field(default_factory=set)
+    """Controls that missed an announcement, as their link was full or down."""
     fleet: FleetTable = field(default_factory=FleetTable)
-    heard: dict[str, tuple[int, int]] = field(default_factory=dict)
-    """Upstreams heard of directly since the last round of heartbeats."""
+    direct_heartbeats: dict[str, tuple[int, int]] = field(default_factory=dict)
+    """Incarnation and sequence of each upstream that has announced itself to this
+    control since heartbeats were shared last."""
     reports: ReportTable = field(default_factory=ReportTable)
     watches: dict[tuple[str, float], RolloutWatch] = field(default_factory=dict)
-    due: dict[str, float] = field(default_factory=dict)
-    """When each periodic duty ran last, by its name."""
-    members: Membership = Membership()
-    """The members as they were logged last."""
-    led: str = ""
-    """The leader as it was logged last."""
+    last_runs: dict[str, float] = field(default_factory=dict)
+    """Time of the last run of each periodic task, by its name."""
+    logged_members: Membership = Membership()
+    """Members written to the event log last."""
+    logged_leader: str = ""
+    """Leader written to the event log last."""
     stopping: bool = False
--- a/src/waxwingwell/adapters/registry/daemon.py
+++ b/src/waxwingwell/adapters/registry/daemon.py
@@ -1,4 +1,4 @@
-"""The registry daemon: a control of a routing group as a process."""
+"""The registry daemon: runs one control of the routing group."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 from ..metrics_listener import serve_metrics
 from .context import RegistryBody
 from .context import RegistryContext
-from .hub import know_control
+from .hub import connect_control
+from .hub import handle_connection
 from .hub import run_sharing
 from .hub import take_call
 from .hub import take_cast
-from .hub import take_greeting
 from .members import open_member
 from .members import tick_member
 from .rollouts import watch_rollouts
@@ -41,9 +41,10 @@
     from .settings import RegistrySettings
 
 
-TICK = 0.05
-"""Seconds between two looks at what is due; elections take over ten times as long."""
-MAX_BODY = 8 << 20
+TICK_SECONDS = 0.05
+"""Seconds between runs of the periodic tasks; elections take over ten times as long."""
+MAX_BODY_BYTES = 8 << 20
+"""Bytes in the body of a request to the admin port."""
 
 
 @dataclass(slots=True)
@@ -60,11 +61,12 @@
     settings: RegistrySettings,
     reactor: Any,
     make_handler: Callable[[RegistryContext], Callable[[HttpRequest, Responder], None]],
-    began_at: float | None = None,
+    started_at: float | None = None,
 ) -> RegistryDaemon:
-    """Open the data folder and begin to serve; errors: ``CannotListenError``.
+    """Open the ports and the data folder; raises ``CannotListenError``.
 
-    ``began_at`` is when the process began, by its clock; now, if it isn't known.
+    ``started_at`` is the start of the process by its monotonic clock; the default is
+    the present time.
     """
     context = RegistryContext(
         settings=settings, reactor=reactor, clock=read_clock, wall_clock=time.time
@@ -79,12 +81,12 @@
             body_type=RegistryBody,
         ),
         timing=ROUTING_TIMING,
-        on_greeted=partial(take_greeting, context),
+        on_greeted=partial(handle_connection, context),
     )
     service = HttpService(
         reactor=reactor,
         handle=make_handler(context),
-        limits=lambda: HttpLimits(body_bytes=MAX_BODY),
+        limits=lambda: HttpLimits(body_bytes=MAX_BODY_BYTES),
     )
     ports = [
         reactor.listenTCP(
@@ -98,28 +100,28 @@
         ports.append(serve_metrics(reactor, settings.metrics))
 
     settings.data_folder.mkdir(parents=True, exist_ok=True)
-    open_member(context, began_at)
+    open_member(context, started_at)
     for name in settings.controls:
-        know_control(context, name)
+        connect_control(context, name)
 
     loop = LoopingCall(run_tick, context)
-    loop.start(TICK)
-    log_event("registry: Started", address=settings.address, found=settings.found)
+    loop.start(TICK_SECONDS)
+    log_event("registry: Started", address=settings.address, found=settings.first_start)
     return RegistryDaemon(context, service, ports, loop)
 
 
 def learn_controls(daemon: RegistryDaemon, settings: RegistrySettings) -> None:
-    """Connect to controls that changed settings name beside those known."""
+    """Connect to controls that are new in reloaded settings."""
     for name in settings.controls:
-        know_control(daemon.context, name)
+        connect_control(daemon.context, name)
 
 
 def run_tick(context: RegistryContext) -> None:
-    """Do what is due now; a duty that fails is logged, and the others go on.
+    """Run the periodic tasks; an error in one is logged and the others still run.
 
-    Failure: an error in one duty would end the loop. The process would look alive, yet
-    take part in no election any more; with two disks lost there may be no majority.
+    An error that ended the loop would leave a process that seems alive but takes part
+    in no election; with two disks lost there may then be no majority.
     """
     now = context.clock()
-    for duty in (tick_member, watch_rollouts, run_sharing):
-        run_logged(partial(duty, context, now), "registry: Duty failed")
+    for task in (tick_member, watch_rollouts, run_sharing):
+        run_logged(partial(task, context, now), "registry: Periodic task failed")
--- a/src/waxwingwell/adapters/registry/hub.py
+++ b/src/waxwingwell/adapters/registry/hub.py
@@ -1,4 +1,4 @@
-"""What a registry process tells gateways and other controls, and hears from them."""
+"""Messages between a control, its gateways and the other controls."""
 
 from __future__ import annotations
 
@@ -40,11 +40,11 @@
 from ..links import is_link_up
 from ..links import open_link
 from ..measures import LINKS
-from .context import Sent
+from .context import SentState
 from .members import is_current
-from .members import read_here
+from .members import read_local_state
 from .members import request_flush
-from .members import submit_here
+from .members import submit_locally
 
 
 if TYPE_CHECKING:
@@ -55,17 +55,20 @@
 
 
 HEARTBEAT_SECONDS = 1.0
-"""Between two rounds of upstreams' heartbeats to gateways."""
+"""Seconds between messages that forward upstreams' heartbeats."""
 REPORT_SECONDS = 0.25
-"""Between two sums of what gateways have running."""
+"""Seconds between aggregate reports to gateways."""
 EXCHANGE_SECONDS = 0.125
-"""Between two reports of a control to the others; their age adds to the sums'."""
+"""Seconds between a control's reports to the others; their age adds to that of the
+aggregates."""
 MEMBER_SECONDS = 2.0
-COMPRESSION = 6
+"""Seconds between announcements of the members."""
+COMPRESSION_LEVEL = 6
+"""Level of zlib for documents."""
 
 
 def is_control(name: str) -> bool:
-    """Tell whether a process is a control: these are named by their address."""
+    """Tell whether a process is a control: controls are named by their IP address."""
     try:
         ip_address(name)
     except ValueError:
@@ -74,43 +77,46 @@
     return True
 
 
-def take_greeting(context: RegistryContext, protocol: LinkProtocol) -> None:
-    """Learn of another control, and give whoever connected all that it may lack.
+def handle_connection(context: RegistryContext, protocol: LinkProtocol) -> None:
+    """Handle an incoming connection: send the peer the state that it may lack.
 
-    Failure: a control restarts without its memory. It would hear of an upstream only
-    when that one changes, and its gateways would take the others for dead.
+    A restarted control has lost its table of upstreams. Without a full copy it would
+    learn of an upstream only when that one changes, and its gateways would take all
+    others for dead.
     """
-    if protocol in context.peers or protocol not in context_accepted(context):
+    if protocol in context.gateway_links or protocol not in accepted_connections(
+        context
+    ):
         return
 
     if is_control(protocol.remote):
-        know_control(context, protocol.remote)
-        protocol.cast(ShareNews(news=list_news(context)))
+        connect_control(context, protocol.remote)
+        protocol.cast(ShareNews(news=list_announcements(context)))
         return
 
-    context.peers[protocol] = Sent()
-    LINKS.set(len(context.peers))
-    protocol.closed.addCallback(lambda _: forget_gateway(context, protocol))
+    context.gateway_links[protocol] = SentState()
+    LINKS.set(len(context.gateway_links))
+    protocol.closed.addCallback(lambda _: remove_gateway(context, protocol))
     log_event("registry: Gateway connected", gateway=protocol.remote)
     protocol.cast(list_members(context))
-    protocol.cast(ShareNews(news=list_news(context)))
+    protocol.cast(ShareNews(news=list_announcements(context)))
     share_routing(context, context.clock())
 
 
-def context_accepted(context: RegistryContext) -> set[LinkProtocol]:
-    """Return the connections that others opened to us."""
+def accepted_connections(context: RegistryContext) -> set[LinkProtocol]:
+    """Return the incoming connections of links."""
     return set() if context.node is None else context.node.accepted
 
 
-def forget_gateway(context: RegistryContext, protocol: LinkProtocol) -> None:
-    """Note that a gateway's connection ended."""
-    context.peers.pop(protocol, None)
-    LINKS.set(len(context.peers))
+def remove_gateway(context: RegistryContext, protocol: LinkProtocol) -> None:
+    """Remove a gateway whose connection was closed."""
+    context.gateway_links.pop(protocol, None)
+    LINKS.set(len(context.gateway_links))
     log_event("registry: Gateway disconnected", gateway=protocol.remote)
 
 
-def know_control(context: RegistryContext, name: str) -> None:
-    """Open a link to a control that we did not know."""
+def connect_control(context: RegistryContext, name: str) -> None:
+    """Open a link to a control that is not connected yet."""
     if name in context.controls or name == context.settings.address:
         return
 
@@ -123,21 +129,21 @@
 
 
 def allow_member(context: RegistryContext, name: str) -> None:
-    """Let a control be asked to take us in.
+    """Allow the group to be joined through a control that the settings don't name.
 
-    Failure: a control whose seeds are all gone would have nobody to join. Not while the
-    whole system starts for the first time: the first of the names founds the group, and
-    a name that is no seed's would take that turn and never use it.
+    Without this, a control whose seeds are all gone could not join. It is not done
+    while the system is bootstrapped: the first of the names founds the group, and a
+    control that is not a seed would be chosen but never found it.
     """
-    if context.group is not None and not context.settings.found:
+    if context.group is not None and not context.settings.first_start:
         allow_name(context.group, name)
 
 
 def follow_members(context: RegistryContext) -> None:
-    """Connect to the members of the group, and leave those whose place is taken.
+    """Connect to the members of the group and close links to removed ones.
 
-    Failure: all controls restart with settings whose seeds are gone. Each holds the
-    members on its disk, and none would ever call another.
+    If all controls restart with settings whose seeds are gone, each knows the members
+    only from its disk. Without this none would connect to another.
     """
     group = context.group
     if group is None:
@@ -147,14 +153,14 @@
     present = {name_of(one) for one in membership.voters + membership.learners}
     removed = {name_of(one) for one in membership.removed} - present
     for name in present:
-        know_control(context, name)
+        connect_control(context, name)
 
     for name in removed & context.controls.keys():
         close_link(context.controls.pop(name))
 
 
 def list_members(context: RegistryContext) -> ShareMembers:
-    """Return the controls that others may connect to."""
+    """Return the message that lists the controls to connect to."""
     group = context.group
     names = {context.settings.address}
     if group is not None:
@@ -169,31 +175,31 @@
     )
 
 
-def list_news(context: RegistryContext) -> tuple[Announcement, ...]:
-    """Return the latest news of every upstream known."""
+def list_announcements(context: RegistryContext) -> tuple[Announcement, ...]:
+    """Return the latest announcement of every known upstream."""
     return tuple(held.news for held in context.fleet.upstreams.values())
 
 
 def share_routing(context: RegistryContext, now: float) -> None:
-    """Send gateways the state in force, if it is newer than what they have."""
+    """Send the applied state to the gateways that have an older one."""
     group = context.group
-    behind = [
+    outdated = [
         (protocol, sent)
-        for protocol, sent in context.peers.items()
+        for protocol, sent in context.gateway_links.items()
         if group is not None and sent.index < group.replica.applied
     ]
-    if group is None or not behind or not is_current(context, now):
+    if group is None or not outdated or not is_current(context, now):
         return
 
     index = group.replica.applied
     version = version_of(context.state)
     document = b""
-    if any(sent.version < version for _, sent in behind):
+    if any(sent.version < version for _, sent in outdated):
         encoded = msgspec.msgpack.encode(context.state.document)
-        document = zlib.compress(encoded, COMPRESSION)
+        document = zlib.compress(encoded, COMPRESSION_LEVEL)
 
     rollouts = tuple(context.state.rollouts.values())
-    for protocol, sent in behind:
+    for protocol, sent in outdated:
         body = ShareRouting(
             index=index,
             version=version,
@@ -205,75 +211,82 @@
             sent.version = version
 
 
-def spread_news(context: RegistryContext, news: Announcement) -> None:
-    """Take news in, and pass it on if it changes what requests may use."""
-    if not take_news(context.fleet, news, context.clock()):
+def broadcast_announcement(
+    context: RegistryContext, announcement: Announcement
+) -> None:
+    """Apply an announcement, and broadcast it if it affects routing."""
+    if not take_news(context.fleet, announcement, context.clock()):
         return
 
     log_event(
         "registry: Upstream changed",
-        upstream=news.upstream,
-        state=news.state.value,
-        incarnation=news.incarnation,
-        sequence=news.sequence,
+        upstream=announcement.upstream,
+        state=announcement.state.value,
+        incarnation=announcement.incarnation,
+        sequence=announcement.sequence,
     )
-    send_news(context, ShareNews(news=(news,)))
+    send_announcements(context, ShareNews(news=(announcement,)))
 
 
-def send_news(context: RegistryContext, body: ShareNews) -> None:
-    """Send news to everyone, and note whom it did not reach."""
-    for protocol, sent in context.peers.items():
-        sent.news = protocol.cast(body) and sent.news
+def send_announcements(context: RegistryContext, body: ShareNews) -> None:
+    """Send announcements to all gateways and controls; record where that failed."""
+    for protocol, sent in context.gateway_links.items():
+        sent.announced = protocol.cast(body) and sent.announced
 
     for name, link in context.controls.items():
         if not cast_link(link, body):
-            context.behind.add(name)
+            context.unannounced.add(name)
 
 
-def repeat_news(context: RegistryContext) -> None:
-    """Send all news to those whom some did not reach.
+def resend_announcements(context: RegistryContext) -> None:
+    """Send all announcements to the peers that missed one.
 
-    Failure: an upstream's leave was acknowledged while the link to a gateway was full,
-    and was dropped. The gateway went on sending requests to it.
+    An announcement is dropped if the link to a gateway is full. Without the resend, a
+    gateway that missed an acknowledged deregistration would keep sending requests to
+    that upstream.
     """
-    gateways = [protocol for protocol, sent in context.peers.items() if not sent.news]
-    context.behind &= context.controls.keys()
-    controls = [one for one in context.behind if is_link_up(context.controls[one])]
+    gateways = [
+        protocol
+        for protocol, sent in context.gateway_links.items()
+        if not sent.announced
+    ]
+    context.unannounced &= context.controls.keys()
+    controls = [one for one in context.unannounced if is_link_up(context.controls[one])]
     if not gateways and not controls:
         return
 
-    body = ShareNews(news=list_news(context))
+    body = ShareNews(news=list_announcements(context))
     for protocol in gateways:
-        context.peers[protocol].news = protocol.cast(body)
+        context.gateway_links[protocol].announced = protocol.cast(body)
 
     for name in controls:
         if cast_link(context.controls[name], body):
-            context.behind.discard(name)
+            context.unannounced.discard(name)
 
 
 def take_call(context: RegistryContext, sender: str, body: Any) -> Deferred[Message]:
-    """Answer a call of another control."""
+    """Handle a call from another control and return the reply."""
     if isinstance(body, SubmitRouting):
         encoded = msgspec.msgpack.encode(body.command)
-        return submit_here(context, body.command, encoded)
+        return submit_locally(context, body.command, encoded)
 
     if isinstance(body, ReadRouting):
-        return succeed(read_here(context))
+        return succeed(read_local_state(context))
 
     reason = f"{type(body).__name__} from {sender} is not understood"
     return succeed(NotAccepted(reason=reason))
 
 
 def take_cast(context: RegistryContext, sender: str, body: Any) -> None:
-    """Take in a message that expects no answer."""
+    """Handle a one-way message."""
     if isinstance(body, ConsensusMessage):
-        know_control(context, sender)
+        connect_control(context, sender)
         if context.group is not None:
             receive_message(context.group, sender, body, context.clock())
             request_flush(context)
     elif isinstance(body, ShareNews):
-        for news in body.news:
-            spread_news(context, news)
+        for announcement in body.news:
+            broadcast_announcement(context, announcement)
     elif isinstance(body, ShareHeartbeats):
         refresh(context.fleet, body.heard, context.clock())
     elif isinstance(body, GatewayReport):
@@ -282,13 +295,13 @@
         take_control_report(context.reports, sender, body, context.clock())
     elif isinstance(body, ShareMembers):
         for name in body.controls:
-            know_control(context, name)
+            connect_control(context, name)
 
 
 def run_sharing(context: RegistryContext, now: float) -> None:
-    """Do what is due of the periodic sharing."""
+    """Send the periodic messages that are due."""
     share_routing(context, now)
-    repeat_news(context)
+    resend_announcements(context)
     if is_due(context, "exchange", EXCHANGE_SECONDS, now):
         exchange_reports(context, now)
 
@@ -304,22 +317,22 @@
         share_members(context)
 
 
-def is_due(context: RegistryContext, duty: str, period: float, now: float) -> bool:
-    """Tell whether a periodic duty must run now, and note that it does."""
-    if now - context.due.get(duty, 0.0) < period:
+def is_due(context: RegistryContext, task: str, period: float, now: float) -> bool:
+    """Tell whether a periodic task must run now; if so, record the run."""
+    if now - context.last_runs.get(task, 0.0) < period:
         return False
 
-    context.due[duty] = now
+    context.last_runs[task] = now
     return True
 
 
 def share_heartbeats(context: RegistryContext) -> None:
-    """Tell which upstreams still send heartbeats.
+    """Forward the heartbeats of upstreams.
 
-    Other controls get what was heard here; gateways that report to us get all.
+    Other controls get those received directly; attached gateways get all.
     """
-    heard = tuple((name, *counts) for name, counts in context.heard.items())
-    context.heard.clear()
+    heard = tuple((name, *counts) for name, counts in context.direct_heartbeats.items())
+    context.direct_heartbeats.clear()
     if heard:
         for link in context.controls.values():
             cast_link(link, ShareHeartbeats(heard=heard))
@@ -329,38 +342,38 @@
         for name, held in context.fleet.upstreams.items()
     )
     body = ShareHeartbeats(heard=everything)
-    for protocol in list_homed(context):
+    for protocol in list_attached(context):
         protocol.cast(body)
 
 
 def share_members(context: RegistryContext) -> None:
-    """Tell everyone which controls there are."""
+    """Send the list of controls to all gateways and controls."""
     body = list_members(context)
-    for protocol in list(context.peers):
+    for protocol in list(context.gateway_links):
         protocol.cast(body)
 
     for link in context.controls.values():
         cast_link(link, body)
 
 
-def list_homed(context: RegistryContext) -> list[LinkProtocol]:
-    """Return the connections of gateways that report to this control."""
+def list_attached(context: RegistryContext) -> list[LinkProtocol]:
+    """Return the connections of the gateways attached to this control."""
     homed = context.reports.homed
-    return [protocol for protocol in context.peers if protocol.remote in homed]
+    return [protocol for protocol in context.gateway_links if protocol.remote in homed]
 
 
 def exchange_reports(context: RegistryContext, now: float) -> None:
-    """Tell the other controls the sum over the gateways that report here."""
-    moves = context.state.rollouts.values()
-    urgent = any(move.state == "in_progress" for move in moves)
+    """Send the other controls the aggregate over the attached gateways."""
+    rollouts = context.state.rollouts.values()
+    urgent = any(rollout.state == "in_progress" for rollout in rollouts)
     report = make_control_report(context.reports, now, urgent=urgent)
     for link in context.controls.values():
         cast_link(link, report)
 
 
 def share_reports(context: RegistryContext, now: float) -> None:
-    """Tell the gateways that report here the sum over all."""
+    """Send the attached gateways the aggregate over all gateways."""
     drop_old(context.reports, now)
     body = sum_fleet(context.reports, now)
-    for protocol in list_homed(context):
+    for protocol in list_attached(context):
         protocol.cast(body)
--- a/src/waxwingwell/adapters/registry/members.py
+++ b/src/waxwingwell/adapters/registry/members.py
@@ -1,4 +1,4 @@
-"""The replicated group inside a registry process: opening, ticking, repairing."""
+"""This process's member of the replicated group: opening, ticking, recovery."""
 
 from __future__ import annotations
 
@@ -44,7 +44,8 @@
 
 GROUP_ID = "routing"
 REOPEN_SECONDS = 1.0
-"""Between two tries to open a disk that failed; a full disk recovers within seconds."""
+"""Seconds between attempts to open a failed disk; a full disk recovers within
+seconds."""
 TIMING = Timing(
     heartbeat=0.12,
     election_min=0.3,
@@ -54,23 +55,25 @@
     snapshot_tail=50,
     absent=2.0,
 )
-"""A stalled disk or a short freeze of the leader costs at most about 0.9 s, and all
-members that start at once lead after 0.45 s (with 0.5 and 0.9 s: 0.70 s; means of 150
-starts in memory with 5 to 8 ms a way and two disks emptied). A packet that is lost and
-sent again after 0.2 s must not pass for a dead leader. A voter is replaced after 2 s of
-silence if a spare member waits: a VM that was exchanged must not count for long, as two
-more may lose their disks once its successor has had 4 s."""
+"""Times are in seconds. A stalled disk or a short freeze of the leader costs at most
+about 0.9 s, and members that all start at once elect a leader after 0.45 s (with
+election timeouts of 0.5 to 0.9 s: 0.70 s; means of 150 starts in memory, 5 to 8 ms one
+way, two disks emptied). The minimum is above 0.2 s so that a lost packet that is
+retransmitted after that time is not taken for a dead leader. A voter without contact is
+replaced after 2 s if a spare member is available: a VM that was replaced must not count
+as a voter for long, as two more may lose their disks once its successor has had 4 s."""
 LEAST_VOTERS = 5
-"""Where there are so many controls: one may be replaced while another is lost."""
+"""Fewest voters if there are that many controls: one may be replaced while another is
+lost."""
 
 
 def open_member(context: RegistryContext, heard_at: float | None = None) -> None:
-    """Open the data folder and take part in the group; try again later if it fails.
+    """Open the data folder and join the group; retry later if that fails.
 
-    ``heard_at`` is the latest time at which this member may have answered a leader.
+    ``heard_at`` is the latest time at which this member may have replied to a leader.
 
-    Failure: the disk is full or answers nothing. The process stays, so that it still
-    serves gateways with news of upstreams, and takes part again once the disk does.
+    If the disk is full or unresponsive, the process keeps running, so that gateways
+    still get announcements of upstreams. It rejoins once the disk works again.
     """
     settings = context.settings
     names = tuple(sorted({*settings.controls, settings.address}))
@@ -84,14 +87,16 @@
             store=store,
             machine=make_machine(context),
             send=lambda member, message: send_message(context, member, message),
-            timing=replace(TIMING, most_voters=count_voters(settings.losses)),
+            timing=replace(TIMING, most_voters=count_voters(settings.tolerated_losses)),
             random=random.SystemRandom(),
             now=context.clock(),
             heard_at=heard_at,
-            bootstrap=settings.found and settings.address in settings.controls,
+            bootstrap=settings.first_start and settings.address in settings.controls,
         )
     except CorruptStorageError as error:
-        log_event("registry: Data is unreadable, joining anew", reason=str(error))
+        log_event(
+            "registry: Data is corrupt, erased to rejoin the group", reason=str(error)
+        )
         erase_data(context)
         context.reopen_at = context.clock() + REOPEN_SECONDS
     except StorageError as error:
@@ -100,12 +105,12 @@
 
 
 def count_voters(losses: int) -> int:
-    """Return how many voters keep a majority when some lose their disks."""
+    """Return the number of voters that keeps a majority after that many lost disks."""
     return max(2 * losses + 1, LEAST_VOTERS)
 
 
 def make_machine(context: RegistryContext) -> Machine:
-    """Return the closures by which the log drives the routing state."""
+    """Return the callbacks that apply, save and restore the routing state."""
 
     def apply(index: int, command: bytes) -> bytes:
         decoded = decode_command(command)
@@ -126,14 +131,14 @@
 def send_message(
     context: RegistryContext, member: str, message: ConsensusMessage
 ) -> None:
-    """Send a message of the log to another control, if a link to it is up."""
+    """Send a consensus message to another control, if there is a link to it."""
     link = context.controls.get(member)
     if link is not None:
         cast_link(link, message)
 
 
 def tick_member(context: RegistryContext, now: float) -> None:
-    """Do what is due in the group, and repair it if it stopped."""
+    """Run the group's timers; close and later reopen a group that has stopped."""
     group = context.group
     if group is None:
         if now >= context.reopen_at:
@@ -147,14 +152,14 @@
 
     tick_group(group, now)
     flush_group(group, now)
-    note_leader(context)
+    log_group_changes(context)
 
 
 def close_member(context: RegistryContext) -> None:
-    """Let go of a group that can't go on, and open it anew later.
+    """Close a group that can't continue, and schedule reopening it.
 
-    An expelled member has lost its vote for good, so its data is of no use: it joins
-    as a new one. A halted one reads again what its disk truly holds.
+    An expelled member never gets its vote back, so its data is erased and it joins as
+    a new member. A halted member rereads its disk, as its memory may differ from it.
     """
     group = context.group
     if group is None:
@@ -173,20 +178,20 @@
 
 
 def erase_data(context: RegistryContext) -> None:
-    """Remove the group's files; its next member id is a fresh one."""
+    """Delete the group's files, so that the next open creates a new member id."""
     for path in context.settings.data_folder.glob(f"{GROUP_ID}.sqlite*"):
         path.unlink(missing_ok=True)
 
 
-def note_leader(context: RegistryContext) -> None:
-    """Log it when the leader or the members change."""
+def log_group_changes(context: RegistryContext) -> None:
+    """Log changes of the leader and of the members."""
     group = context.group
     if group is None:
         return
 
     membership = group.replica.membership
-    if membership != context.members:
-        context.members = membership
+    if membership != context.logged_members:
+        context.logged_members = membership
         log_event(
             "registry: Members changed",
             voters=membership.voters,
@@ -195,22 +200,22 @@
         )
 
     leader = leader_of(group)
-    if leader == context.led:
+    if leader == context.logged_leader:
         return
 
-    context.led = leader
+    context.logged_leader = leader
     log_event("registry: Leader changed", leader=leader, term=group.replica.term)
 
 
 def request_flush(context: RegistryContext) -> None:
-    """Flush once all that has arrived in this turn of the reactor was taken in."""
+    """Schedule one flush after all input of this turn of the reactor was handled."""
     if not context.flush_due:
         context.flush_due = True
         context.reactor.callLater(0, run_flush, context)
 
 
 def run_flush(context: RegistryContext) -> None:
-    """Make everything since the last flush durable, then send and apply."""
+    """Write everything since the last flush to disk, then send and apply it."""
     context.flush_due = False
     if context.group is not None:
         flush_group(context.group, context.clock())
@@ -222,9 +227,10 @@
 
 
 def is_current(context: RegistryContext, now: float) -> bool:
-    """Tell whether what is applied here is the newest, or a moment old at most.
+    """Tell whether the state applied here is the newest or at most a moment old.
 
-    Failure: a control that starts with an old disk would hand gateways an old state.
+    Without this check, a control that starts with an old disk would send gateways an
+    outdated state.
     """
     group = context.group
     if group is None:
@@ -238,31 +244,31 @@
     return followed and replica.applied >= replica.commit > 0
 
 
-def submit_here(
+def submit_locally(
     context: RegistryContext, command: RoutingCommand, encoded: bytes
 ) -> Deferred[Message]:
-    """Put a command through the log if this process leads."""
-    answer: Deferred[Message] = Deferred()
+    """Propose a command to the replicated log if this process leads."""
+    reply: Deferred[Message] = Deferred()
     group = context.group
     if group is None:
-        answer.callback(NotAccepted(reason="the disk of this control is unavailable"))
-        return answer
+        reply.callback(NotAccepted(reason="the disk of this control is unavailable"))
+        return reply
 
-    def settle(outcome: ProposalOutcome) -> None:
+    def finish(outcome: ProposalOutcome) -> None:
         if isinstance(outcome, Committed):
-            answer.callback(Accepted())
+            reply.callback(Accepted())
         elif isinstance(outcome, NotLeading):
-            answer.callback(NotAccepted(reason=f"led by {outcome.leader or 'nobody'}"))
+            reply.callback(NotAccepted(reason=f"led by {outcome.leader or 'nobody'}"))
         else:
-            answer.callback(NotAccepted(reason="the lead was lost on the way"))
+            reply.callback(NotAccepted(reason="the lead was lost on the way"))
 
-    propose(group, encoded, settle, context.clock())
+    propose(group, encoded, finish, context.clock())
     request_flush(context)
-    return answer
+    return reply
 
 
-def read_here(context: RegistryContext) -> RoutingNow | NotAccepted:
-    """Return the state held here if this process leads."""
+def read_local_state(context: RegistryContext) -> RoutingNow | NotAccepted:
+    """Return the applied state if this process leads and has caught up."""
     group = context.group
     if group is None or not is_leading(context, context.clock()):
         return NotAccepted(reason="this control doesn't lead")
--- a/src/waxwingwell/adapters/registry/rollouts.py
+++ b/src/waxwingwell/adapters/registry/rollouts.py
@@ -1,4 +1,4 @@
-"""The leader's watch over roll-outs: evidence in, steps out."""
+"""Roll-out control at the leader: collects evidence and proposes steps."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 
 
 STEP_SECONDS = 0.25
-"""Between two looks at the evidence; gateways report as often."""
+"""Seconds between checks of the evidence; gateways report as often."""
 
 
 def watch_rollouts(context: RegistryContext, now: float) -> None:
-    """Look at each move under way, as the leader."""
+    """Check each roll-out in progress if this process leads."""
     if not is_leading(context, now) or not is_due(context, "steps", STEP_SECONDS, now):
         return
 
@@ -41,11 +41,11 @@
 def advance_rollout(
     context: RegistryContext, rollout: RolloutState, now: float
 ) -> None:
-    """Propose the next step of a move, if there is one."""
+    """Propose the next step of a roll-out, if one is due."""
     watch = find_watch(context, rollout, now)
     gather_evidence(context, rollout, watch)
     target, former = split_evidence(watch.evidence, rollout.target)
-    step = step_rollout(rollout, target, former, now - watch.began_at)
+    step = step_rollout(rollout, target, former, now - watch.started_at)
     if not step.ended and step.share <= rollout.share:
         return
 
@@ -57,7 +57,7 @@
         ended=step.ended,
         completed=step.completed,
         reason=step.reason,
-        elapsed=round(now - watch.began_at, 2),
+        elapsed=round(now - watch.started_at, 2),
         answers=target.answers,
         failures=target.failures,
         untold=list_untold(context.reports),
@@ -84,22 +84,23 @@
 def find_watch(
     context: RegistryContext, rollout: RolloutState, now: float
 ) -> RolloutWatch:
-    """Return what is remembered of a move; a new leader reckons by the wall clock.
+    """Return the watch of a roll-out, or create it on a new leader.
 
-    The order's age is bounded by the duration, as wall clocks may have jumped.
+    A new leader derives the start from the wall clock. The age is limited to the
+    roll-out's duration, as wall clocks may have jumped.
     """
     key = (rollout.service, rollout.ordered_at)
     watch = context.watches.get(key)
     if watch is None:
         age = context.wall_clock() - rollout.ordered_at
         age = min(max(age, 0.0), rollout.duration)
-        before = {
+        counted = {
             (gateway, part.version): add_evidence([part])
             for gateway, known in context.reports.evidence.items()
             for part in known.versions
             if part.service == rollout.service and part.version != rollout.target
         }
-        watch = RolloutWatch(now - age, EvidenceTable(counted=before))
+        watch = RolloutWatch(now - age, EvidenceTable(counted=counted))
         context.watches[key] = watch
 
     return watch
@@ -108,7 +109,7 @@
 def gather_evidence(
     context: RegistryContext, rollout: RolloutState, watch: RolloutWatch
 ) -> None:
-    """Count what gateways have reported since the last look."""
+    """Count the evidence that gateways have reported since the last check."""
     for gateway, known in context.reports.evidence.items():
         parts = [one for one in known.versions if one.service == rollout.service]
         count_report(watch.evidence, gateway, parts)
--- a/src/waxwingwell/adapters/registry/settings.py
+++ b/src/waxwingwell/adapters/registry/settings.py
@@ -8,22 +8,23 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RegistrySettings:
-    """Where a registry process lives; a control is named by its address."""
+    """Settings of a registry process."""
 
     address: str
+    """IP address of this process, which is also the control's name."""
     data_centre: str
     admin: tuple[str, int]
-    """Where operators and upstreams call."""
+    """Host and port that serve operators and upstreams."""
     link_port: int
     controls: tuple[str, ...]
-    """Addresses of a few controls to begin with; they may be long gone."""
+    """Addresses of seed controls; they may no longer exist."""
     data_folder: Path
-    found: bool
-    """The whole system starts for the first time, so a group may be founded."""
-    losses: int = 2
-    """Disks that may be lost at once; the group has two voters more for each."""
+    first_start: bool
+    """Whether the system starts for the first time, so that a group may be founded."""
+    tolerated_losses: int = 2
+    """Number of disks that may be lost at once; each needs two more voters."""
     grace: float = 8.0
-    """Seconds from the order to stop until the process is killed."""
+    """Seconds between the stop signal and the kill of the process."""
     retry_window: float = 10.0
-    """Seconds for which a repeat counts in the budget of repeats."""
+    """Seconds for which a retry counts against the retry budget."""
     metrics: tuple[str, int] | None = None
--- a/src/waxwingwell/adapters/registry/stopping.py
+++ b/src/waxwingwell/adapters/registry/stopping.py
@@ -1,4 +1,7 @@
-"""The planned stop of a registry: leadership goes, answers leave, then all closes."""
+"""The planned stop of a registry.
+
+Leadership is handed over, responses in progress are sent, then connections are closed.
+"""
 
 from __future__ import annotations
 
@@ -27,53 +30,58 @@
     from .daemon import RegistryDaemon
 
 
-LOOK_SECONDS = 0.05
-"""Between two looks at what is still under way."""
+POLL_SECONDS = 0.05
+"""Seconds between checks for work in progress."""
 HANDOVER_SECONDS = 1.5
-"""A planned stop waits so long for another member to lead."""
+"""Seconds for which a planned stop waits for another member to lead."""
 CLOSE_SECONDS = 1.0
-"""Kept for closing connections at the end of the time to stop."""
+"""Seconds reserved at the end of the stop for closing connections."""
 STOP_MARGIN = 0.6
-"""Seconds before the process is killed at which it ends by itself."""
-STEP_FAILED = "registry: Step of the stop failed"
+"""Seconds before the kill of the process at which it ends by itself."""
+STEP_FAILED = "registry: Stop step failed"
 
 
 def stop_registry(
-    daemon: RegistryDaemon, done: Callable[[], None], told_at: float | None = None
+    daemon: RegistryDaemon, done: Callable[[], None], requested_at: float | None = None
 ) -> None:
-    """Hand leadership over, answer what was read, close all, and call ``done``.
+    """Hand over leadership, complete responses, close connections, call ``done``.
 
-    ``told_at`` is when the process was told to stop, if that was earlier: its time
-    counts from there.
+    ``requested_at`` is when the stop was requested, if that was earlier; the deadline
+    is counted from it.
 
-    Requests and calls that come meanwhile are answered, too. Failure: an order is
-    carried out, or a leave is made known, and the process ends before the answer is
-    there or while it waits in a buffer; operators can't tell what is in force.
+    Requests and calls that arrive meanwhile are handled, too. If the process ended
+    after it committed a command or announced a deregistration, but before the response
+    had left its buffers, operators could not tell which state is in force.
     """
     context = daemon.context
     context.stopping = True
     daemon.service.stopping = True
-    began_at = context.clock() if told_at is None else told_at
-    deadline = began_at + context.settings.grace - STOP_MARGIN
-    log_event("registry: Stopping", leading=context.led == context.settings.address)
+    started_at = context.clock() if requested_at is None else requested_at
+    deadline = started_at + context.settings.grace - STOP_MARGIN
+    log_event(
+        "registry: Stopping",
+        leading=context.logged_leader == context.settings.address,
+    )
 
-    def wait() -> None:
+    def poll() -> None:
         now = context.clock()
-        handed = not list_successors(context) or now >= began_at + HANDOVER_SECONDS
-        settled = is_settled(daemon.service) and not count_calls(context)
-        if (handed and settled) or now >= deadline - CLOSE_SECONDS:
+        handed_over = (
+            not list_successors(context) or now >= started_at + HANDOVER_SECONDS
+        )
+        drained = is_settled(daemon.service) and not count_calls(context)
+        if (handed_over and drained) or now >= deadline - CLOSE_SECONDS:
             close_connections(daemon, deadline, done)
             return
 
-        # The first one asked may have stopped answering at this very moment.
-        run_logged(partial(begin_handover, context), STEP_FAILED)
-        context.reactor.callLater(LOOK_SECONDS, wait)
+        # Repeated because the first voter asked may have become unresponsive.
+        run_logged(partial(start_handover, context), STEP_FAILED)
+        context.reactor.callLater(POLL_SECONDS, poll)
 
-    wait()
+    poll()
 
 
 def list_successors(context: RegistryContext) -> list[str]:
-    """Return the other voters, as far as this process leads them."""
+    """Return the voters that can take over, or none if this process does not lead."""
     group = context.group
     if group is None or leader_of(group) != context.settings.address:
         return []
@@ -82,21 +90,21 @@
     return [one for one in group.replica.membership.voters if one in progress]
 
 
-def begin_handover(context: RegistryContext) -> None:
-    """Ask the voter that is furthest along to lead, unless one was asked just now."""
+def start_handover(context: RegistryContext) -> None:
+    """Ask the voter with the latest acknowledgement to lead, unless one was asked."""
     group = context.group
     voters = list_successors(context)
     if group is None or not voters or not leads(group, context.clock()):
         return
 
     progress = group.replica.progress
-    best = max(voters, key=lambda one: progress[one].acknowledged_at)
-    if transfer_leadership(group, best.partition("~")[0], context.clock()):
+    successor = max(voters, key=lambda one: progress[one].acknowledged_at)
+    if transfer_leadership(group, successor.partition("~")[0], context.clock()):
         run_flush(context)
 
 
 def list_connections(context: RegistryContext) -> list[LinkProtocol]:
-    """Return the connections of all links, in either direction."""
+    """Return the connections of all links, incoming and outgoing."""
     if context.node is None:
         return []
 
@@ -104,25 +112,26 @@
 
 
 def count_calls(context: RegistryContext) -> int:
-    """Return how many calls of other processes have no answer yet."""
+    """Return how many calls of other processes have no reply yet."""
     return sum(protocol.answering for protocol in list_connections(context))
 
 
 def close_connections(
     daemon: RegistryDaemon, deadline: float, done: Callable[[], None]
 ) -> None:
-    """Close each connection when what was sent on it has left; cut at ``deadline``.
+    """Close each connection once its data was sent; abort the rest at ``deadline``.
 
-    Callers that have their answers and don't close hold it up for a moment only.
+    Callers that have their response but keep the connection open delay the stop by
+    ``CLOSE_SECONDS`` at most.
 
-    Duties go on: a leader that nobody follows any more must learn it and refuse the
-    orders that wait.
+    Periodic tasks keep running: a leader that has lost its followers must detect it and
+    reject the pending commands.
     """
     context = daemon.context
-    # A vote for our successor must leave before its link takes no more.
+    # The vote for the successor must be sent before its link stops accepting messages.
     run_logged(partial(run_flush, context), STEP_FAILED)
     for port in daemon.ports:
-        # Else gateways whose links we close would come back at once.
+        # Otherwise gateways whose links are closed would reconnect at once.
         close_port(port)
 
     if context.node is not None:
@@ -130,12 +139,12 @@
 
     limit = min(context.clock() + CLOSE_SECONDS, deadline)
 
-    def wait() -> None:
+    def poll() -> None:
         now = context.clock()
         links = list_connections(context)
         closed = not daemon.service.connections and not links
-        settled = is_settled(daemon.service) and not links
-        if closed or (settled and now >= limit) or now >= deadline:
+        drained = is_settled(daemon.service) and not links
+        if closed or (drained and now >= limit) or now >= deadline:
             try:
                 finish_stop(daemon)
             finally:
@@ -144,20 +153,20 @@
             return
 
         close_idle(daemon.service)
-        context.reactor.callLater(LOOK_SECONDS, wait)
+        context.reactor.callLater(POLL_SECONDS, poll)
 
-    # A caller that connected just before the ports closed sends its request now: for a
-    # moment it is read and answered, where a close would leave it without an answer.
-    context.reactor.callLater(LOOK_SECONDS, wait)
+    # A caller that connected just before the ports were closed may be sending its
+    # request. The delay lets it get a response instead of a closed connection.
+    context.reactor.callLater(POLL_SECONDS, poll)
 
 
 def finish_stop(daemon: RegistryDaemon) -> None:
-    """Cut what is left, end the duties and close the disk."""
+    """Abort remaining connections, stop the periodic tasks and close the store."""
     context = daemon.context
     if daemon.loop.running:
         daemon.loop.stop()
 
-    answers = count_unsettled(daemon.service)
+    responses = count_unsettled(daemon.service)
     calls = count_calls(context)
     links = list_connections(context)
     for protocol in links:
@@ -168,8 +177,8 @@
 
     log_event(
         "registry: Stopped",
-        answers=answers,
+        answers=responses,
         calls=calls,
         links=len(links),
-        reason="no time was left" if answers or links else "",
+        reason="deadline reached with work in progress" if responses or links else "",
     )
--- a/tests/adapters/registry/support.py
+++ b/tests/adapters/registry/support.py
@@ -49,7 +49,7 @@
         return connection
 
 
-def make_registry(address: str = "127.0.0.1", *, found: bool = False) -> Registry:
+def make_registry(address: str = "127.0.0.1", *, first_start: bool = False) -> Registry:
     """Return a registry that has no group and no links yet."""
     clock = Clock()
     settings = RegistrySettings(
@@ -59,7 +59,7 @@
         link_port=0,
         controls=(),
         data_folder=Path(),
-        found=found,
+        first_start=first_start,
     )
     context = RegistryContext(
         settings=settings,
--- a/tests/adapters/registry/test_hub.py
+++ b/tests/adapters/registry/test_hub.py
@@ -12,10 +12,10 @@
 from waxwingwell.adapters.registry import hub
 from waxwingwell.adapters.registry.api import announce
 from waxwingwell.adapters.registry.api import withdraw
+from waxwingwell.adapters.registry.hub import handle_connection
 from waxwingwell.adapters.registry.hub import run_sharing
 from waxwingwell.adapters.registry.hub import share_heartbeats
 from waxwingwell.adapters.registry.hub import take_cast
-from waxwingwell.adapters.registry.hub import take_greeting
 from waxwingwell.routing.fleet import UpstreamState
 from waxwingwell.routing.messages import GatewayReport
 from waxwingwell.routing.messages import ShareHeartbeats
@@ -50,7 +50,7 @@
                 registry = make_registry()
                 announce(registry.context, make_news("u1"))
                 connection = registry.accept(remote)
-                take_greeting(registry.context, connection)
+                handle_connection(registry.context, connection)
                 self.assertEqual(find_news(connection.sent), ["u1"])
 
 
@@ -60,7 +60,7 @@
     def test_changes_go_to_gateways_and_controls(self) -> None:
         registry = make_registry()
         gateway = registry.accept("gateway-1")
-        take_greeting(registry.context, gateway)
+        handle_connection(registry.context, gateway)
         control = cast("Any", registry.context.controls["127.0.0.2"]).protocol
         for name, step in (
             ("new", lambda: announce(registry.context, make_news("u1"))),
@@ -75,7 +75,7 @@
     def test_a_heartbeat_that_changes_nothing_is_not_told_at_once(self) -> None:
         registry = make_registry()
         gateway = registry.accept("gateway-1")
-        take_greeting(registry.context, gateway)
+        handle_connection(registry.context, gateway)
         announce(registry.context, make_news("u1"))
         sent = len(gateway.sent)
         announce(registry.context, make_news("u1", sequence=2))
@@ -99,7 +99,7 @@
                 registry = make_registry()
                 announce(registry.context, make_news("u1"))
                 connection = registry.accept(remote)
-                take_greeting(registry.context, connection)
+                handle_connection(registry.context, connection)
                 link: Any = SimpleNamespace(protocol=connection, stopped=False)
                 if remote == "127.0.0.2":
                     registry.context.controls = {remote: link}
@@ -150,7 +150,7 @@
         registry.context.group = cast("Any", SimpleNamespace(replica=replica))
         called: list[str] = []
         with mock.patch.object(
-            hub, "know_control", lambda _, name: called.append(name)
+            hub, "connect_control", lambda _, name: called.append(name)
         ):
             hub.follow_members(registry.context)
 
@@ -163,9 +163,12 @@
         A control that is no seed connects to the seeds before they have founded the
         group, and its name comes before theirs. It may not found, so nobody would.
         """
-        for found, expected in ((True, ("127.0.0.1",)), (False, ("127.0.0.1", "x"))):
-            with self.subTest(found=found):
-                registry = make_registry(found=found)
+        for first_start, expected in (
+            (True, ("127.0.0.1",)),
+            (False, ("127.0.0.1", "x")),
+        ):
+            with self.subTest(first_start=first_start):
+                registry = make_registry(first_start=first_start)
                 replica = SimpleNamespace(names=("127.0.0.1",))
                 registry.context.group = cast("Any", SimpleNamespace(replica=replica))
                 hub.allow_member(registry.context, "x")
--- a/tests/adapters/registry/test_rollouts.py
+++ b/tests/adapters/registry/test_rollouts.py
@@ -10,8 +10,8 @@
 from tests.routing.factories import make_rollout
 from waxwingwell.adapters.registry import rollouts
 from waxwingwell.adapters.registry.hub import REPORT_SECONDS
+from waxwingwell.adapters.registry.hub import handle_connection
 from waxwingwell.adapters.registry.hub import share_reports
-from waxwingwell.adapters.registry.hub import take_greeting
 from waxwingwell.routing.messages import EndRollout
 from waxwingwell.routing.messages import FleetReport
 from waxwingwell.routing.messages import GatewayReport
@@ -125,7 +125,7 @@
         """Guards against a move that waits for a gateway that is frozen or cut off."""
         leader = Leader()
         connection = leader.registry.accept("g1")
-        take_greeting(leader.context, connection)
+        handle_connection(leader.context, connection)
         leader.report("g2", held=ORDER_INDEX - 1)
         held = []
         for _ in range(round(REPORT_LIFE / REPORT_SECONDS) + 2):
--- a/tests/adapters/registry/test_stop.py
+++ b/tests/adapters/registry/test_stop.py
@@ -336,7 +336,7 @@
                 stage.run(stage.context.settings.grace, drain=tuple(stage.links))
                 limit = stage.context.settings.grace - stopping.STOP_MARGIN
                 self.assertEqual(len(stage.ended), 1)
-                self.assertLessEqual(stage.ended[0], limit + stopping.LOOK_SECONDS)
+                self.assertLessEqual(stage.ended[0], limit + stopping.POLL_SECONDS)
                 last = log.call_args_list[-1]
                 self.assertEqual(last.args, ("registry: Stopped",))
                 self.assertEqual(last.kwargs["answers"], orders)
--- a/tests/adapters/registry/test_stop_sockets.py
+++ b/tests/adapters/registry/test_stop_sockets.py
@@ -59,7 +59,7 @@
             link_port=0,
             controls=(),
             data_folder=Path(self.folder.name),
-            found=False,
+            first_start=False,
         )
         self.daemon: RegistryDaemon = start_registry(
             settings, reactor, lambda context: self.answer
--- a/tests/platform_adapter/test_bodies.py
+++ b/tests/platform_adapter/test_bodies.py
@@ -143,7 +143,7 @@
         self.assertTrue(gateway.fail_closed)
         registry = read_registry(fields)
         self.assertEqual(registry.admin, ("10.0.0.1", 82))
-        self.assertTrue(registry.found)
-        self.assertEqual(registry.losses, 3)
+        self.assertTrue(registry.first_start)
+        self.assertEqual(registry.tolerated_losses, 3)
         with self.assertRaises(KeyError):
             read_gateway({})
