--- a/src/waxwingwell/adapters/registry/api.py
+++ b/src/waxwingwell/adapters/registry/api.py
@@ -130,7 +130,7 @@
 
 def announce(context: RegistryContext, announcement: Announcement) -> None:
     """Apply an upstream's announcement; changes are sent before this returns."""
-    context.direct_heartbeats[announcement.upstream] = (
+    context.heard[announcement.upstream] = (
         announcement.incarnation,
         announcement.sequence,
     )
--- a/src/waxwingwell/adapters/registry/context.py
+++ b/src/waxwingwell/adapters/registry/context.py
@@ -66,7 +66,7 @@
     unannounced: set[str] = field(default_factory=set)
     """Controls that missed an announcement, as their link was full or down."""
     fleet: FleetTable = field(default_factory=FleetTable)
-    direct_heartbeats: dict[str, tuple[int, int]] = field(default_factory=dict)
+    heard: dict[str, tuple[int, int]] = field(default_factory=dict)
     """Incarnation and sequence of each upstream that has announced itself to this
     control since heartbeats were shared last."""
     reports: ReportTable = field(default_factory=ReportTable)
--- a/src/waxwingwell/adapters/registry/hub.py
+++ b/src/waxwingwell/adapters/registry/hub.py
@@ -331,8 +331,8 @@
 
     Other controls get those received directly; attached gateways get all.
     """
-    heard = tuple((name, *counts) for name, counts in context.direct_heartbeats.items())
-    context.direct_heartbeats.clear()
+    heard = tuple((name, *counts) for name, counts in context.heard.items())
+    context.heard.clear()
     if heard:
         for link in context.controls.values():
             cast_link(link, ShareHeartbeats(heard=heard))
@@ -364,8 +364,8 @@
 
 def exchange_reports(context: RegistryContext, now: float) -> None:
     """Send the other controls the aggregate over the attached gateways."""
-    rollouts = context.state.rollouts.values()
-    urgent = any(rollout.state == "in_progress" for rollout in rollouts)
+    known_rollouts = context.state.rollouts.values()
+    urgent = any(rollout.state == "in_progress" for rollout in known_rollouts)
     report = make_control_report(context.reports, now, urgent=urgent)
     for link in context.controls.values():
         cast_link(link, report)
--- a/src/waxwingwell/adapters/registry/rollouts.py
+++ b/src/waxwingwell/adapters/registry/rollouts.py
@@ -94,13 +94,13 @@
     if watch is None:
         age = context.wall_clock() - rollout.ordered_at
         age = min(max(age, 0.0), rollout.duration)
-        counted = {
+        baseline = {
             (gateway, part.version): add_evidence([part])
             for gateway, known in context.reports.evidence.items()
             for part in known.versions
             if part.service == rollout.service and part.version != rollout.target
         }
-        watch = RolloutWatch(now - age, EvidenceTable(counted=counted))
+        watch = RolloutWatch(now - age, EvidenceTable(counted=baseline))
         context.watches[key] = watch
 
     return watch
--- a/src/waxwingwell/adapters/registry/stopping.py
+++ b/src/waxwingwell/adapters/registry/stopping.py
@@ -166,7 +166,7 @@
     if daemon.loop.running:
         daemon.loop.stop()
 
-    responses = count_unsettled(daemon.service)
+    answers = count_unsettled(daemon.service)
     calls = count_calls(context)
     links = list_connections(context)
     for protocol in links:
@@ -177,8 +177,8 @@
 
     log_event(
         "registry: Stopped",
-        answers=responses,
+        answers=answers,
         calls=calls,
         links=len(links),
-        reason="deadline reached with work in progress" if responses or links else "",
+        reason="deadline reached with work in progress" if answers or links else "",
     )
--- a/tests/adapters/registry/support.py
+++ b/tests/adapters/registry/support.py
@@ -1,4 +1,4 @@
-"""Registry contexts without a network: what is sent is kept in lists."""
+"""Registry contexts without a network; sent messages are recorded in lists."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 
 @dataclass(eq=False, slots=True)
 class Connection:
-    """A link's connection that keeps what is sent on it, unless it is full."""
+    """A fake link connection that records sent messages unless it is at capacity."""
 
     remote: str
-    full: bool = False
+    at_capacity: bool = False
     sent: list[Any] = field(default_factory=list)
     closed: Deferred[None] = field(default_factory=Deferred)
 
     def cast(self, body: Any) -> bool:
-        """Keep a message."""
-        if self.full:
+        """Record a message; return false if the link is at capacity."""
+        if self.at_capacity:
             return False
 
         self.sent.append(body)
@@ -36,13 +36,13 @@
 
 @dataclass(slots=True)
 class Registry:
-    """A registry's context, its clock, and connections that others opened."""
+    """A registry's context and its clock."""
 
     context: RegistryContext
     clock: Clock
 
     def accept(self, remote: str) -> Any:
-        """Return a connection that another process opened."""
+        """Return an incoming connection from another process."""
         connection = Connection(remote)
         node = cast("Any", self.context.node)
         node.accepted.add(connection)
@@ -50,7 +50,7 @@
 
 
 def make_registry(address: str = "127.0.0.1", *, first_start: bool = False) -> Registry:
-    """Return a registry that has no group and no links yet."""
+    """Return a registry without a group, linked to one fake control."""
     clock = Clock()
     settings = RegistrySettings(
         address=address,
@@ -74,13 +74,13 @@
         timing=cast("Any", None),
     )
     context.node = node
-    # A link that is known is not opened again, and the tests have no network.
+    # A known link is not opened again, so the tests need no network.
     context.controls = cast("Any", {"127.0.0.2": Peer()})
     return Registry(context, clock)
 
 
 @dataclass(slots=True)
 class Peer:
-    """Stands for a link to another control."""
+    """A fake link to another control."""
 
     protocol: Connection = field(default_factory=lambda: Connection("127.0.0.2"))
--- a/tests/adapters/registry/test_daemon.py
+++ b/tests/adapters/registry/test_daemon.py
@@ -1,4 +1,4 @@
-"""The registry's loop."""
+"""Tests of the registry's periodic tasks."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 class TickTest(unittest.TestCase):
-    """What is due, a few times a second."""
+    """The loop that runs the periodic tasks."""
 
-    def test_a_duty_that_fails_does_not_stop_the_others(self) -> None:
-        """A fault in one duty.
+    def test_a_task_that_fails_does_not_stop_the_others(self) -> None:
+        """An error in one task must not end the loop that drives elections.
 
-        Were the loop that drives elections to end with it, the process would stay up
-        and vote for nobody: a majority may be missing when two others lose their disks.
+        The process would stay up without voting, so that there may be no majority when
+        two other controls lose their disks.
         """
         registry = make_registry()
         for failing in ("tick_member", "watch_rollouts", "run_sharing"):
@@ -28,9 +28,9 @@
                     tick_member=mock.DEFAULT,
                     watch_rollouts=mock.DEFAULT,
                     run_sharing=mock.DEFAULT,
-                ) as duties,
+                ) as tasks,
             ):
-                duties[failing].side_effect = RuntimeError("a fault")
+                tasks[failing].side_effect = RuntimeError("a fault")
                 daemon.run_tick(registry.context)
-                for duty in duties.values():
-                    duty.assert_called_once()
+                for task in tasks.values():
+                    task.assert_called_once()
--- a/tests/adapters/registry/test_hub.py
+++ b/tests/adapters/registry/test_hub.py
@@ -1,4 +1,4 @@
-"""What controls tell each other and their gateways."""
+"""Tests of the messages between controls and gateways."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 from .support import make_registry
 
 
-def find_news(sent: list[Any]) -> list[str]:
-    """Return the upstreams that were told of."""
+def find_announced(sent: list[Any]) -> list[str]:
+    """Return the upstreams announced in the sent messages."""
     return [
         one.upstream
         for body in sent
@@ -35,15 +35,15 @@
     ]
 
 
-class GreetingTest(unittest.TestCase):
-    """What a process gets that has just connected."""
+class ConnectionTest(unittest.TestCase):
+    """Messages sent to a process that has just connected."""
 
-    def test_whoever_connects_learns_of_all_upstreams(self) -> None:
-        """A control restarts without its memory.
+    def test_a_new_connection_receives_all_upstreams(self) -> None:
+        """A restarted control has lost its table of upstreams.
 
-        The others told of each upstream when it changed, long ago. The control would
-        know only upstreams whose heartbeats reach it, and its gateways would take all
-        others for dead and refuse requests.
+        The others announced each upstream only when it last changed. Without a full
+        copy the control would know only upstreams whose heartbeats reach it directly,
+        and its gateways would take all others for dead and refuse requests.
         """
         for remote in ("gateway-1", "127.0.0.2"):
             with self.subTest(remote=remote):
@@ -51,11 +51,11 @@
                 announce(registry.context, make_news("u1"))
                 connection = registry.accept(remote)
                 handle_connection(registry.context, connection)
-                self.assertEqual(find_news(connection.sent), ["u1"])
+                self.assertEqual(find_announced(connection.sent), ["u1"])
 
 
-class NewsTest(unittest.TestCase):
-    """News goes on once, to everyone."""
+class AnnouncementTest(unittest.TestCase):
+    """Announcements are forwarded once to all gateways and controls."""
 
     def test_changes_go_to_gateways_and_controls(self) -> None:
         registry = make_registry()
@@ -67,12 +67,18 @@
             ("leaving", lambda: withdraw(registry.context, "u1", 1)),
         ):
             with self.subTest(name):
-                before = len(find_news(gateway.sent)), len(find_news(control.sent))
+                before = (
+                    len(find_announced(gateway.sent)),
+                    len(find_announced(control.sent)),
+                )
                 step()
-                after = len(find_news(gateway.sent)), len(find_news(control.sent))
+                after = (
+                    len(find_announced(gateway.sent)),
+                    len(find_announced(control.sent)),
+                )
                 self.assertEqual(after, (before[0] + 1, before[1] + 1))
 
-    def test_a_heartbeat_that_changes_nothing_is_not_told_at_once(self) -> None:
+    def test_a_heartbeat_without_changes_is_not_forwarded_at_once(self) -> None:
         registry = make_registry()
         gateway = registry.accept("gateway-1")
         handle_connection(registry.context, gateway)
@@ -88,11 +94,11 @@
         share_heartbeats(registry.context)
         self.assertEqual(gateway.sent[-1], ShareHeartbeats(heard=(("u1", 1, 2),)))
 
-    def test_news_that_found_a_link_full_is_told_again(self) -> None:
-        """An upstream leaves while a gateway reads slowly.
+    def test_an_announcement_dropped_by_a_full_link_is_sent_again(self) -> None:
+        """An upstream deregisters while the link to a slow gateway is full.
 
-        The leave was acknowledged, and the news of it dropped, as the link was full.
-        The gateway sent requests to the upstream until its heartbeats were missed.
+        The deregistration is acknowledged but its announcement is dropped. Without a
+        resend the gateway sends requests there until heartbeats are missed.
         """
         for remote in ("gateway-1", "127.0.0.2"):
             with self.subTest(remote=remote):
@@ -105,22 +111,22 @@
                     registry.context.controls = {remote: link}
 
                 connection.sent.clear()
-                connection.full = True
+                connection.at_capacity = True
                 withdraw(registry.context, "u1", None)
                 run_sharing(registry.context, registry.clock.seconds())
-                self.assertEqual(find_news(connection.sent), [])
-                connection.full = False
+                self.assertEqual(find_announced(connection.sent), [])
+                connection.at_capacity = False
                 run_sharing(registry.context, registry.clock.seconds())
                 run_sharing(registry.context, registry.clock.seconds())
-                self.assertEqual(find_news(connection.sent), ["u1"])
+                self.assertEqual(find_announced(connection.sent), ["u1"])
                 [shared] = [one for one in connection.sent if type(one) is ShareNews]
                 self.assertIs(shared.news[0].state, UpstreamState.GONE)
 
-    def test_a_leave_of_an_unknown_upstream(self) -> None:
-        """A leave arrives at a control that has just restarted.
+    def test_a_deregistration_of_an_unknown_upstream(self) -> None:
+        """A control that has just restarted receives a deregistration.
 
-        If it names its incarnation the others can be told; else another control must
-        be asked, so it is not acknowledged.
+        With an incarnation it can be forwarded to the others. Without one the upstream
+        must ask another control, so the request is not acknowledged.
         """
         for incarnation, known in ((5, True), (None, False)):
             with self.subTest(incarnation=incarnation):
@@ -132,13 +138,13 @@
 
 
 class MemberTest(unittest.TestCase):
-    """Which controls a control connects to."""
+    """The controls that a control connects to."""
 
-    def test_members_on_disk_are_called(self) -> None:
-        """All controls restart, and their settings name seeds that are long gone.
+    def test_members_on_disk_are_connected(self) -> None:
+        """All controls restart with settings whose seeds no longer exist.
 
-        Each has the members on its disk. If none called another, no leader would ever
-        be elected again.
+        Each knows the members from its disk. If none connected to another, no leader
+        could ever be elected.
         """
         registry = make_registry()
         membership = Membership(
@@ -148,20 +154,20 @@
         )
         replica = SimpleNamespace(membership=membership)
         registry.context.group = cast("Any", SimpleNamespace(replica=replica))
-        called: list[str] = []
+        connected: list[str] = []
         with mock.patch.object(
-            hub, "connect_control", lambda _, name: called.append(name)
+            hub, "connect_control", lambda _, name: connected.append(name)
         ):
             hub.follow_members(registry.context)
 
         expected = ["127.0.0.1", "127.0.0.2", "127.0.0.3", "127.0.0.4"]
-        self.assertEqual(sorted(called), expected)
+        self.assertEqual(sorted(connected), expected)
 
-    def test_names_that_may_found_are_the_seeds_alone(self) -> None:
-        """The whole system starts for the first time.
+    def test_only_seeds_may_found_the_group(self) -> None:
+        """The system starts for the first time, and a control that is no seed connects.
 
-        A control that is no seed connects to the seeds before they have founded the
-        group, and its name comes before theirs. It may not found, so nobody would.
+        If its name sorted before those of the seeds, it would be the one to found the
+        group, which it may not do. The group would then never be founded.
         """
         for first_start, expected in (
             (True, ("127.0.0.1",)),
--- a/tests/adapters/registry/test_rollouts.py
+++ b/tests/adapters/registry/test_rollouts.py
@@ -1,4 +1,4 @@
-"""Roll-outs while gateways restart, stand still or are upgraded."""
+"""Roll-outs while gateways restart, stall or are upgraded."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 
 
 DURATION = 20.0
-ORDER_INDEX = 7
+ROLLOUT_INDEX = 7
 FORMER = VersionEvidence(
     service="chat", version="v1", answers=100, failures=1, seconds=10.0
 )
 
 
 def make_evidence(answers: int, failures: int = 0) -> tuple[VersionEvidence, ...]:
-    """Return what a gateway tells of the target."""
+    """Return a gateway's evidence about the target version."""
     return (
         VersionEvidence(
             service="chat",
@@ -46,7 +46,7 @@
 
 
 class Leader:
-    """A leading registry; the commands that it submits are carried out at once."""
+    """A leading registry whose commands are applied at once."""
 
     def __init__(self) -> None:
         self.registry = make_registry()
@@ -57,14 +57,14 @@
         self.ended: list[bool] = []
 
     def report(
-        self, gateway: str, *evidence: VersionEvidence, held: int = ORDER_INDEX
+        self, gateway: str, *evidence: VersionEvidence, held: int = ROLLOUT_INDEX
     ) -> None:
-        """Take a gateway's report."""
+        """Receive a gateway's report."""
         report = GatewayReport(gateway=gateway, use=(), evidence=evidence, held=held)
         take_report(self.context.reports, report, self.context.clock())
 
     def step(self) -> None:
-        """Look at the evidence, then let time pass until the next look."""
+        """Check the evidence, then advance the clock to the next check."""
         share_reports(self.context, self.context.clock())
         if not self.ended:
             with patch.object(rollouts, "submit", self._submit):
@@ -83,10 +83,10 @@
 
 
 class RestartedGatewayTest(unittest.TestCase):
-    """Gateways that lose their counts in the middle of a move."""
+    """Gateways that lose their counts in the middle of a roll-out."""
 
     def test_a_bad_version_is_stopped(self) -> None:
-        """Guards against failures that are forgotten with the gateway that saw them."""
+        """Failures must count after the gateway that reported them has restarted."""
         for name, returns in (("it starts again", True), ("it is gone", False)):
             with self.subTest(name):
                 leader = Leader()
@@ -106,9 +106,9 @@
                 self.assertEqual(leader.ended, [False])
 
     def test_a_good_version_is_completed(self) -> None:
-        """Guards against a move taken back for answers that were given and forgotten.
+        """A roll-out must not be rolled back because restarts lose responses.
 
-        Gateways are restarted in turn, each before it has many answers of the target.
+        Gateways are restarted in turn, each before it has many responses of the target.
         """
         leader = Leader()
         for turn in range(round(DURATION / REPORT_SECONDS) + 1):
@@ -118,31 +118,31 @@
         self.assertEqual(leader.ended, [True])
 
 
-class StandingGatewayTest(unittest.TestCase):
-    """A gateway that reports no more, though its last report is held."""
+class StalledGatewayTest(unittest.TestCase):
+    """A gateway that stops reporting while its last report is still kept."""
 
-    def test_it_holds_a_move_up_for_the_life_of_its_report(self) -> None:
-        """Guards against a move that waits for a gateway that is frozen or cut off."""
+    def test_it_delays_a_roll_out_until_its_report_expires(self) -> None:
+        """A roll-out must not wait for a gateway that is frozen or partitioned."""
         leader = Leader()
         connection = leader.registry.accept("g1")
         handle_connection(leader.context, connection)
-        leader.report("g2", held=ORDER_INDEX - 1)
+        leader.report("g2", held=ROLLOUT_INDEX - 1)
         held = []
         for _ in range(round(REPORT_LIFE / REPORT_SECONDS) + 2):
             leader.report("g1")
             leader.step()
-            sums = [one for one in connection.sent if isinstance(one, FleetReport)]
-            held.append(sums[-1].held)
+            totals = [one for one in connection.sent if isinstance(one, FleetReport)]
+            held.append(totals[-1].held)
 
-        self.assertEqual(held[0], ORDER_INDEX - 1)
-        self.assertEqual(held[-1], ORDER_INDEX)
+        self.assertEqual(held[0], ROLLOUT_INDEX - 1)
+        self.assertEqual(held[-1], ROLLOUT_INDEX)
 
 
-class UntoldGatewayTest(unittest.TestCase):
-    """A gateway of an older program, which does not tell what it holds."""
+class UnreportedStateTest(unittest.TestCase):
+    """A gateway of an older release, which does not report the state that it has."""
 
-    def test_the_log_names_who_holds_a_move_up(self) -> None:
-        """Guards against a move that is taken back during an upgrade, unexplained."""
+    def test_the_log_names_gateways_that_delay_a_roll_out(self) -> None:
+        """A roll-out that is rolled back during an upgrade must be explained."""
         leader = Leader()
         leader.registry.clock.advance(DURATION)
         leader.report("g1", FORMER)
--- a/tests/adapters/registry/test_stop.py
+++ b/tests/adapters/registry/test_stop.py
@@ -1,4 +1,4 @@
-"""The planned stop of a registry: what it has read gets its answer."""
+"""The planned stop of a registry: requests that were read get their response."""
 
 from __future__ import annotations
 
@@ -50,33 +50,33 @@
 
 
 class Port:
-    """Stands for a listening port."""
+    """A fake listening port."""
 
     closed = False
 
     def stopListening(self) -> None:  # noqa: N802
-        """Note that nobody can connect any more."""
+        """Record that the port was closed."""
         self.closed = True
 
 
-class Stage:
-    """A registry, another control linked to it both ways, and callers.
+class Fixture:
+    """A registry, another control linked to it in both directions, and callers.
 
-    Calls of the control and orders of callers wait until the test answers them; a leave
-    is acknowledged at once. Bytes leave when the test lets them.
+    Calls of the control and commands of callers stay pending until the test responds;
+    a deregistration is acknowledged at once. Bytes are sent when the test says so.
     """
 
     def __init__(self) -> None:
         registry = make_registry()
         self.context, self.clock = registry.context, registry.clock
         self.calls: list[Deferred[Message]] = []
-        self.orders: list[Responder] = []
-        self.told: list[Any] = []
+        self.commands: list[Responder] = []
+        self.received: list[Any] = []
         self.ended: list[float] = []
         self.links: list[BufferedTransport] = []
         node = self.make_node("127.0.0.1", partial(take_cast, self.context))
         self.context.node = node
-        peer = self.make_node("127.0.0.2", lambda _, body: self.told.append(body))
+        peer = self.make_node("127.0.0.2", lambda _, body: self.received.append(body))
         self.context.controls = {"127.0.0.2": self.connect(node, peer)}
         self.peer_link = self.connect(peer, node)
         self.service = HttpService(
@@ -91,13 +91,13 @@
         )
         carry(*self.links)
 
-    def make_node(self, name: str, take: Any) -> LinkNode:
-        """Return what the links of one process share."""
+    def make_node(self, name: str, handle_cast: Any) -> LinkNode:
+        """Return the shared state of one process's links."""
         return LinkNode(
             name=name,
             reactor=self.clock,
             handlers=LinkHandlers(
-                take_call=self.take_call, take_cast=take, body_type=RegistryBody
+                take_call=self.take_call, take_cast=handle_cast, body_type=RegistryBody
             ),
             timing=ROUTING_TIMING,
         )
@@ -114,22 +114,22 @@
         return link
 
     def take_call(self, sender: str, body: Any) -> Deferred[Message]:
-        """Keep a call until the test answers it."""
-        answer: Deferred[Message] = Deferred()
-        self.calls.append(answer)
-        return answer
+        """Keep a call pending until the test replies."""
+        reply: Deferred[Message] = Deferred()
+        self.calls.append(reply)
+        return reply
 
     def handle(self, request: HttpRequest, responder: Responder) -> None:
-        """Acknowledge a leave, keep an order."""
+        """Acknowledge a deregistration; keep a command pending."""
         if request.method == b"DELETE":
             withdraw(self.context, "u1", 1)
             responder.send(200, [], b"{}")
             return
 
-        self.orders.append(responder)
+        self.commands.append(responder)
 
     def open_caller(self, data: bytes = b"") -> BufferedTransport:
-        """Return a caller's connection that has sent something."""
+        """Return a caller's connection on which ``data`` was received."""
         connection: Any = HttpConnection(self.service)
         transport = BufferedTransport(connection)
         connection.makeConnection(transport)
@@ -138,37 +138,37 @@
 
         return transport
 
-    def ask(self) -> list[Any]:
-        """Let the other control call; return the list that takes the result."""
+    def start_call(self) -> list[Any]:
+        """Call from the other control; return the list that receives the result."""
         results: list[Any] = []
         protocol: Any = self.peer_link.protocol
-        answer = protocol.call(ReadRouting(), timeout=60.0)
-        answer.addCallbacks(results.append, lambda one: results.append(one.value))
+        reply = protocol.call(ReadRouting(), timeout=60.0)
+        reply.addCallbacks(results.append, lambda one: results.append(one.value))
         carry(*self.links)
         return results
 
     def stop(self) -> None:
-        """Send the order to stop."""
+        """Start the planned stop."""
         stopping.stop_registry(
             self.daemon, lambda: self.ended.append(self.clock.seconds())
         )
 
     def lead(self) -> dict[str, Any]:
-        """Lead a group of two others; return what is known of each."""
+        """Lead a group with two followers; return the progress of each."""
         names = ("127.0.0.2~1", "127.0.0.3~1")
-        known: dict[str, Any] = {
+        followers: dict[str, Any] = {
             name: SimpleNamespace(acknowledged_at=0.0) for name in names
         }
         replica = SimpleNamespace(
-            progress=known, membership=SimpleNamespace(voters=names)
+            progress=followers, membership=SimpleNamespace(voters=names)
         )
         store = SimpleNamespace(close=lambda: None)
         self.context.group = cast("Any", SimpleNamespace(replica=replica, store=store))
-        return known
+        return followers
 
     @contextmanager
     def patch_group(self) -> Iterator[mock.Mock]:
-        """Let this process lead for good; yield what asks others to."""
+        """Make this process the leader; yield the mock of the leadership transfer."""
         with (
             mock.patch.object(stopping, "leader_of", lambda _: "127.0.0.1"),
             mock.patch.object(stopping, "leads", lambda *_: True),
@@ -178,166 +178,170 @@
             yield transfer
 
     def run(self, seconds: float, *, drain: tuple[BufferedTransport, ...] = ()) -> None:
-        """Let time pass; the bytes on ``drain`` leave meanwhile."""
+        """Advance the clock while the transports in ``drain`` send their bytes."""
         for _ in range(round(seconds / 0.05)):
             carry(*drain)
             self.clock.advance(0.05)
 
 
-ORDER = b"PUT /-/config HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n"
-LEAVE = b"DELETE /-/instances/u1 HTTP/1.1\r\nHost: a\r\n\r\n"
+COMMAND = b"PUT /-/config HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n"
+DEREGISTRATION = b"DELETE /-/instances/u1 HTTP/1.1\r\nHost: a\r\n\r\n"
 
 
 class StopTest(unittest.TestCase):
-    """Answers under way when the order to stop comes."""
+    """Responses in progress when the stop is requested."""
 
-    def test_an_order_that_waits_for_its_commit(self) -> None:
-        """An operator's order is read, then its registry is stopped for an upgrade.
+    def test_a_command_that_waits_for_its_commit(self) -> None:
+        """An operator's command is read, then its registry is stopped for an upgrade.
 
-        The order is carried out a moment later, by a leader that is elsewhere. Ended
-        at once, the registry leaves the operator with a closed connection, who can't
-        tell whether the order is in force.
+        The command is committed a moment later by a leader elsewhere. If the registry
+        ended at once, the operator would see a closed connection and could not tell
+        whether the command is in force.
         """
-        stage = Stage()
-        caller = stage.open_caller(ORDER)
-        stage.stop()
-        stage.run(3.0, drain=(caller, *stage.links))
-        self.assertEqual(stage.ended, [])
-        stage.orders[0].send(200, [], b"{}")
-        stage.run(0.5)
-        self.assertEqual(stage.ended, [])
-        stage.run(0.5, drain=(caller, *stage.links))
+        fixture = Fixture()
+        caller = fixture.open_caller(COMMAND)
+        fixture.stop()
+        fixture.run(3.0, drain=(caller, *fixture.links))
+        self.assertEqual(fixture.ended, [])
+        fixture.commands[0].send(200, [], b"{}")
+        fixture.run(0.5)
+        self.assertEqual(fixture.ended, [])
+        fixture.run(0.5, drain=(caller, *fixture.links))
         self.assertIn(b"HTTP/1.1 200", caller.sent)
-        self.assertEqual(len(stage.ended), 1)
+        self.assertEqual(len(fixture.ended), 1)
 
-    def test_an_order_that_another_control_has_passed_on(self) -> None:
-        """A control passes an order on to the leader, which is told to stop.
+    def test_a_command_forwarded_by_another_control(self) -> None:
+        """A control forwards a command to the leader, which is being stopped.
 
-        The leader commits it. If its answer is dropped with the link, the operator
-        hears from the control that the order failed, and it is in force.
+        The leader commits it. If its reply were dropped with the link, the operator
+        would get an error for a command that is in force.
         """
-        stage = Stage()
-        results = stage.ask()
-        stage.stop()
-        stage.run(3.0, drain=tuple(stage.links))
-        self.assertEqual(stage.ended, [])
-        stage.calls[0].callback(Accepted())
-        stage.run(0.5)
-        self.assertEqual(stage.ended, [])
-        stage.run(0.5, drain=tuple(stage.links))
+        fixture = Fixture()
+        results = fixture.start_call()
+        fixture.stop()
+        fixture.run(3.0, drain=tuple(fixture.links))
+        self.assertEqual(fixture.ended, [])
+        fixture.calls[0].callback(Accepted())
+        fixture.run(0.5)
+        self.assertEqual(fixture.ended, [])
+        fixture.run(0.5, drain=tuple(fixture.links))
         self.assertEqual(results, [Accepted()])
-        self.assertEqual(len(stage.ended), 1)
+        self.assertEqual(len(fixture.ended), 1)
 
-    def test_a_leave_that_was_acknowledged(self) -> None:
-        """An upstream says that it leaves, and its registry is told to stop.
+    def test_a_deregistration_that_was_acknowledged(self) -> None:
+        """An upstream deregisters, and its registry is being stopped.
 
-        The upstream has its acknowledgement, the news for the other controls is still
-        in a buffer. Lost there, gateways would go on sending requests to an upstream
-        that has gone.
+        The upstream has its acknowledgement, while the announcement for the other
+        controls is still in a buffer. If it were lost, gateways would keep sending
+        requests to an upstream that has gone.
         """
-        stage = Stage()
-        announce(stage.context, make_news("u1"))
-        carry(*stage.links)
-        stage.told.clear()
-        caller = stage.open_caller(LEAVE)
+        fixture = Fixture()
+        announce(fixture.context, make_news("u1"))
+        carry(*fixture.links)
+        fixture.received.clear()
+        caller = fixture.open_caller(DEREGISTRATION)
         caller.drain()
-        stage.stop()
-        stage.run(0.5, drain=(caller,))
-        self.assertEqual(stage.ended, [])
-        stage.run(0.5, drain=tuple(stage.links))
-        news = [body for body in stage.told if isinstance(body, ShareNews)]
-        self.assertEqual([one.news[0].state.value for one in news], ["gone"])
-        self.assertEqual(len(stage.ended), 1)
+        fixture.stop()
+        fixture.run(0.5, drain=(caller,))
+        self.assertEqual(fixture.ended, [])
+        fixture.run(0.5, drain=tuple(fixture.links))
+        shared = [body for body in fixture.received if isinstance(body, ShareNews)]
+        self.assertEqual([one.news[0].state.value for one in shared], ["gone"])
+        self.assertEqual(len(fixture.ended), 1)
 
     def test_requests_during_the_stop(self) -> None:
-        """A caller has not noticed the stop: it is answered, and told to go away."""
-        stage = Stage()
-        results = stage.ask()
-        stage.stop()
-        stage.run(0.5, drain=tuple(stage.links))
-        caller = stage.open_caller(LEAVE)
-        stage.run(0.5, drain=(caller, *stage.links))
+        """A request during the stop gets a response that closes the connection."""
+        fixture = Fixture()
+        results = fixture.start_call()
+        fixture.stop()
+        fixture.run(0.5, drain=tuple(fixture.links))
+        caller = fixture.open_caller(DEREGISTRATION)
+        fixture.run(0.5, drain=(caller, *fixture.links))
         self.assertIn(b"HTTP/1.1 200", caller.sent)
         self.assertIn(b"Connection: close", caller.sent)
-        stage.calls[0].callback(Accepted())
-        stage.run(0.5, drain=(caller, *stage.links))
+        fixture.calls[0].callback(Accepted())
+        fixture.run(0.5, drain=(caller, *fixture.links))
         self.assertEqual(results, [Accepted()])
-        self.assertTrue(stage.port.closed)
-        self.assertEqual(len(stage.ended), 1)
+        self.assertTrue(fixture.port.closed)
+        self.assertEqual(len(fixture.ended), 1)
 
     def test_a_request_that_crosses_the_stop(self) -> None:
-        """A caller has connected just before; its request comes a moment later."""
-        stage = Stage()
-        caller = stage.open_caller()
-        stage.stop()
-        caller.protocol.dataReceived(LEAVE)
-        stage.run(0.5, drain=(caller, *stage.links))
+        """A caller connected just before the stop; its request arrives during it."""
+        fixture = Fixture()
+        caller = fixture.open_caller()
+        fixture.stop()
+        caller.protocol.dataReceived(DEREGISTRATION)
+        fixture.run(0.5, drain=(caller, *fixture.links))
         self.assertIn(b"HTTP/1.1 200", caller.sent)
-        self.assertEqual(len(stage.ended), 1)
+        self.assertEqual(len(fixture.ended), 1)
 
-    def test_nothing_under_way(self) -> None:
-        stage = Stage()
-        idle = stage.open_caller()
-        stage.stop()
-        stage.run(0.5, drain=(idle, *stage.links))
+    def test_nothing_in_progress(self) -> None:
+        fixture = Fixture()
+        idle = fixture.open_caller()
+        fixture.stop()
+        fixture.run(0.5, drain=(idle, *fixture.links))
         self.assertFalse(idle.connected)
-        self.assertEqual(len(stage.ended), 1)
+        self.assertEqual(len(fixture.ended), 1)
 
-    def test_a_successor_that_does_not_answer(self) -> None:
-        """The leader is stopped as the member that it asks to lead freezes.
+    def test_an_unresponsive_successor(self) -> None:
+        """The leader is stopped, and the member that it asks to lead freezes.
 
-        Another one must be asked while there is time: else the group has no leader
-        until the others have missed this one.
+        Another one must be asked before the deadline. Otherwise the group has no leader
+        until the election timeout of the others.
         """
-        stage = Stage()
-        known = stage.lead()
-        with stage.patch_group() as transfer:
-            stage.stop()
-            stage.run(0.5, drain=tuple(stage.links))
-            known["127.0.0.3~1"].acknowledged_at = 0.4
-            stage.run(2.0, drain=tuple(stage.links))
+        fixture = Fixture()
+        followers = fixture.lead()
+        with fixture.patch_group() as transfer:
+            fixture.stop()
+            fixture.run(0.5, drain=tuple(fixture.links))
+            followers["127.0.0.3~1"].acknowledged_at = 0.4
+            fixture.run(2.0, drain=tuple(fixture.links))
 
         asked = [call.args[1] for call in transfer.call_args_list]
         self.assertEqual(asked[0], "127.0.0.2")
         self.assertEqual(asked[-1], "127.0.0.3")
-        self.assertEqual(len(stage.ended), 1)
-        self.assertGreaterEqual(stage.ended[0], stopping.HANDOVER_SECONDS)
+        self.assertEqual(len(fixture.ended), 1)
+        self.assertGreaterEqual(fixture.ended[0], stopping.HANDOVER_SECONDS)
 
-    def test_a_fault_does_not_keep_the_process_from_ending(self) -> None:
-        stage = Stage()
-        stage.lead()
+    def test_an_error_does_not_prevent_the_stop(self) -> None:
+        fixture = Fixture()
+        fixture.lead()
         with (
-            stage.patch_group() as transfer,
+            fixture.patch_group() as transfer,
             mock.patch.object(events, "logger") as log,
         ):
             transfer.side_effect = RuntimeError("a fault")
-            stage.stop()
-            stage.run(3.0, drain=tuple(stage.links))
+            fixture.stop()
+            fixture.run(3.0, drain=tuple(fixture.links))
 
         log.opt.return_value.error.assert_called()
-        self.assertEqual(len(stage.ended), 1)
+        self.assertEqual(len(fixture.ended), 1)
 
-    def test_answers_that_never_leave_are_counted(self) -> None:
-        """Callers that read nothing: the process must end before it is killed.
+    def test_responses_that_can_not_be_sent_are_counted(self) -> None:
+        """Callers that read nothing must not delay the process until it is killed.
 
-        Whoever looks for the cause of a cut answer finds in the log how many there
-        were.
+        The log gives the number of truncated responses, so that their cause can be
+        found.
         """
-        for name, orders, calls in (("order", 1, 0), ("call", 0, 1), ("both", 2, 1)):
+        for name, commands, calls in (
+            ("command", 1, 0),
+            ("call", 0, 1),
+            ("both", 2, 1),
+        ):
             with self.subTest(name), mock.patch.object(stopping, "log_event") as log:
-                stage = Stage()
-                for _ in range(orders):
-                    stage.open_caller(ORDER)
+                fixture = Fixture()
+                for _ in range(commands):
+                    fixture.open_caller(COMMAND)
 
                 for _ in range(calls):
-                    stage.ask()
+                    fixture.start_call()
 
-                stage.stop()
-                stage.run(stage.context.settings.grace, drain=tuple(stage.links))
-                limit = stage.context.settings.grace - stopping.STOP_MARGIN
-                self.assertEqual(len(stage.ended), 1)
-                self.assertLessEqual(stage.ended[0], limit + stopping.POLL_SECONDS)
+                fixture.stop()
+                fixture.run(fixture.context.settings.grace, drain=tuple(fixture.links))
+                limit = fixture.context.settings.grace - stopping.STOP_MARGIN
+                self.assertEqual(len(fixture.ended), 1)
+                self.assertLessEqual(fixture.ended[0], limit + stopping.POLL_SECONDS)
                 last = log.call_args_list[-1]
                 self.assertEqual(last.args, ("registry: Stopped",))
-                self.assertEqual(last.kwargs["answers"], orders)
+                self.assertEqual(last.kwargs["answers"], commands)
                 self.assertEqual(last.kwargs["calls"], calls)
--- a/tests/adapters/registry/test_stop_sockets.py
+++ b/tests/adapters/registry/test_stop_sockets.py
@@ -1,4 +1,4 @@
-"""The planned stop of a registry over real sockets, with readers that lag."""
+"""The planned stop of a registry over real sockets with slow readers."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 class LagTest(AsyncTestCase):
-    """A registry in this process; its end cuts what it has not sent."""
+    """A registry in this process, whose end drops all bytes that it has not sent."""
 
     async def setUp(self) -> None:  # type: ignore[override]
         self.folder = tempfile.TemporaryDirectory()
@@ -67,12 +67,12 @@
         self.context: RegistryContext = self.daemon.context
 
     def answer(self, request: HttpRequest, responder: Responder) -> None:
-        """Send a large answer."""
+        """Send a large response."""
         responder.send(200, [], b"x" * LARGE)
         self.read.callback(None)
 
     def take_call(self, sender: str, body: Any) -> Deferred[Message]:
-        """Answer a call; the test goes on once the answer was handed to the link."""
+        """Reply to a call; the test continues once the link has the reply."""
         reactor.callLater(0, self.read.callback, None)
         return succeed(RoutingNow(version=1, source=b"x" * LARGE, rollouts=()))
 
@@ -93,7 +93,7 @@
         return connect(LinkFactory(node))
 
     def stop(self) -> Deferred[None]:
-        """Order the stop; the result comes when the process would end."""
+        """Start the planned stop; the result fires when the process would end."""
         ended: Deferred[None] = Deferred()
 
         def end() -> None:
@@ -111,7 +111,7 @@
     async def test_a_caller_that_reads_slowly(self) -> None:
         """An operator reads a large document while the registry is stopped.
 
-        Most of it waits in the process. The operator must get it whole.
+        Most of it is still buffered in the process, and must arrive completely.
         """
         port = self.daemon.ports[1].getHost().port
         endpoint = TCP4ClientEndpoint(reactor, ADDRESS, port)
@@ -124,16 +124,16 @@
         await ended
 
     async def test_a_process_that_reads_a_link_slowly(self) -> None:
-        """Another process asks for the state, and the registry is stopped."""
-        own: Any = self.context.node
-        own.handlers = replace(own.handlers, take_call=self.take_call)
+        """Another process reads the state slowly while the registry is stopped."""
+        node: Any = self.context.node
+        node.handlers = replace(node.handlers, take_call=self.take_call)
         protocol = await self.connect_gateway()
         transport: Any = protocol.transport
         transport.pauseProducing()
-        answer = protocol.call(ReadRouting(), timeout=60.0)
+        reply = protocol.call(ReadRouting(), timeout=60.0)
         await self.read
         ended = self.stop()
         transport.resumeProducing()
-        told = await answer
-        self.assertEqual(len(told.source), LARGE)
+        state = await reply
+        self.assertEqual(len(state.source), LARGE)
         await ended
