--- a/src/waxwingwell/adapters/http/client.py
+++ b/src/waxwingwell/adapters/http/client.py
@@ -1,7 +1,7 @@
-"""The client's side of HTTP/1.1: one request on a connection of its own.
+"""HTTP/1.1 client: each request uses a new connection.
 
-A connection that was idle may have gone silent or be reset, and a request sent on it
-may then have run or not. A fresh connection costs one round trip and leaves no doubt.
+An idle connection may be dead or be reset, and then it is unknown whether a request
+sent on it has run. A new connection costs one round trip and avoids that ambiguity.
 """
 
 from __future__ import annotations
@@ -31,10 +31,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CallHandlers:
-    """What is done with an answer as it arrives.
+    """Callbacks for a response as it arrives.
 
-    ``on_end`` is called once, last: with whether the answer came whole, and whether
-    any byte of the request had been sent.
+    ``on_end`` is called once, last. Its arguments tell whether the response is complete
+    and whether any byte of the request had been sent.
     """
 
     on_head: Callable[[int, HeaderList], None]
@@ -43,7 +43,7 @@
 
 
 class UpstreamCall:
-    """One request under way to one upstream."""
+    """A request in progress to one upstream."""
 
     def __init__(
         self,
@@ -64,7 +64,7 @@
         )
 
     def cancel(self) -> None:
-        """Give the call up: the upstream sees its connection close at once."""
+        """Cancel the call and close the connection to the upstream at once."""
         if self._ended:
             return
 
@@ -74,29 +74,29 @@
         else:
             self._connector.disconnect()
 
-    def attach(self, protocol: _CallProtocol) -> None:
-        """Note the connection that was made."""
+    def set_protocol(self, protocol: _CallProtocol) -> None:
+        """Set the protocol of the established connection."""
         self._protocol = protocol
 
-    def take_head(self, status: int, headers: HeaderList) -> None:
-        """Hand the head of the answer on."""
+    def handle_head(self, status: int, headers: HeaderList) -> None:
+        """Pass on the status and headers of the response."""
         if not self._ended:
             self.handlers.on_head(status, headers)
 
-    def take_data(self, data: bytes) -> None:
-        """Hand a part of the body on."""
+    def handle_data(self, data: bytes) -> None:
+        """Pass on a chunk of the body."""
         if not self._ended:
             self.handlers.on_data(data)
 
-    def end(self, *, whole: bool) -> None:
-        """Tell once how the call ended."""
+    def finish(self, *, complete: bool) -> None:
+        """Report the outcome of the call, once."""
         if not self._ended:
             self._ended = True
-            self.handlers.on_end(whole, self.sent)
+            self.handlers.on_end(complete, self.sent)
 
     @property
     def ended(self) -> bool:
-        """Whether the call is over."""
+        """Whether the call has completed, failed or been cancelled."""
         return self._ended
 
 
@@ -106,7 +106,7 @@
         self._h11 = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
 
     def connectionMade(self) -> None:  # noqa: N802
-        self._call.attach(self)
+        self._call.set_protocol(self)
         if self._call.ended:
             self.abort()
             return
@@ -115,48 +115,48 @@
         transport.setTcpNoDelay(True)
         method, target, headers, body = self._call.request
         head = h11.Request(method=method, target=target, headers=headers)
-        parts = [self._h11.send(head)]
+        chunks = [self._h11.send(head)]
         if body:
-            parts.append(self._h11.send(h11.Data(data=body)))
+            chunks.append(self._h11.send(h11.Data(data=body)))
 
-        parts.append(self._h11.send(h11.EndOfMessage()))
+        chunks.append(self._h11.send(h11.EndOfMessage()))
         self._call.sent = True
-        transport.write(b"".join(part for part in parts if part))
+        transport.write(b"".join(chunk for chunk in chunks if chunk))
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         self._h11.receive_data(data)
-        self._read()
+        self._process_events()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
-        # A reset in the middle of an answer without a length is no end of it.
+        # A clean close completes a response without a length; a reset does not.
         if not self._call.ended and reason.check(ConnectionDone):
             self._h11.receive_data(b"")
-            self._read()
+            self._process_events()
 
-        self._call.end(whole=False)
+        self._call.finish(complete=False)
 
     def abort(self) -> None:
         if self.transport is not None:
             cast("ITCPTransport", self.transport).abortConnection()
 
-    def _read(self) -> None:
+    def _process_events(self) -> None:
         try:
-            while not self._call.ended and self._take(self._h11.next_event()):
+            while not self._call.ended and self._handle_event(self._h11.next_event()):
                 pass
         except h11.RemoteProtocolError:
-            self._call.end(whole=False)
+            self._call.finish(complete=False)
             self.abort()
 
-    def _take(self, event: Any) -> bool:
+    def _handle_event(self, event: Any) -> bool:
         if event is h11.NEED_DATA or event is h11.PAUSED:
             return False
 
         if isinstance(event, h11.Response):
-            self._call.take_head(event.status_code, list(event.headers.raw_items()))
+            self._call.handle_head(event.status_code, list(event.headers.raw_items()))
         elif isinstance(event, h11.Data):
-            self._call.take_data(bytes(event.data))
+            self._call.handle_data(bytes(event.data))
         elif isinstance(event, h11.EndOfMessage):
-            self._call.end(whole=True)
+            self._call.finish(complete=True)
             self.abort()
             return False
 
@@ -173,4 +173,4 @@
         return _CallProtocol(self._call)
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:  # noqa: N802
-        self._call.end(whole=False)
+        self._call.finish(complete=False)
--- a/src/waxwingwell/adapters/http/output.py
+++ b/src/waxwingwell/adapters/http/output.py
@@ -1,4 +1,4 @@
-"""Bytes on their way to the other end of a connection, until the last one has left."""
+"""Send buffer of a connection, which knows how many bytes are still unsent."""
 
 from __future__ import annotations
 
@@ -13,43 +13,43 @@
     from collections.abc import Callable
 
 
-PIECE_BYTES = 65_536
-"""Handed to the transport at a time: it asks for more when it holds nothing."""
+CHUNK_BYTES = 65_536
+"""Most bytes given to the transport at a time; it requests more once they are sent."""
 
 
 @implementer(IPullProducer)
-class Output:
-    """What was written to a connection and the kernel has not taken yet.
+class SendBuffer:
+    """Bytes written to a connection that the kernel has not accepted yet.
 
-    A transport tells nothing of what it holds back, yet it drops it when the reactor
-    stops or the connection is aborted. So it gets a piece at a time, and asks for the
-    next one when it holds nothing any more. ``on_progress`` is called then.
+    A transport does not report how much it buffers, and drops its buffer when the
+    reactor stops or the connection is aborted. So it gets one chunk at a time and
+    requests the next when its buffer is empty. ``on_progress`` is called then.
     """
 
     def __init__(self, transport: Any, on_progress: Callable[[], None]) -> None:
         self._transport = transport
         self._on_progress = on_progress
-        self._waiting = bytearray()
-        self._handed = 0
+        self._pending = bytearray()
+        self._in_transport = 0
         self._finishing = False
         transport.registerProducer(self, False)
 
     @property
     def unsent(self) -> int:
-        """Bytes that may not have left, at most."""
-        return self._handed + len(self._waiting)
+        """Upper bound on the bytes that have not been sent."""
+        return self._in_transport + len(self._pending)
 
     def write(self, data: bytes) -> None:
-        """Send bytes after all that were written before."""
-        self._waiting += data
-        if self._handed < PIECE_BYTES:
-            self._hand_over()
+        """Append bytes to the buffer and send as many as possible."""
+        self._pending += data
+        if self._in_transport < CHUNK_BYTES:
+            self._send_chunk()
 
     def finish(self) -> None:
-        """Close our side when everything has left; the other end closes its own.
+        """Close the write side once everything was sent; the peer closes its own.
 
-        Failure: bytes that came after a connection was closed for both directions, such
-        as a request sent ahead, made the kernel reset it and drop what it still held.
+        If both directions were closed, bytes that arrive later, such as a pipelined
+        request, would make the kernel reset the connection and drop its unsent data.
         """
         self._finishing = True
         if not self.unsent:
@@ -57,31 +57,31 @@
 
     def close(self) -> None:
         """Close both sides at once."""
-        # A transport with a producer waits for more instead of closing.
+        # A transport with a registered producer waits for data instead of closing.
         self._transport.unregisterProducer()
         self._transport.loseConnection()
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Go on: the transport has sent what it had. It also asks at the start."""
-        if not self._handed:
+        """Continue: the transport has sent its buffer, or was just registered with."""
+        if not self._in_transport:
             return
 
-        self._handed = 0
+        self._in_transport = 0
         self._on_progress()
-        if self._waiting:
-            self._hand_over()
+        if self._pending:
+            self._send_chunk()
         elif self._finishing:
             self._half_close()
 
     def stopProducing(self) -> None:  # noqa: N802
-        """Do nothing: the connection's protocol is told that it was lost."""
-
-    def _hand_over(self) -> None:
-        size = PIECE_BYTES - self._handed
-        piece = bytes(self._waiting[:size])
-        del self._waiting[:size]
-        self._handed += len(piece)
-        self._transport.write(piece)
+        """Do nothing: the protocol's ``connectionLost`` handles the loss."""
+
+    def _send_chunk(self) -> None:
+        size = CHUNK_BYTES - self._in_transport
+        chunk = bytes(self._pending[:size])
+        del self._pending[:size]
+        self._in_transport += len(chunk)
+        self._transport.write(chunk)
 
     def _half_close(self) -> None:
         self._transport.unregisterProducer()
--- a/src/waxwingwell/adapters/http/records.py
+++ b/src/waxwingwell/adapters/http/records.py
@@ -1,4 +1,4 @@
-"""Requests and limits of HTTP, as this package hands them on."""
+"""Records of HTTP requests and limits, and helpers for headers."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 HeaderList = list[tuple[bytes, bytes]]
-"""Names and values in order, as they came or as they are to be sent."""
+"""Names and values in the order in which they were received or are to be sent."""
 
 HOP_BY_HOP = frozenset(
     {
@@ -23,12 +23,12 @@
         b"upgrade",
     }
 )
-"""Lower-case names of headers that concern one connection only (RFC 9110, 7.6.1)."""
+"""Lower-case names of hop-by-hop headers (RFC 9110, 7.6.1)."""
 
 
 @dataclass(frozen=True, slots=True)
 class HttpLimits:
-    """Bounds on what a caller may send; times in seconds."""
+    """Limits on requests of callers; times in seconds."""
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpRequest:
-    """A request that was read whole."""
+    """A request that was received completely."""
 
     method: bytes
     target: bytes
@@ -47,7 +47,7 @@
 
 
 def strip_hop_headers(headers: HeaderList) -> HeaderList:
-    """Return the headers that go on to the next hop."""
+    """Return the headers that are forwarded to the next hop."""
     named = set()
     for name, value in headers:
         if name.lower() == b"connection":
@@ -58,7 +58,7 @@
 
 
 def find_header(headers: HeaderList, name: bytes) -> bytes | None:
-    """Return the first value of a header, given by its lower-case name."""
+    """Return the first value of the header with this lower-case name."""
     for known, value in headers:
         if known.lower() == name:
             return value
--- a/src/waxwingwell/adapters/http/server.py
+++ b/src/waxwingwell/adapters/http/server.py
@@ -1,4 +1,4 @@
-"""The server's side of HTTP/1.1: one request at a time on a connection."""
+"""HTTP/1.1 server that handles one request at a time on a connection."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 from ..events import log_event
 from ..measures import ANSWERS_CUT
-from .output import Output
+from .output import SendBuffer
 from .records import HeaderList
 from .records import HttpLimits
 from .records import HttpRequest
@@ -41,16 +41,17 @@
     503: b"Service Unavailable",
     504: b"Gateway Timeout",
 }
-FRESH_SECONDS = 0.3
-"""How long a new connection may wait for its first bytes: some ways, or one lost."""
+FIRST_BYTES_SECONDS = 0.3
+"""Seconds for which a planned stop keeps a new connection without bytes open: a few
+network delays, or one lost packet."""
 
 
 @dataclass(slots=True)
 class HttpService:
-    """What all connections of one listener share.
+    """State shared by all connections of a listener.
 
-    ``handle`` gets each request once it was read whole; ``limits`` is asked anew for
-    each request, as a newer configuration may have changed them.
+    ``handle`` is called with each complete request. ``limits`` is called for each
+    request, as a newer configuration may have changed the limits.
     """
 
     reactor: Any
@@ -61,27 +62,27 @@
 
 
 class Responder:
-    """The way back to the caller of one request."""
+    """Sends the response to one request."""
 
     __slots__ = ("_connection", "ended", "on_lost", "request_id", "started")
 
     def __init__(self, connection: HttpConnection) -> None:
         self._connection = connection
         self.request_id = ""
-        """For the log."""
+        """Identifies the request in the log."""
         self.started = False
         self.ended = False
         self.on_lost: Callable[[], None] = lambda: None
 
     def send(self, status: int, headers: HeaderList, body: bytes = b"") -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
         length = (b"Content-Length", str(len(body)).encode())
         self.start(status, [*headers, length])
         self.write(body)
         self.finish()
 
     def start(self, status: int, headers: HeaderList) -> None:
-        """Send the head; without a length the body goes out in chunks."""
+        """Send status and headers; without a length the body is sent chunked."""
         if self.ended:
             return
 
@@ -89,18 +90,18 @@
         self._connection.send_head(status, headers)
 
     def write(self, data: bytes) -> None:
-        """Send a part of the body."""
+        """Send a chunk of the body."""
         if data and not self.ended:
             self._connection.send_data(data)
 
     def finish(self) -> None:
-        """End the answer; the connection may be used again."""
+        """Finish the response; the connection may be reused."""
         if not self.ended:
             self.ended = True
-            self._connection.finish_answer()
+            self._connection.finish_response()
 
     def abort(self) -> None:
-        """Cut the answer off, so that it can't be taken for a whole one."""
+        """Abort the response, so that it can't be mistaken for a complete one."""
         if not self.ended:
             self.ended = True
             self._connection.abort()
@@ -117,45 +118,45 @@
         self._size = 0
         self._responder: Responder | None = None
         self._timer: Any = None
-        self._close_after = False
+        self._close_after_response = False
         self._closing = False
-        self._to_read = False
-        """Bytes came beside the last request that were not looked at yet."""
-        self._output: Output | None = None
-        self._answered_id = ""
-        """Request whose answer was written last."""
-        self._made_at = service.reactor.seconds()
-        self._fresh = True
-        """Nothing has come yet."""
+        self._has_unparsed_bytes = False
+        """Whether bytes that arrived after the last request are still unparsed."""
+        self._send_buffer: SendBuffer | None = None
+        self._last_request_id = ""
+        """Id of the request whose response was written last."""
+        self._connected_at = service.reactor.seconds()
+        self._awaiting_first_bytes = True
+        """Whether no bytes have been received yet."""
 
     def _new_h11(self) -> h11.Connection:
         limit = self.service.limits().header_bytes
         return h11.Connection(h11.SERVER, max_incomplete_event_size=limit)
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Wait for the first request."""
+        """Register the connection and wait for the first request."""
         self.service.connections.add(self)
         cast("ITCPTransport", self.transport).setTcpNoDelay(True)
-        self._output = Output(self.transport, self._note_progress)
-        self._wait(self.service.limits().header_timeout)
+        self._send_buffer = SendBuffer(self.transport, self._restart_timeout)
+        self._start_timer(self.service.limits().header_timeout)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Take bytes in and handle what is complete."""
+        """Parse received bytes and handle a complete request."""
         if self._closing:
             return
 
-        self._fresh = False
+        self._awaiting_first_bytes = False
         self._h11.receive_data(data)
         if self._responder is None:
-            self._read()
+            self._parse()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
-        """Tell whoever is working on an answer that nobody waits for it."""
+        """Notify the handler of a request in progress that its caller is gone."""
         self.service.connections.discard(self)
         self._stop_timer()
         responder, self._responder = self._responder, None
         if responder is None or not responder.started:
-            self._log_cut(reason)
+            self._log_undelivered(reason)
 
         if responder is not None and not responder.ended:
             responder.ended = True
@@ -163,28 +164,28 @@
 
     @property
     def unsent(self) -> int:
-        """Bytes of answers that may not have left, at most."""
-        return self._output.unsent if self._output is not None else 0
+        """Upper bound on the bytes of responses that have not been sent."""
+        return self._send_buffer.unsent if self._send_buffer is not None else 0
 
-    def _note_progress(self) -> None:
-        """Give a caller that reads its time anew.
+    def _restart_timeout(self) -> None:
+        """Restart the timeout of a caller that is reading.
 
-        Failure: the bytes of a long answer were left when the time to read them, or the
-        time between two requests, was over, and the connection was reset in the middle
-        of the answer. A caller that takes none for so long is gone.
+        Otherwise a long response could exceed the time to read it, or the time between
+        two requests, and the connection would be reset in the middle of the response.
+        Only a caller that reads nothing for that long is taken for gone.
         """
         if self._closing or (self._responder is None and self._request is None):
-            self._wait(self.service.limits().idle_timeout)
+            self._start_timer(self.service.limits().idle_timeout)
 
-    def _log_cut(self, reason: Failure) -> None:
-        """Tell of an answer that was given whole, and may not have left whole."""
+    def _log_undelivered(self, reason: Failure) -> None:
+        """Log a response that was written completely but may not have been sent."""
         if not self.unsent:
             return
 
         ANSWERS_CUT.inc()
         log_event(
             "http: Answer cut",
-            request=self._answered_id,
+            request=self._last_request_id,
             outcome="undelivered",
             unsent=self.unsent,
             reason=reason.getErrorMessage(),
@@ -193,26 +194,29 @@
 
     @property
     def idle(self) -> bool:
-        """Whether no request has begun to come, and no answer is under way."""
-        nothing_read = self._responder is None and self._request is None
-        return nothing_read and not self._to_read
+        """Whether no request is being received or handled."""
+        no_request = self._responder is None and self._request is None
+        return no_request and not self._has_unparsed_bytes
 
     @property
-    def settled(self) -> bool:
-        """Whether nobody is owed anything: no answer, and no byte of one.
+    def drained(self) -> bool:
+        """Whether all responses are complete and their bytes sent.
 
-        The kernel may hold the end of an answer until the connection is lost.
+        The kernel may still buffer the end of a response until the connection is lost.
         """
         return not self.unsent and (self.idle or self._closing)
 
     def close_if_idle(self, now: float) -> None:
-        """Close a connection on which no request is under way.
+        """Close the connection if no request is in progress.
 
-        Failure: callers that had just connected met a closed connection, though their
-        requests were on their way. So they get a moment to send one.
+        A new connection is kept for a moment: its caller's request may be on its way
+        and would find the connection closed.
         """
-        awaited = self._fresh and now - self._made_at < FRESH_SECONDS
-        if self.idle and not awaited:
+        expecting = (
+            self._awaiting_first_bytes
+            and now - self._connected_at < FIRST_BYTES_SECONDS
+        )
+        if self.idle and not expecting:
             self._close()
 
     def abort(self) -> None:
@@ -221,61 +225,61 @@
             cast("ITCPTransport", self.transport).abortConnection()
 
     def send_head(self, status: int, headers: HeaderList) -> None:
-        """Write the head of an answer."""
-        self._close_after = self._close_after or self.service.stopping
-        if self._close_after:
+        """Write the status and headers of a response."""
+        self._close_after_response = self._close_after_response or self.service.stopping
+        if self._close_after_response:
             headers = [*headers, (b"Connection", b"close")]
 
         reason = REASONS.get(status, b"")
         self._write(h11.Response(status_code=status, headers=headers, reason=reason))
 
     def send_data(self, data: bytes) -> None:
-        """Write a part of the body."""
+        """Write a chunk of the body."""
         self._write(h11.Data(data=data))
 
-    def finish_answer(self) -> None:
-        """End the answer, and go on with the next request or close."""
+    def finish_response(self) -> None:
+        """Finish the response, then read the next request or close."""
         self._write(h11.EndOfMessage())
         if self._responder is not None:
-            self._answered_id = self._responder.request_id
+            self._last_request_id = self._responder.request_id
 
         self._responder = None
         self._request = None
         self._body = []
         self._size = 0
         reusable = self._h11.states == {h11.CLIENT: h11.DONE, h11.SERVER: h11.DONE}
-        if self._close_after or not reusable:
-            self._finish()
+        if self._close_after_response or not reusable:
+            self._close_gracefully()
             return
 
         self._h11.start_next_cycle()
-        self._wait(self.service.limits().idle_timeout)
-        # Not by recursion: a caller may have sent hundreds of requests ahead.
-        self._to_read = bool(self._h11.trailing_data[0])
-        self.service.reactor.callLater(0, self._read)
+        self._start_timer(self.service.limits().idle_timeout)
+        # Not recursive, as a caller may have pipelined hundreds of requests.
+        self._has_unparsed_bytes = bool(self._h11.trailing_data[0])
+        self.service.reactor.callLater(0, self._parse)
 
     def _write(self, event: Any) -> None:
-        if self._output is None or self._h11.our_state is h11.ERROR:
+        if self._send_buffer is None or self._h11.our_state is h11.ERROR:
             return
 
         data = self._h11.send(event)
         if data:
-            self._output.write(data)
+            self._send_buffer.write(data)
 
-    def _read(self) -> None:
-        self._to_read = False
+    def _parse(self) -> None:
+        self._has_unparsed_bytes = False
         if self._responder is not None or not self._is_open():
             return
 
         try:
-            self._read_events()
+            self._parse_events()
         except h11.RemoteProtocolError as error:
-            self._refuse(error.error_status_hint)
+            self._reject(error.error_status_hint)
 
     def _is_open(self) -> bool:
         return not self._closing and self in self.service.connections
 
-    def _read_events(self) -> None:
+    def _parse_events(self) -> None:
         while True:
             event = self._h11.next_event()
             if event is h11.NEED_DATA:
@@ -289,22 +293,22 @@
 
             if isinstance(event, h11.Request):
                 if measure_head(event) > self.service.limits().header_bytes:
-                    self._refuse(431)
+                    self._reject(431)
                     return
 
                 self._request = event
-                self._wait(self.service.limits().header_timeout)
+                self._start_timer(self.service.limits().header_timeout)
             elif isinstance(event, h11.Data):
-                if not self._take_data(bytes(event.data)):
+                if not self._receive_body(bytes(event.data)):
                     return
             elif isinstance(event, h11.EndOfMessage):
                 self._dispatch()
                 return
 
-    def _take_data(self, data: bytes) -> bool:
+    def _receive_body(self, data: bytes) -> bool:
         self._size += len(data)
         if self._size > self.service.limits().body_bytes:
-            self._refuse(413)
+            self._reject(413)
             return False
 
         self._body.append(data)
@@ -321,19 +325,19 @@
             self._responder,
         )
 
-    def _refuse(self, status: int) -> None:
-        """Answer what can't be read, and close."""
-        self._close_after = True
-        self._answered_id = ""
+    def _reject(self, status: int) -> None:
+        """Send an error response to an invalid request, and close."""
+        self._close_after_response = True
+        self._last_request_id = ""
         if self._h11.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             self.send_head(status, [(b"Content-Length", b"0")])
             self._write(h11.EndOfMessage())
 
-        self._finish()
+        self._close_gracefully()
 
-    def _wait(self, seconds: float) -> None:
+    def _start_timer(self, seconds: float) -> None:
         self._stop_timer()
-        self._timer = self.service.reactor.callLater(seconds, self._expire)
+        self._timer = self.service.reactor.callLater(seconds, self._handle_timeout)
 
     def _stop_timer(self) -> None:
         if self._timer is not None and self._timer.active():
@@ -341,10 +345,10 @@
 
         self._timer = None
 
-    def _expire(self) -> None:
-        """End a connection whose next request, or whose reader, does not come."""
+    def _handle_timeout(self) -> None:
+        """Close a connection after a timeout of the next request or of the reader."""
         if self._request is not None and not self._closing:
-            self._refuse(408)
+            self._reject(408)
         elif self.unsent:
             self.abort()
         elif self._closing:
@@ -353,41 +357,41 @@
             self._close()
 
     def _close(self) -> None:
-        """Close a connection on which nothing is under way.
+        """Close a connection on which nothing is in progress.
 
-        A request that crosses the close is not read: the kernel resets the connection,
-        which tells the caller that it may send it again.
+        A request that arrives after the close is not read: the kernel resets the
+        connection, which tells the caller that it may retry the request.
         """
         if self.unsent:
-            self._finish()
-        elif self._output is not None and not self._closing:
+            self._close_gracefully()
+        elif self._send_buffer is not None and not self._closing:
             self._closing = True
-            self._output.close()
+            self._send_buffer.close()
 
-    def _finish(self) -> None:
-        """Close when what was written has left, and the caller has closed too.
+    def _close_gracefully(self) -> None:
+        """Close once all bytes were sent and the caller has closed its side.
 
-        A caller that takes for too long to read or to close is left.
+        The connection of a caller that does not read or close in time is dropped.
         """
-        if self._output is None or self._closing:
+        if self._send_buffer is None or self._closing:
             return
 
         self._closing = True
-        self._wait(self.service.limits().idle_timeout)
-        self._output.finish()
+        self._start_timer(self.service.limits().idle_timeout)
+        self._send_buffer.finish()
 
 
 def measure_head(request: h11.Request) -> int:
-    """Return about how many bytes the head of a request took.
+    """Return the approximate size in bytes of a request's head.
 
-    The library bounds only heads that arrive in several pieces.
+    h11 limits only heads that arrive in several segments.
     """
     size = len(request.method) + len(request.target)
     return size + sum(len(name) + len(value) + 4 for name, value in request.headers)
 
 
 class HttpFactory(Factory):
-    """Builds a connection for each caller."""
+    """Builds the protocol of each incoming connection."""
 
     noisy = False
 
@@ -400,22 +404,22 @@
 
 
 def is_settled(service: HttpService) -> bool:
-    """Tell whether every answer has left; a planned stop waits for it.
+    """Tell whether all responses have been sent, as a planned stop requires.
 
-    Failure: the process ended when no request was under way any more. The last bytes of
-    an answer were still held back, for the reactor's next turn or for a caller that
-    reads slowly, and were dropped: the caller's stream ended in the middle.
+    It is not enough that no request is in progress: the last bytes of a response may
+    still be buffered, for the reactor's next turn or for a slow reader. They would be
+    dropped as the process ends, and the caller would get a truncated response.
     """
     return not count_unsettled(service)
 
 
 def count_unsettled(service: HttpService) -> int:
-    """Return the connections with a request or an answer under way."""
-    return sum(not connection.settled for connection in service.connections)
+    """Return the number of connections with a request or a response in progress."""
+    return sum(not connection.drained for connection in service.connections)
 
 
 def close_idle(service: HttpService) -> None:
-    """Close the connections on which nothing is under way."""
+    """Close the connections on which nothing is in progress."""
     now = service.reactor.seconds()
     for connection in list(service.connections):
         connection.close_if_idle(now)
--- a/tests/adapters/http/__init__.py
+++ b/tests/adapters/http/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of HTTP/1.1 on our transports."""
+"""Tests of HTTP/1.1 on Twisted transports."""
--- a/tests/adapters/http/test_server.py
+++ b/tests/adapters/http/test_server.py
@@ -1,4 +1,4 @@
-"""What callers may send, and what they get when they send something else."""
+"""Tests of the HTTP server: valid and invalid requests, timeouts, closing."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 from tests.adapters.gateway.support import make_transport
 from tests.adapters.gateway.support import note_lines
-from waxwingwell.adapters.http.output import PIECE_BYTES
+from waxwingwell.adapters.http.output import CHUNK_BYTES
 from waxwingwell.adapters.http.records import HttpLimits
 from waxwingwell.adapters.http.records import HttpRequest
 from waxwingwell.adapters.http.records import strip_hop_headers
-from waxwingwell.adapters.http.server import FRESH_SECONDS
+from waxwingwell.adapters.http.server import FIRST_BYTES_SECONDS
 from waxwingwell.adapters.http.server import HttpConnection
 from waxwingwell.adapters.http.server import HttpService
 from waxwingwell.adapters.http.server import Responder
@@ -27,13 +27,13 @@
 
 
 class Server:
-    """A server with one connection, whose requests are kept."""
+    """A server with one connection, which records its requests."""
 
-    def __init__(self, *, answer: bool = True) -> None:
+    def __init__(self, *, respond: bool = True) -> None:
         self.clock = Clock()
         self.requests: list[HttpRequest] = []
         self.responders: list[Responder] = []
-        self.answer = answer
+        self.respond = respond
         self.service = HttpService(
             reactor=self.clock, handle=self.handle, limits=lambda: LIMITS
         )
@@ -44,21 +44,21 @@
         connection.makeConnection(self.transport)
 
     def handle(self, request: HttpRequest, responder: Responder) -> None:
-        """Keep a request, and answer it if that is wanted."""
+        """Record a request, and respond to it if the test says so."""
         self.requests.append(request)
         self.responders.append(responder)
-        if self.answer:
+        if self.respond:
             responder.send(200, [(b"X-Path", request.target)], b"ok")
 
     def send(self, data: bytes) -> None:
-        """Take bytes in and let what is due run."""
+        """Receive bytes and run the calls that are due."""
         self.connection.dataReceived(data)
         for _ in range(20):
             self.clock.advance(0)
 
     @property
     def received(self) -> bytes:
-        """What the caller got."""
+        """Bytes that the caller has received."""
         return bytes(self.transport.value())
 
 
@@ -72,7 +72,7 @@
 
 
 class RequestTest(unittest.TestCase):
-    """Requests that are read."""
+    """Requests that are accepted."""
 
     def test_bodies(self) -> None:
         chunked = make_request("/a/", b"", "Transfer-Encoding: chunked")
@@ -88,7 +88,7 @@
                 self.assertEqual(request.body, body)
                 self.assertIn(b"200 OK", server.received)
 
-    def test_requests_sent_ahead_are_answered_in_order(self) -> None:
+    def test_pipelined_requests_get_responses_in_order(self) -> None:
         server = Server()
         server.send(b"".join(make_request(f"/{number}/") for number in range(8)))
         paths = [request.target for request in server.requests]
@@ -96,11 +96,11 @@
         self.assertEqual(server.received.count(b"HTTP/1.1 200"), 8)
 
     def test_one_request_at_a_time(self) -> None:
-        server = Server(answer=False)
+        server = Server(respond=False)
         server.send(make_request("/1/") + make_request("/2/"))
         self.assertEqual(len(server.requests), 1)
 
-    def test_a_caller_that_waits_for_leave_gets_it(self) -> None:
+    def test_a_caller_that_expects_100_continue_gets_it(self) -> None:
         server = Server()
         data = make_request("/a/", b"hello", "Expect: 100-continue")
         server.send(data[:-5])
@@ -108,23 +108,23 @@
         server.send(data[-5:])
         self.assertIn(b"HTTP/1.1 200", server.received)
 
-    def test_a_caller_that_leaves_is_noticed(self) -> None:
-        server = Server(answer=False)
+    def test_the_handler_is_notified_of_a_lost_caller(self) -> None:
+        server = Server(respond=False)
         server.send(make_request())
-        left: list[bool] = []
-        server.responders[0].on_lost = lambda: left.append(True)
+        lost: list[bool] = []
+        server.responders[0].on_lost = lambda: lost.append(True)
         server.transport.abortConnection()
-        self.assertEqual(left, [True])
+        self.assertEqual(lost, [True])
 
 
 class BadRequestTest(unittest.TestCase):
-    """Requests that are refused unread."""
+    """Requests that are rejected unread."""
 
-    def test_refusals(self) -> None:
-        """Bytes that could be read in two ways.
+    def test_rejections(self) -> None:
+        """Guards against request smuggling by bytes that can be parsed in two ways.
 
-        A request within another's body would reach an upstream that its caller may not
-        use. Whatever is not one clear request is refused, and the connection ends.
+        A request hidden in the body of another could reach an upstream that its caller
+        may not use. Anything ambiguous is rejected, and the connection is closed.
         """
         both = ("Content-Length: 5", "Transfer-Encoding: chunked")
         for name, data, status in (
@@ -157,7 +157,7 @@
             self.assertLessEqual(len(server.requests), 1)
             self.assertNotIn(b"/b/", server.received)
 
-    def test_times(self) -> None:
+    def test_timeouts(self) -> None:
         for name, data, seconds, received in (
             ("nothing sent", b"", 2.1, b""),
             ("half a request", make_request()[:-4], 2.1, b""),
@@ -177,7 +177,7 @@
 class StopTest(unittest.TestCase):
     """A planned stop."""
 
-    def test_kept_connections_end_with_their_answer(self) -> None:
+    def test_persistent_connections_close_after_their_response(self) -> None:
         server = Server()
         server.send(make_request())
         self.assertTrue(server.transport.connected)
@@ -187,17 +187,17 @@
         self.assertFalse(server.transport.connected)
 
     def test_only_idle_connections_are_closed(self) -> None:
-        for answer in (True, False):
-            with self.subTest(answer=answer):
-                server = Server(answer=answer)
+        for respond in (True, False):
+            with self.subTest(respond=respond):
+                server = Server(respond=respond)
                 server.send(make_request())
                 close_idle(server.service)
-                self.assertIs(server.transport.connected, not answer)
+                self.assertIs(server.transport.connected, not respond)
 
-    def test_a_caller_that_has_just_connected_is_waited_for(self) -> None:
-        """A connection made a moment before idle ones are closed.
+    def test_a_new_connection_is_kept_for_a_moment(self) -> None:
+        """A caller connects a moment before idle connections are closed.
 
-        Its caller's request was on its way, and met a closed connection.
+        Its request may be on its way and would find the connection closed.
         """
         server = Server()
         server.service.stopping = True
@@ -206,22 +206,22 @@
         server.send(make_request())
         self.assertIn(b"HTTP/1.1 200", server.received)
         self.assertFalse(server.transport.connected)
-        silent = Server()
-        silent.clock.advance(FRESH_SECONDS)
-        close_idle(silent.service)
-        self.assertFalse(silent.transport.connected)
+        idle = Server()
+        idle.clock.advance(FIRST_BYTES_SECONDS)
+        close_idle(idle.service)
+        self.assertFalse(idle.transport.connected)
 
 
-class CutAnswerTest(unittest.TestCase):
-    """Answers that were given whole and did not leave whole."""
+class TruncatedResponseTest(unittest.TestCase):
+    """Responses that were written completely but not sent completely."""
 
-    def test_only_the_answer_that_was_cut_is_named(self) -> None:
+    def test_the_log_names_only_the_truncated_response(self) -> None:
         for name, data, requests in (
-            ("a refusal", b"no request\r\n\r\n", [""]),
-            ("the next under way", make_request("/b/"), ["q1"]),
+            ("a rejection", b"no request\r\n\r\n", [""]),
+            ("the next in progress", make_request("/b/"), ["q1"]),
         ):
             with self.subTest(name):
-                server = Server(answer=False)
+                server = Server(respond=False)
                 server.send(make_request())
                 server.transport.held = requests == ["q1"]
                 server.responders[0].request_id = "q1"
@@ -232,15 +232,15 @@
                 named = [record["extra"]["request"] for record in found]
                 self.assertEqual(named, requests)
 
-    def test_the_log_names_them(self) -> None:
-        """A caller with half an answer.
+    def test_the_log_names_truncated_responses(self) -> None:
+        """A caller gets only part of a response.
 
-        The gateway's log said that its request was answered. Nothing told that the
-        connection ended while the last bytes waited to be sent.
+        The connection is lost while the last bytes wait to be sent. Without this event
+        the log would say only that the request was completed.
         """
         for held, lines in ((True, 1), (False, 0)):
             with self.subTest(held=held):
-                server = Server(answer=False)
+                server = Server(respond=False)
                 server.send(make_request())
                 server.transport.held = held
                 server.responders[0].request_id = "q1"
@@ -254,20 +254,19 @@
 
 
 class SlowReaderTest(unittest.TestCase):
-    """Callers that take their time to read.
+    """Callers that read slowly.
 
-    An answer was larger than a caller's network took in a second. Its connection was to
-    close after it, and was reset in the middle: the time to read the rest was bounded
-    however well the reading went on.
+    A large response on a connection that closes after it must not be reset in the
+    middle. The timeout for reading the rest restarts whenever the caller reads.
     """
 
-    def test_an_answer_ends_whole_while_it_is_read(self) -> None:
+    def test_a_response_completes_while_it_is_read(self) -> None:
         for name, headers in (("closed", ("Connection: close",)), ("kept", ())):
             with self.subTest(name):
-                server = Server(answer=False)
+                server = Server(respond=False)
                 server.send(make_request("/a/", b"", *headers))
                 server.transport.held = True
-                body = b"x" * (4 * PIECE_BYTES)
+                body = b"x" * (4 * CHUNK_BYTES)
                 server.responders[0].send(200, [], body)
                 while server.connection.unsent:
                     server.clock.advance(LIMITS.idle_timeout - 0.1)
@@ -282,16 +281,16 @@
                 self.assertFalse(server.transport.connected)
                 self.assertFalse(server.transport.aborted)
 
-    def test_half_a_next_request_cuts_nothing(self) -> None:
-        """The head of a next request came while a long answer was read.
+    def test_an_incomplete_next_request_truncates_nothing(self) -> None:
+        """The head of a next request arrives while a long response is being read.
 
-        Its body did not come in time, and the connection was reset in the middle of the
-        answer before. The refusal follows that answer instead.
+        Its body does not arrive in time. The connection must not be reset in the middle
+        of the first response; the error response follows that instead.
         """
-        server = Server(answer=False)
+        server = Server(respond=False)
         server.send(make_request())
         server.transport.held = True
-        body = b"x" * (4 * PIECE_BYTES)
+        body = b"x" * (4 * CHUNK_BYTES)
         server.responders[0].send(200, [], body)
         server.send(make_request("/b/", b"hello")[:-5])
         while server.connection.unsent:
@@ -302,10 +301,10 @@
         self.assertIn(body, server.received)
         self.assertIn(b"HTTP/1.1 408", server.received)
 
-    def test_a_caller_that_reads_nothing_is_left(self) -> None:
+    def test_a_caller_that_reads_nothing_is_dropped(self) -> None:
         for name, headers in (("closed", ("Connection: close",)), ("kept", ())):
             with self.subTest(name):
-                server = Server(answer=False)
+                server = Server(respond=False)
                 server.send(make_request("/a/", b"", *headers))
                 server.transport.held = True
                 server.responders[0].send(200, [], b"x")
@@ -315,16 +314,16 @@
                 self.assertTrue(server.transport.aborted)
 
 
-class SentAheadTest(unittest.TestCase):
-    """Requests that cross the end of a connection."""
+class PipelinedRequestTest(unittest.TestCase):
+    """Requests that arrive as their connection is closed."""
 
-    def test_the_end_of_an_answer_is_not_reset(self) -> None:
-        """A request sent ahead of a long answer's end.
+    def test_the_end_of_a_response_is_not_reset(self) -> None:
+        """A pipelined request arrives before the end of a long response was sent.
 
-        The answer ended with its connection, and its last bytes were still on their way
-        in the kernel. Bytes that come for a closed socket make the kernel reset it and
-        drop them: the caller lost the end of its answer. So only our side is closed,
-        and what still comes is read and dropped until the caller closes too.
+        Bytes that arrive for a closed socket make the kernel reset it and drop the
+        bytes it still has to send, so that the caller would lose the end of the
+        response. So only the write side is closed, and input is read and dropped until
+        the caller closes its side.
         """
         for name, closes in (("a caller that closes", True), ("one that stays", False)):
             with self.subTest(name):
@@ -346,10 +345,10 @@
                 self.assertEqual(server.service.connections, set())
 
     def test_an_idle_connection_is_closed_for_both_directions(self) -> None:
-        """A request that crosses the close of an idle connection.
+        """A request arrives just after an idle connection was closed.
 
-        Were it still read and dropped, its caller could not tell that it was not: the
-        kernel's reset says so, and an order can be sent again.
+        If it were read and dropped, the caller could not tell that it has not run. The
+        kernel's reset says so, and the request can be retried.
         """
         for how in ("a stop", "its time"):
             with self.subTest(how):
@@ -364,15 +363,16 @@
                 self.assertFalse(server.transport.connected)
                 self.assertFalse(server.transport.half_closed)
 
-    def test_a_request_sent_ahead_is_answered_or_not_run(self) -> None:
-        """Idle connections are closed between two requests that came in one piece.
+    def test_a_pipelined_request_gets_a_response_or_does_not_run(self) -> None:
+        """Idle connections are closed between two requests that arrived together.
 
-        The first was answered and the second read, yet not looked at. Its connection
-        seemed idle and was closed, and then it was run: its caller got no answer.
+        The first has its response, the second is received but not parsed. If the
+        connection were taken for idle and closed, the second would run later without a
+        response to its caller.
         """
         for stopping, run in ((False, 2), (True, 1)):
             with self.subTest(stopping=stopping):
-                server = Server(answer=False)
+                server = Server(respond=False)
                 server.connection.dataReceived(
                     make_request("/1/") + make_request("/2/")
                 )
@@ -388,7 +388,7 @@
 
 
 class HeaderTest(unittest.TestCase):
-    """Headers that concern one connection."""
+    """Hop-by-hop headers."""
 
     def test_hop_headers_are_stripped(self) -> None:
         headers = [
--- a/tests/adapters/registry/test_stop_sockets.py
+++ b/tests/adapters/registry/test_stop_sockets.py
@@ -125,8 +125,8 @@
 
     async def test_a_process_that_reads_a_link_slowly(self) -> None:
         """Another process reads the state slowly while the registry is stopped."""
-        node: Any = self.context.node
-        node.handlers = replace(node.handlers, take_call=self.take_call)
+        own_node: Any = self.context.node
+        own_node.handlers = replace(own_node.handlers, take_call=self.take_call)
         protocol = await self.connect_gateway()
         transport: Any = protocol.transport
         transport.pauseProducing()
