--- a/tests/adapters/http/test_output.py
+++ b/tests/adapters/http/test_output.py
@@ -4,11 +4,10 @@
 
 import unittest
 
+from tests.adapters.gateway.support import make_transport
 from waxwingwell.adapters.http.output import CHUNK_BYTES
 from waxwingwell.adapters.http.output import SendBuffer
 
-from tests.adapters.gateway.support import make_transport
-
 
 class Protocol:
     """A protocol that records the loss of its connection."""
