--- a/tests/platform_adapter/__init__.py
+++ b/tests/platform_adapter/__init__.py
@@ -6,5 +6,5 @@
 from pathlib import Path
 
 
-# The adapter is no installed package: its folder is named like a standard module.
+# The adapter is not an installed package: its folder is named like a standard module.
 sys.path.append(str(Path(__file__).resolve().parents[2] / "platform"))
--- a/tests/platform_adapter/test_bodies.py
+++ b/tests/platform_adapter/test_bodies.py
@@ -1,4 +1,4 @@
-"""Bodies of the platform's calls: configurations, heartbeats, settings."""
+"""Tests of decoding the platform's configurations, heartbeats and settings."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     "backends": [{"name": "desk"}],
     "tenants": [{"name": "team", "api_keys": ["k1"], "priority": 1}],
 }
-BEAT: dict[str, Any] = {
+HEARTBEAT: dict[str, Any] = {
     "backend": "desk",
     "address": "10.0.0.9:8080",
     "zone": "north",
@@ -59,17 +59,17 @@
         self.assertEqual(document.workspaces[0].keys, ("k1",))
         self.assertEqual(find_faults(document), ())
 
-    def test_weights_go_before_a_single_service(self) -> None:
+    def test_weights_take_precedence_over_a_single_service(self) -> None:
         weights = [{"backend": "desk", "weight": 9}, {"backend": "new", "weight": 1}]
         route = {**ROUTE, "weighted_backends": weights}
         document = read_document(msgspec.json.encode({**CONFIG, "routes": [route]}))
         expected = (Target("desk", 9), Target("new", 1))
         self.assertEqual(document.routes[0].targets, expected)
 
-    def test_what_can_not_be_read_is_refused(self) -> None:
-        whole = msgspec.json.encode(CONFIG)
+    def test_invalid_configurations_are_rejected(self) -> None:
+        complete = msgspec.json.encode(CONFIG)
         for name, body in (
-            ("cut short", whole[:-3]),
+            ("truncated", complete[:-3]),
             ("empty", b""),
             ("no object", b"[]"),
             ("no version", msgspec.json.encode({"routes": [], "backends": []})),
@@ -85,7 +85,7 @@
 
 
 class HeartbeatTest(unittest.TestCase):
-    """Heartbeats and leaves."""
+    """Heartbeats and deregistrations."""
 
     def test_heartbeats(self) -> None:
         for state, expected in (
@@ -93,13 +93,18 @@
             ("draining", UpstreamState.LEAVING),
         ):
             with self.subTest(state=state):
-                body = msgspec.json.encode({**BEAT, "state": state, "other": [1]})
-                news = read_heartbeat("i-1", body)
-                self.assertEqual(news.state, expected)
-                self.assertEqual((news.host, news.port), ("10.0.0.9", 8080))
-                self.assertEqual((news.incarnation, news.sequence), (BEAT["born"], 4))
-
-    def test_other_writers_name_no_upstream(self) -> None:
+                body = msgspec.json.encode({**HEARTBEAT, "state": state, "other": [1]})
+                announcement = read_heartbeat("i-1", body)
+                self.assertEqual(announcement.state, expected)
+                self.assertEqual(
+                    (announcement.host, announcement.port), ("10.0.0.9", 8080)
+                )
+                self.assertEqual(
+                    (announcement.incarnation, announcement.sequence),
+                    (HEARTBEAT["born"], 4),
+                )
+
+    def test_other_formats_are_rejected(self) -> None:
         for name, change in (
             ("no address", {"address": None}),
             ("no port", {"address": "10.0.0.9"}),
@@ -108,16 +113,16 @@
             ("a list for a name", {"backend": ["desk"]}),
         ):
             with self.subTest(name), self.assertRaises(msgspec.DecodeError):
-                read_heartbeat("i-1", msgspec.json.encode({**BEAT, **change}))
+                read_heartbeat("i-1", msgspec.json.encode({**HEARTBEAT, **change}))
 
-    def test_leaves(self) -> None:
+    def test_deregistrations(self) -> None:
         for body, expected in ((b"", None), (b"{}", None), (b'{"born":7}', 7)):
             with self.subTest(body=body):
                 self.assertEqual(read_leave(body), expected)
 
 
 class SettingsTest(unittest.TestCase):
-    """Settings of both roles."""
+    """Settings of gateways and registries."""
 
     def test_settings(self) -> None:
         fields: dict[str, Any] = {
--- a/tests/platform_adapter/test_headers.py
+++ b/tests/platform_adapter/test_headers.py
@@ -1,4 +1,4 @@
-"""Headers of requests and answers, decoded and written."""
+"""Tests of decoding and writing the headers of requests and responses."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class ModuleTest(unittest.TestCase):
-    """The adapter's folder must not stand in for a standard module."""
+    """The adapter's folder must not shadow a standard module."""
 
     def test_the_standard_module_is_found(self) -> None:
         self.assertTrue(hasattr(platform, "python_version"))
 
 
 class RequestTest(unittest.TestCase):
-    """What a caller says, and what an upstream is told."""
+    """Headers of callers' requests, and of requests to upstreams."""
 
     def test_facts(self) -> None:
         for name, headers, expected in (
@@ -48,7 +48,7 @@
                 ),
             ),
             (
-                "what can't be read",
+                "invalid values",
                 [
                     (b"Waxwingwell-Deadline-Ms", b"soon"),
                     (b"Waxwingwell-Token-Usage", b"x"),
@@ -60,11 +60,11 @@
             with self.subTest(name):
                 self.assertEqual(DIALECT.read_request(headers), expected)
 
-    def test_a_caller_can_not_set_what_is_ours(self) -> None:
-        """A caller forges headers.
+    def test_a_caller_can_not_set_reserved_headers(self) -> None:
+        """A caller forges headers that only the gateway may set.
 
-        It names another workspace, a reservation, or a copy of other requests' memory.
-        None of it may reach an upstream, and neither may its key.
+        They name another workspace, a reservation, or a copy of other requests' KV
+        cache. Neither these headers nor the caller's key may reach an upstream.
         """
         forged = [
             (b"api-key", b"k1"),
@@ -90,7 +90,7 @@
             ],
         )
 
-    def test_the_model_is_replaced_only_if_we_chose_it(self) -> None:
+    def test_the_model_is_replaced_only_if_the_gateway_chose_it(self) -> None:
         for chosen, expected in (("", b"*"), ("small", b"small")):
             with self.subTest(chosen=chosen):
                 dispatch = Dispatch(upstream="i-1", remaining=None, model=chosen)
@@ -100,8 +100,8 @@
                 self.assertEqual(found[b"waxwingwell-model"], expected)
 
 
-class AnswerTest(unittest.TestCase):
-    """What an upstream says of its answer."""
+class ResponseTest(unittest.TestCase):
+    """Headers of an upstream's response."""
 
     def test_facts(self) -> None:
         signed = (b"Waxwingwell-Server-Signature", b"x")
--- a/tests/platform_adapter/test_interpreter.py
+++ b/tests/platform_adapter/test_interpreter.py
@@ -1,4 +1,4 @@
-"""The interpreter that the build makes for our roles."""
+"""Tests of the interpreter that the build makes for waxwingwell's roles."""
 
 from __future__ import annotations
 
@@ -17,48 +17,48 @@
 
 
 def build(folder: Path, path: str) -> tuple[Path, str]:
-    """Build an interpreter; return it and what the build says."""
+    """Build an interpreter; return its path and the build's error output."""
     target = folder / "target" / "python"
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, str(BUILD), str(target)],
         env={**os.environ, "PATH": path},
         capture_output=True,
         text=True,
         check=True,
     )
-    return target, done.stderr
+    return target, completed.stderr
 
 
 def run_code(program: Path, code: str) -> subprocess.CompletedProcess[str]:
-    """Run code in an interpreter as the deploy file starts it."""
+    """Run code in an interpreter, with the options of the deploy file."""
     return subprocess.run(
         [str(program), "-S", "-c", code], capture_output=True, text=True, check=False
     )
 
 
 class InterpreterTest(unittest.TestCase):
-    """What the built program does, and what stands in for it."""
+    """The built interpreter, and the link that replaces it."""
 
     def test_changed_settings_do_not_end_it(self) -> None:
-        """Guards against a process that settings end before its script runs."""
+        """A settings signal must not end a process before its script runs."""
         with tempfile.TemporaryDirectory() as name:
-            target, said = build(Path(name), os.environ["PATH"])
-            self.assertEqual(said, "")
-            done = run_code(target, SIGNALLED)
-            self.assertEqual((done.returncode, done.stdout), (0, "runs\n"))
+            target, errors = build(Path(name), os.environ["PATH"])
+            self.assertEqual(errors, "")
+            completed = run_code(target, SIGNALLED)
+            self.assertEqual((completed.returncode, completed.stdout), (0, "runs\n"))
 
     def test_it_finds_the_same_libraries(self) -> None:
         code = "import sys, ssl, sqlite3; print(sys.version, sys.base_prefix)"
         with tempfile.TemporaryDirectory() as name:
             target, _ = build(Path(name), os.environ["PATH"])
-            usual = run_code(Path(sys.executable), code)
-            self.assertEqual(run_code(target, code).stdout, usual.stdout)
+            expected = run_code(Path(sys.executable), code)
+            self.assertEqual(run_code(target, code).stdout, expected.stdout)
 
     def test_a_machine_without_a_compiler(self) -> None:
-        """Guards against a build that fails for want of a compiler."""
+        """The build must not fail if there is no compiler."""
         with tempfile.TemporaryDirectory() as name:
-            target, said = build(Path(name), name)
-            self.assertIn("is a link to", said)
+            target, errors = build(Path(name), name)
+            self.assertIn("is a link to", errors)
             self.assertTrue(target.is_symlink())
             self.assertEqual(run_code(target, "print('runs')").stdout, "runs\n")
 
--- a/tests/platform_adapter/test_settings.py
+++ b/tests/platform_adapter/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings of the platform that can't be."""
+"""Tests of invalid settings of the platform."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 
 class RetriesTest(unittest.TestCase):
-    """The budget of repeats."""
+    """The retry budget."""
 
-    def test_bounds_that_cannot_be(self) -> None:
-        """Guards against a budget that allows no repeat, or any number, unnoticed."""
-        for field, value, said in (
+    def test_invalid_bounds(self) -> None:
+        """Bounds that allow no retry, or any number, must not pass unnoticed."""
+        for field, value, message in (
             ("retry_budget_ratio", -0.1, "bounds: retries.ratio is -0.1"),
             ("budget_slack", -1, "bounds: retries.slack is -1"),
             ("retry_window_s", 0, "bounds: retries.window is 0"),
         ):
-            with self.subTest(field), self.assertRaisesRegex(ValueError, said):
+            with self.subTest(field), self.assertRaisesRegex(ValueError, message):
                 read_retries({field: value})
 
     def test_bounds(self) -> None:
--- a/tests/platform_adapter/test_start.py
+++ b/tests/platform_adapter/test_start.py
@@ -1,4 +1,4 @@
-"""Starting a role as the deploy file says."""
+"""Tests of starting a role in the way of the deploy file."""
 
 from __future__ import annotations
 
@@ -14,21 +14,24 @@
 
 ROOT = Path(__file__).resolve().parents[2]
 COPY_STEP = "&& rm -rf target/deps/waxwingwell"
-"""Where the build goes on from the registry's packages to our own."""
+"""First build step after the package registry's packages, for waxwingwell's own."""
 
 
 def build_packages(folder: Path) -> Path:
-    """Run the build's steps for our own packages in a copy; return what it made."""
+    """Run the build steps for waxwingwell's packages in ``folder``; return the result.
+
+    The sources there are links to the checkout.
+    """
     deploy = tomllib.loads((ROOT / "deploy" / "system.toml").read_text())
     steps = "true " + deploy["build"][deploy["build"].index(COPY_STEP) :]
     for name in ("src", "platform"):
         (folder / name).symlink_to(ROOT / name)
 
-    made = folder / "target" / "deps"
-    made.mkdir(parents=True)
+    packages = folder / "target" / "deps"
+    packages.mkdir(parents=True)
     path = f"{Path(sys.executable).parent}{os.pathsep}{os.environ['PATH']}"
     subprocess.run(["/bin/sh", "-c", steps], cwd=folder, env={"PATH": path}, check=True)
-    return made
+    return packages
 
 
 SIGNALLED_IN_IMPORT = """
@@ -84,7 +87,7 @@
 
 
 class StopTest(unittest.TestCase):
-    """A role that is told to stop while it starts, or once more as it ends."""
+    """A role that gets a stop signal during its start, or another one as it ends."""
 
     MOMENTS: ClassVar = {
         "before the settings are read": ("before", KILL, ""),
@@ -93,25 +96,25 @@
     }
 
     def test_the_process_ends_in_order(self) -> None:
-        """Guards against the default action of signals, which ends the process."""
+        """The default action of a signal must not end the process."""
         for name, (place, code, printed) in self.MOMENTS.items():
             for number in ("SIGTERM", "SIGINT"):
                 with self.subTest(name, number=number):
                     steps = {"before": "", "in_start": "pass", "after": ""}
                     steps[place] = code.format(signal=number)
-                    done = run_role(ROLE_THAT_STOPS.format(signal=number, **steps))
-                    self.assertEqual(done.returncode, 0, done.stderr)
-                    self.assertEqual(done.stdout, printed)
+                    completed = run_role(ROLE_THAT_STOPS.format(signal=number, **steps))
+                    self.assertEqual(completed.returncode, 0, completed.stderr)
+                    self.assertEqual(completed.stdout, printed)
 
-    def test_settings_signalled_at_the_end_are_no_crash(self) -> None:
-        """Guards against a planned stop that is taken for a crash."""
+    def test_a_settings_signal_at_the_end_is_no_crash(self) -> None:
+        """A settings signal must not make a planned stop look like a crash."""
         steps = {"before": "", "in_start": "pass", "after": AT_EXIT}
-        done = run_role(ROLE_THAT_STOPS.format(signal="SIGHUP", **steps))
-        self.assertEqual(done.returncode, 0, done.stderr)
+        completed = run_role(ROLE_THAT_STOPS.format(signal="SIGHUP", **steps))
+        self.assertEqual(completed.returncode, 0, completed.stderr)
 
 
 def run_role(code: str) -> subprocess.CompletedProcess[str]:
-    """Run code in a process that has a settings file."""
+    """Run code in a Python process that has a settings file."""
     with tempfile.TemporaryDirectory() as name:
         settings = Path(name) / "settings.toml"
         settings.write_text('node_name = "n1"\n')
@@ -129,38 +132,38 @@
 
 
 class StartTest(unittest.TestCase):
-    """The start script over packages that were built."""
+    """The start script with packages that were built."""
 
     def test_a_start_compiles_nothing(self) -> None:
-        # After a loss of power callers are refused until gateways are up again. The
-        # start compiled every module anew each time, as it looked for compiled code
-        # where the build had left none; that was two thirds of a second on a small VM.
+        # After a power loss, callers' connections are refused until gateways are up. A
+        # start that finds no compiled code, as it looks where the build has left none,
+        # compiles every module: two thirds of a second on a small VM.
         with tempfile.TemporaryDirectory() as name:
-            made = build_packages(Path(name))
-            done = subprocess.run(
+            packages = build_packages(Path(name))
+            completed = subprocess.run(
                 [sys.executable, "-v", "platform/start.py"],
                 cwd=name,
-                env={**os.environ, "PYTHONPATH": str(made)},
+                env={**os.environ, "PYTHONPATH": str(packages)},
                 capture_output=True,
                 text=True,
                 check=False,
             )
 
-        self.assertIn("usage: start.py", done.stderr)
-        self.assertIn("waxwingwell_platform", done.stderr)
+        self.assertIn("usage: start.py", completed.stderr)
+        self.assertIn("waxwingwell_platform", completed.stderr)
         compiled = [
             line
-            for line in done.stderr.splitlines()
+            for line in completed.stderr.splitlines()
             if line.startswith("# code object from") and ".pyc" not in line
         ]
-        # The script itself is never kept in compiled form.
+        # Python never caches the compiled form of the script itself.
         self.assertEqual(compiled, [])
 
-    def test_settings_signalled_during_the_imports_end_nothing(self) -> None:
+    def test_a_settings_signal_during_the_imports_does_not_end_it(self) -> None:
         """The platform changes settings just as a process starts.
 
-        The signal arrives before anything handles it, and ends the process, which is
-        then started once more; a registry misses an election for it.
+        Without a handler the signal would end the process. It would be restarted, and a
+        registry would miss an election meanwhile.
         """
         with tempfile.TemporaryDirectory() as name:
             package = Path(name) / "waxwingwell_platform"
@@ -169,7 +172,7 @@
             (package / "main.py").write_text(SIGNALLED_IN_IMPORT)
             script = Path(name) / "start.py"
             script.write_text((ROOT / "platform" / "start.py").read_text())
-            done = subprocess.run(
+            completed = subprocess.run(
                 [sys.executable, str(script)],
                 env={**os.environ, "PYTHONPATH": name},
                 capture_output=True,
@@ -177,21 +180,21 @@
                 check=False,
             )
 
-        self.assertEqual((done.returncode, done.stdout), (0, "main runs\n"))
+        self.assertEqual((completed.returncode, completed.stdout), (0, "main runs\n"))
 
-    def test_settings_signalled_during_the_start_are_taken(self) -> None:
-        """Settings change after they were read, before the role takes others.
+    def test_a_settings_signal_during_the_start_reloads_settings(self) -> None:
+        """Settings change after they were read, before the role handles the signal.
 
-        Were the signal dropped, the process would keep the former settings for good.
+        If the signal were dropped, the process would keep the former settings.
         """
-        done = run_role(SIGNALLED_IN_START)
-        self.assertEqual(done.returncode, 0, done.stderr)
-        self.assertIn("reloaded n1", done.stdout)
-        self.assertIn("running", done.stdout)
+        completed = run_role(SIGNALLED_IN_START)
+        self.assertEqual(completed.returncode, 0, completed.stderr)
+        self.assertIn("reloaded n1", completed.stdout)
+        self.assertIn("running", completed.stdout)
 
     def test_the_standard_platform_module_is_not_hidden(self) -> None:
         code = "import platform; print(platform.__file__)"
-        done = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, "-c", code],
             cwd=ROOT,
             env={**os.environ, "PYTHONPATH": str(ROOT / "platform")},
@@ -199,7 +202,9 @@
             text=True,
             check=True,
         )
-        self.assertTrue(done.stdout.strip().endswith("platform.py"), done.stdout)
+        self.assertTrue(
+            completed.stdout.strip().endswith("platform.py"), completed.stdout
+        )
 
 
 if __name__ == "__main__":
