--- a/tests/adapters/http/test_server.py
+++ b/tests/adapters/http/test_server.py
@@ -244,13 +244,13 @@
                 server.send(make_request())
                 server.transport.held = held
                 server.responders[0].request_id = "q1"
-                server.responders[0].send(200, [], b"the answer")
+                server.responders[0].send(200, [], b"the response")
                 found = note_lines(server.transport.abortConnection)
                 self.assertEqual(len(found), lines)
                 for record in found:
                     self.assertEqual(record["message"], "http: Answer cut")
                     self.assertEqual(record["extra"]["request"], "q1")
-                    self.assertGreater(record["extra"]["unsent"], len(b"the answer"))
+                    self.assertGreater(record["extra"]["unsent"], len(b"the response"))
 
 
 class SlowReaderTest(unittest.TestCase):
--- a/tests/adapters/registry/test_stop.py
+++ b/tests/adapters/registry/test_stop.py
@@ -91,13 +91,13 @@
         )
         carry(*self.links)
 
-    def make_node(self, name: str, handle_cast: Any) -> LinkNode:
+    def make_node(self, name: str, cast_handler: Any) -> LinkNode:
         """Return the shared state of one process's links."""
         return LinkNode(
             name=name,
             reactor=self.clock,
             handlers=LinkHandlers(
-                take_call=self.take_call, take_cast=handle_cast, body_type=RegistryBody
+                take_call=self.take_call, take_cast=cast_handler, body_type=RegistryBody
             ),
             timing=ROUTING_TIMING,
         )
--- a/tests/adapters/registry/test_stop_sockets.py
+++ b/tests/adapters/registry/test_stop_sockets.py
@@ -62,11 +62,11 @@
             first_start=False,
         )
         self.daemon: RegistryDaemon = start_registry(
-            settings, reactor, lambda context: self.answer
+            settings, reactor, lambda context: self.respond
         )
         self.context: RegistryContext = self.daemon.context
 
-    def answer(self, request: HttpRequest, responder: Responder) -> None:
+    def respond(self, request: HttpRequest, responder: Responder) -> None:
         """Send a large response."""
         responder.send(200, [], b"x" * LARGE)
         self.read.callback(None)
