--- a/src/waxwingwell/adapters/registry/members.py
+++ b/src/waxwingwell/adapters/registry/members.py
@@ -95,7 +95,8 @@
         )
     except CorruptStorageError as error:
         log_event(
-            "registry: Data is corrupt, erased to rejoin the group", reason=str(error)
+            "registry: Data is corrupt, erasing it to rejoin the group",
+            reason=str(error),
         )
         erase_data(context)
         context.reopen_at = context.clock() + REOPEN_SECONDS
--- a/tests/adapters/registry/test_stop_sockets.py
+++ b/tests/adapters/registry/test_stop_sockets.py
@@ -45,7 +45,7 @@
 ADDRESS = "127.0.0.1"
 
 
-class LagTest(AsyncTestCase):
+class SlowReaderTest(AsyncTestCase):
     """A registry in this process, whose end drops all bytes that it has not sent."""
 
     async def setUp(self) -> None:  # type: ignore[override]
