--- a/src/waxwingwell/adapters/gateway/__init__.py
+++ b/src/waxwingwell/adapters/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway: passes callers' requests on to upstreams by routes."""
+"""The gateway: forwards callers' requests to upstreams according to routes."""
--- a/src/waxwingwell/adapters/gateway/arrivals.py
+++ b/src/waxwingwell/adapters/gateway/arrivals.py
@@ -1,4 +1,4 @@
-"""What happens to a caller's request before it is placed."""
+"""Handling of callers' requests up to their placement."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from ..http.records import find_header
 from ..measures import REQUESTS
 from .choice import choose_service
-from .choice import session_of
+from .choice import find_session_key
 from .endings import RETRY_AFTER
 from .endings import retry_after
 from .exchange import Exchange
 from .waiting import Waiting
+from .waiting import enqueue_request
 from .waiting import find_wait
-from .waiting import keep_waiting
 
 
 if TYPE_CHECKING:
@@ -34,16 +34,16 @@
 
 NO_CONFIGURATION = "no configuration in force"
 STREAM_SECONDS = 4.5
-"""How long a stream may take that a stopping gateway still begins: nineteen of twenty
+"""Seconds that a stopping gateway must have left to accept a stream: 95 % of streams
 end sooner."""
 STOPPING_RETRY_AFTER = 0.05
-"""Seconds; other gateways can take the request at once."""
+"""Seconds after which a caller may retry; other gateways can serve it at once."""
 
 
-def take_request(
+def handle_request(
     context: GatewayContext, request: HttpRequest, responder: Responder
 ) -> None:
-    """Begin to serve a request, as soon as there is a configuration."""
+    """Serve a request now, or as soon as the gateway receives a configuration."""
     now = context.clock()
     facts = context.dialect.read_request(request.headers)
     responder.request_id = facts.request_id
@@ -51,7 +51,7 @@
         serve_request(context, request, facts, responder, now)
         return
 
-    limit = find_wait(context.room, facts.budget)
+    limit = find_wait(context.startup_queue, facts.budget)
     if limit <= 0.0:
         refuse(facts, responder, 503, NO_CONFIGURATION)
         return
@@ -61,7 +61,7 @@
         refuse=partial(refuse, facts, responder, 503, NO_CONFIGURATION),
     )
     log_event("gateway: Waits", request=facts.request_id, limit_ms=round(limit * 1000))
-    keep_waiting(context.room, context.reactor, responder, waiting, limit)
+    enqueue_request(context.startup_queue, context.reactor, responder, waiting, limit)
 
 
 def serve_request(
@@ -71,10 +71,10 @@
     responder: Responder,
     arrived_at: float,
 ) -> None:
-    """Find out what is asked by whom, and begin to serve it."""
+    """Find a request's route and workspace, and start its exchange or refuse it."""
     now = context.clock()
     index = context.index
-    if index is None or is_shut(context, now):
+    if index is None or must_fail_closed(context, now):
         pause = STOPPING_RETRY_AFTER if context.stopping else RETRY_AFTER
         refuse(facts, responder, 503, NO_CONFIGURATION, pause)
         return
@@ -83,37 +83,46 @@
     target = request.target.decode("latin-1")
     route = find_route(index, host, target)
     if route is None:
-        refuse(facts, responder, 404, f"no route, document {index.document.version}")
+        refuse(
+            facts,
+            responder,
+            404,
+            f"no matching route in document {index.document.version}",
+        )
         return
 
-    if not may_finish(context, route, facts, now):
-        refuse(facts, responder, 503, "stopping", STOPPING_RETRY_AFTER)
+    if not can_finish(context, route, facts, now):
+        refuse(facts, responder, 503, "gateway is stopping", STOPPING_RETRY_AFTER)
         return
 
-    workspace = identify(index, route, facts)
+    workspace = identify_workspace(index, route, facts)
     if workspace is None and index.document.workspaces and not route.anonymous:
-        refuse(facts, responder, 401, f"unknown key, document {index.document.version}")
+        refuse(
+            facts, responder, 401, f"unknown key in document {index.document.version}"
+        )
         return
 
-    service = choose_service(route, session_of(facts))
+    service = choose_service(route, find_session_key(facts))
     note_request(context.retries, service, now, context.settings.retries)
     Exchange(context, request, facts, route, workspace, responder, arrived_at).start()
 
 
-def is_shut(context: GatewayContext, now: float) -> bool:
-    """Tell whether the gateway must not trust its configuration any more.
+def must_fail_closed(context: GatewayContext, now: float) -> bool:
+    """Return whether the gateway must refuse requests as its configuration is stale.
 
-    Failure: a gateway that is cut off from the controls would go on to let in keys
-    that were taken away. Operators say whether that or refusing is worse.
+    A gateway that is cut off from the controls would continue to accept revoked keys.
+    Operators configure whether that or refusing all requests is worse.
     """
     settings = context.settings
-    return settings.fail_closed and now - context.heard_at > settings.revoke_after
+    return (
+        settings.fail_closed and now - context.control_seen_at > settings.revoke_after
+    )
 
 
-def identify(
+def identify_workspace(
     index: DocumentIndex, route: Route, facts: RequestFacts
 ) -> Workspace | None:
-    """Return the workspace of a request's key."""
+    """Return the workspace of a request's key, or None without a known key."""
     if facts.key is None:
         return None
 
@@ -121,19 +130,19 @@
 
 
 def read_host(request: HttpRequest) -> str:
-    """Return the host that is asked for, without a port."""
+    """Return the request's host in lower case, without the port."""
     value = find_header(request.headers, b"host") or b""
     host = value.decode("latin-1").lower()
     return host.partition(":")[0]
 
 
-def may_finish(
+def can_finish(
     context: GatewayContext, route: Route, facts: RequestFacts, now: float
 ) -> bool:
-    """Tell whether a stopping gateway will still be there when the answer ends.
+    """Return whether the gateway will still be running when the response ends.
 
-    Failure: in a data centre where most gateways are stopping the balancer sends
-    callers here to the end, and their answers would be cut off.
+    In a data centre where most gateways are stopping, the balancer sends callers here
+    to the end; responses that outlast the process would be cut.
     """
     if not context.stopping:
         return True
@@ -152,7 +161,7 @@
     reason: str,
     pause: float = RETRY_AFTER,
 ) -> None:
-    """Refuse a request that was not placed."""
+    """Refuse a request before it is placed."""
     REQUESTS.labels("unplaced", f"refused_{status}").inc()
     log_event(
         "gateway: Request ended",
--- a/src/waxwingwell/adapters/gateway/attempts.py
+++ b/src/waxwingwell/adapters/gateway/attempts.py
@@ -1,4 +1,4 @@
-"""One send of a request to one upstream: its record, and what tables learn of it."""
+"""One attempt of a request at one upstream, and the tables updated from its outcome."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
     from .dialect import RequestFacts
 
 
-class Fate(StrEnum):
-    """How a send to an upstream ended."""
+class AttemptOutcome(StrEnum):
+    """How an attempt at an upstream ended."""
 
     UNREACHED = "unreached"
     NOT_RUN = "not_run"
@@ -41,48 +41,48 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One send of a request to one upstream."""
+    """One attempt to run a request at one upstream."""
 
     choice: Choice
-    began_at: float
+    started_at: float
     call: UpstreamCall | None = None
     status: int = 0
     headers: HeaderList | None = None
     facts: AnswerFacts | None = None
     body: list[bytes] | None = None
-    first_at: float | None = None
-    last_at: float = 0.0
-    """When the last byte came."""
+    first_byte_at: float | None = None
+    last_byte_at: float = 0.0
+    """Time at which the last byte was received."""
     work: float = 0.0
-    """Milliseconds of reading that count as our load on the upstream."""
-    learns: bool = False
-    """The time to the first event tells how fast the model reads."""
+    """Milliseconds of prefill counted as this gateway's load on the upstream."""
+    samples_prefill_speed: bool = False
+    """Whether the time to the first byte is a sample of the model's prefill speed."""
     streaming: bool = False
-    over: bool = False
+    finished: bool = False
     timer: Any = None
 
     @property
     def upstream(self) -> str:
-        """Id of the upstream."""
+        """Id of the chosen upstream."""
         return self.choice.placement.upstream.upstream
 
     def cancel(self) -> None:
-        """Give the call up, if it was begun."""
+        """Cancel the call to the upstream, if it was started."""
         if self.call is not None:
             self.call.cancel()
 
     def stop_timer(self) -> None:
-        """Stop waiting for a sign of the upstream."""
+        """Cancel the timer that limits the wait for the first byte."""
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
 
 
-def is_sound(attempt: Attempt, request_id: str) -> bool:
-    """Tell whether an answer is an upstream's own answer to this request.
+def is_valid_response(attempt: Attempt, request_id: str) -> bool:
+    """Return whether a response is the upstream's own response to this request.
 
-    Failures: late answers of other requests, answers that something on the way made
-    or changed. They show in the id echoed, a missing mark, or an encoding we never
-    asked for.
+    Rejects late responses to other requests, and responses that an intermediary made
+    or changed. They are recognised by the echoed request id, the missing mark of a real
+    upstream, or a content encoding that the gateway never requests.
     """
     facts = attempt.facts
     if facts is None or facts.encoded:
@@ -94,19 +94,19 @@
     return facts.signed or attempt.status >= 300
 
 
-def note_first(
+def record_first_byte(
     context: GatewayContext, route: Route, attempt: Attempt, now: float
 ) -> None:
-    """Note the head of an answer, and learn from when it came."""
-    if attempt.first_at is not None:
+    """Record the arrival of a response's head, and update the model's prefill speed."""
+    if attempt.first_byte_at is not None:
         return
 
-    attempt.first_at = now
-    attempt.last_at = now
-    context.signs[attempt.upstream] = now
-    FIRST_BYTE.labels(route.kind.value).observe(now - attempt.began_at)
-    if attempt.learns and attempt.choice.model:
-        took_ms = (now - attempt.began_at) * 1000
+    attempt.first_byte_at = now
+    attempt.last_byte_at = now
+    context.upstream_active_at[attempt.upstream] = now
+    FIRST_BYTE.labels(route.kind.value).observe(now - attempt.started_at)
+    if attempt.samples_prefill_speed and attempt.choice.model:
+        took_ms = (now - attempt.started_at) * 1000
         learn_speed(
             context.speeds,
             route.models,
@@ -121,25 +121,25 @@
 def note_read(
     context: GatewayContext, facts: RequestFacts, attempt: Attempt, now: float
 ) -> None:
-    """Note that the upstream holds the parts of the prompt: its answer has begun."""
+    """Record the prompt blocks as cached at the upstream once its response starts."""
     if facts.parts and attempt.status < 300:
         model = attempt.choice.model or facts.model
         note_parts(context.prefixes, attempt.upstream, model, facts.parts, now)
 
 
-def end_reading(context: GatewayContext, attempt: Attempt) -> None:
-    """Note that the upstream has read the prompt."""
+def finish_prefill(context: GatewayContext, attempt: Attempt) -> None:
+    """Record that the upstream has finished the prefill."""
     if attempt.work:
         end_prefill(context.load, attempt.upstream, attempt.work)
         attempt.work = 0.0
 
 
 def release(context: GatewayContext, attempt: Attempt) -> None:
-    """Stop counting the attempt as running."""
-    attempt.over = True
+    """Mark the attempt as finished and release the load and session it holds."""
+    attempt.finished = True
     attempt.stop_timer()
 
-    end_reading(context, attempt)
+    finish_prefill(context, attempt)
     end_use(context.load, attempt.upstream)
     choice = attempt.choice
     version = choice.placement.upstream.version
@@ -147,28 +147,32 @@
     end_session(context.sessions, choice.service, choice.session, version, now)
 
 
-def count_fate(
+def record_outcome(
     context: GatewayContext,
     route: Route,
     attempt: Attempt,
-    fate: Fate,
+    outcome: AttemptOutcome,
     now: float,
 ) -> None:
-    """Tell the tables of health and versions how the send went."""
-    ATTEMPTS.labels(route.kind.value, fate.value).inc()
-    if fate is Fate.UNREACHED:
+    """Record an attempt's outcome in the metrics and the health and version tables."""
+    ATTEMPTS.labels(route.kind.value, outcome.value).inc()
+    if outcome is AttemptOutcome.UNREACHED:
         note_unreachable(context.health, attempt.upstream, now)
         return
 
-    failed = fate in (Fate.BROKEN, Fate.FAILED, Fate.NOT_RUN)
+    failed = outcome in (
+        AttemptOutcome.BROKEN,
+        AttemptOutcome.FAILED,
+        AttemptOutcome.NOT_RUN,
+    )
     note_answer(context.health, attempt.upstream, now, failed=failed)
-    if fate is Fate.NOT_RUN:
+    if outcome is AttemptOutcome.NOT_RUN:
         return
 
     upstream = attempt.choice.placement.upstream
     key = (attempt.choice.service, upstream.version)
     tally = context.tallies.setdefault(key, VersionTally())
-    tally.answers += 1
+    tally.responses += 1
     tally.failures += failed
-    if not failed and attempt.first_at is not None:
-        tally.seconds += attempt.first_at - attempt.began_at
+    if not failed and attempt.first_byte_at is not None:
+        tally.seconds += attempt.first_byte_at - attempt.started_at
--- a/src/waxwingwell/adapters/gateway/choice.py
+++ b/src/waxwingwell/adapters/gateway/choice.py
@@ -1,4 +1,4 @@
-"""Choosing service, model and upstream for one request, from the gateway's tables."""
+"""Selection of service, model and upstream for a request from the gateway's tables."""
 
 from __future__ import annotations
 
@@ -34,28 +34,29 @@
 
 
 HEARTBEAT_SECONDS = 1.2
-"""About how often upstreams send heartbeats."""
-SILENT_SECONDS = HEARTBEAT_SECONDS * MISSED_HEARTBEATS
+"""Approximate interval of the upstreams' heartbeats."""
+UNRESPONSIVE_SECONDS = HEARTBEAT_SECONDS * MISSED_HEARTBEATS
+"""Seconds without a heartbeat after which an upstream counts as unresponsive."""
 
 
 @dataclass(frozen=True, slots=True)
 class Choice:
-    """Where a request goes."""
+    """The service, model and upstream selected for a request."""
 
     service: str
     session: str
-    """What requests of one session share."""
+    """Key shared by all requests of a session."""
     model: str
     placement: Placement
     pressure: float
-    """Expected wait, as a share of the time in which the first event is due."""
+    """Expected wait divided by the time left until the first event is due."""
     pool: Pool
     engines: int
-    """Upstreams that are kept for its model."""
+    """Number of upstreams in the pool of its model."""
 
 
 def choose_service(route: Route, key: str) -> str:
-    """Return one of a route's services by weight; the same for the same key."""
+    """Return one of a route's services by weight, always the same for the same key."""
     if len(route.targets) == 1:
         return route.targets[0].service
 
@@ -76,30 +77,31 @@
     facts: RequestFacts,
     *,
     model: str,
-    avoided: set[str],
-    begun: bool,
+    tried_upstreams: set[str],
+    response_started: bool,
     limit: float,
     now: float,
 ) -> Choice | None:
-    """Return where a request goes next, or None if nothing may run it.
+    """Return the choice for the next attempt, or None if no upstream may run it.
 
-    ``model`` is the one that an earlier send used, if any; ``limit`` the seconds in
-    which the first event is due. Upstreams in ``avoided`` were met already. ``begun``
-    tells that the caller holds a part of the answer.
+    ``model`` is the one that an earlier attempt used, if any; ``limit`` is the number
+    of seconds within which the first event is due. ``response_started`` says that the
+    caller has received a part of the response.
 
-    Failure: the only upstream of a version that is being rolled out breaks, and its
-    streams are cut off beside free upstreams of the former version. What has not begun
-    keeps its session's version: its caller can come back.
+    If the only upstream of a version that is being rolled out fails, its streams would
+    be cut although upstreams of the former version are free. So a request whose
+    response has started may leave its session's version; any other keeps it, because
+    its caller can retry.
     """
-    key = session_of(facts)
+    key = find_session_key(facts)
     service = choose_service(route, key)
     record = index.services.get(service)
     if record is None:
         return None
 
-    spent = avoided if begun else set()
+    spent = tried_upstreams if response_started else set()
     allowed = list_candidates(context, service, key, now, spent)
-    fresh = [one for one in allowed if one.upstream not in avoided]
+    untried = [one for one in allowed if one.upstream not in tried_upstreams]
     if not model and is_sized(route, facts.model):
         model = first_model(route)
 
@@ -113,13 +115,15 @@
         token_ms=guess_speed(context.speeds, route.models, model),
         pool=pool,
     )
-    around = Surroundings(
+    placement_context = Surroundings(
         data_centre=context.settings.data_centre,
         load=context.load,
         health=context.health,
         prefixes=context.prefixes,
     )
-    placement = place_request(demand, fresh, around, now, context.random.random)
+    placement = place_request(
+        demand, untried, placement_context, now, context.random.random
+    )
     if placement is None:
         return None
 
@@ -127,8 +131,8 @@
     return Choice(service, key, model, placement, pressure, kind, len(pool))
 
 
-def session_of(facts: RequestFacts) -> str:
-    """Return what requests of one session share."""
+def find_session_key(facts: RequestFacts) -> str:
+    """Return the key shared by all requests of a session."""
     if facts.session:
         return facts.session
 
@@ -147,11 +151,12 @@
 ) -> list[Announcement]:
     """Return the upstreams that may run a session's request.
 
-    While no control can be heard, silence of upstreams means nothing. If all seem to be
-    silent, it is the controls that lack news: a dead upstream costs a connection that
-    fails, refusing costs the request.
+    Heartbeats arrive through the controls, so missing ones count only up to the last
+    report of a control. If all upstreams seem unresponsive, the controls lack
+    announcements: all are used then, because an attempt at a dead upstream only costs
+    a failed connection, while refusing costs the request.
     """
-    heard_after = context.fleet_at - SILENT_SECONDS
+    heard_after = context.heartbeats_at - UNRESPONSIVE_SECONDS
     serving = list_serving(context.fleet, service, heard_after=heard_after)
     if not serving:
         serving = list_serving(context.fleet, service, heard_after=-math.inf)
--- a/src/waxwingwell/adapters/gateway/context.py
+++ b/src/waxwingwell/adapters/gateway/context.py
@@ -1,4 +1,4 @@
-"""State of a running gateway process."""
+"""State shared by the modules of a gateway process."""
 
 from __future__ import annotations
 
@@ -25,31 +25,32 @@
 from ..links import LinkNode
 from .dialect import Dialect
 from .settings import GatewaySettings
-from .waiting import WaitingRoom
+from .waiting import StartupQueue
 
 
 @dataclass(slots=True)
 class VersionTally:
-    """Answers of one version of a service at this gateway."""
+    """Outcomes and response times of one version of a service at this gateway."""
 
-    answers: int = 0
+    responses: int = 0
     failures: int = 0
     seconds: float = 0.0
+    """Sum of the times to the first byte of successful responses."""
 
 
 class Running(Protocol):
-    """A request under way, as others see it."""
+    """Interface of a running request to periodic tasks and the shutdown."""
 
-    def check_silence(self, now: float) -> None:
-        """Give up an upstream that has been silent for too long."""
+    def check_responsiveness(self, now: float) -> None:
+        """Fail over from an upstream that has sent no data for too long."""
 
-    def end_now(self, reason: str, now: float) -> None:
-        """Give the final answer at once."""
+    def finish_now(self, reason: str, now: float) -> None:
+        """Send the final response at once."""
 
 
 @dataclass(slots=True, kw_only=True)
 class GatewayContext:
-    """What the parts of a gateway process share."""
+    """Shared state of a gateway process."""
 
     settings: GatewaySettings
     reactor: Any
@@ -58,39 +59,39 @@
     dialect: Dialect
     node: LinkNode | None = None
     controls: dict[str, Link] = field(default_factory=dict)
-    home: str = ""
-    """The control that we report to."""
-    near: set[str] = field(default_factory=set)
-    """Controls in our own data centre."""
+    attached_control: str = ""
+    """Name of the control that this gateway reports to; empty if none."""
+    local_controls: set[str] = field(default_factory=set)
+    """Controls in the gateway's own data centre."""
     index: DocumentIndex | None = None
     routing_index: int = -1
-    """Place in the controls' log of the state held; it never steps back."""
+    """Index in the controls' log of the routing state held; it never decreases."""
     rollouts: dict[str, RolloutState] = field(default_factory=dict)
     established: dict[str, str] = field(default_factory=dict)
-    """Version in use by service, while no roll-out names one."""
+    """Version in use by service, used while no roll-out names one."""
     fleet: FleetTable = field(default_factory=FleetTable)
-    fleet_at: float = 0.0
-    """When a control last told which upstreams it heard of."""
+    heartbeats_at: float = 0.0
+    """Time of the last heartbeat report from a control."""
     load: LoadTable = field(default_factory=LoadTable)
-    reported: tuple[UpstreamUse, ...] = ()
+    reported_use: tuple[UpstreamUse, ...] = ()
     reported_work: float = 0.0
-    reported_repeats: tuple[ServiceRepeats, ...] = ()
+    reported_retries: tuple[ServiceRepeats, ...] = ()
     health: HealthTable = field(default_factory=HealthTable)
     prefixes: PrefixTable = field(default_factory=PrefixTable)
     sessions: SessionTable = field(default_factory=SessionTable)
     speeds: SpeedTable = field(default_factory=SpeedTable)
     sizes: dict[str, float] = field(default_factory=dict)
-    """Usual size of a request by route."""
-    signs: dict[str, float] = field(default_factory=dict)
-    """When the last byte came from each upstream."""
+    """Typical request size by route."""
+    upstream_active_at: dict[str, float] = field(default_factory=dict)
+    """Time of the last byte received, by upstream."""
     retries: RetryTable = field(default_factory=RetryTable)
     tallies: dict[tuple[str, str], VersionTally] = field(default_factory=dict)
     exchanges: set[Running] = field(default_factory=set)
-    """Requests under way."""
-    room: WaitingRoom = field(default_factory=WaitingRoom)
-    """Requests that wait for the first configuration."""
-    heard_at: float = 0.0
-    """When any control was heard of last."""
+    """Running requests."""
+    startup_queue: StartupQueue = field(default_factory=StartupQueue)
+    """Requests queued until the first configuration."""
+    control_seen_at: float = 0.0
+    """Time of the last message from any control."""
     stopping: bool = False
     exit_at: float = math.inf
-    """When a stopping process ends at the latest."""
+    """Latest time at which a stopping process exits."""
--- a/src/waxwingwell/adapters/gateway/daemon.py
+++ b/src/waxwingwell/adapters/gateway/daemon.py
@@ -1,4 +1,4 @@
-"""The gateway daemon."""
+"""Start-up and periodic tasks of a gateway process."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 from ..metrics_listener import serve_metrics
 from ..ports import adopt_port
 from ..ports import open_port
-from .arrivals import take_request
+from .arrivals import handle_request
 from .context import GatewayContext
 from .steering import connect_control
-from .steering import report_use
+from .steering import send_report
 from .steering import take_call
 from .steering import take_cast
 
@@ -41,6 +41,7 @@
 
 
 REPORT_SECONDS = 0.25
+"""Interval of the periodic tasks, which include the report to a control."""
 
 
 @dataclass(slots=True)
@@ -60,9 +61,9 @@
     dialect: Dialect,
     callers: socket.socket | None = None,
 ) -> GatewayDaemon:
-    """Begin to serve; errors: ``CannotListenError`` or ``OSError``.
+    """Start to serve; raises ``CannotListenError`` or ``OSError``.
 
-    ``callers`` is the port for callers if it is open already.
+    ``callers`` is the listening socket for callers if it is already open.
     """
     context = GatewayContext(
         settings=settings,
@@ -71,7 +72,7 @@
         random=random.Random(settings.node),
         dialect=dialect,
     )
-    context.heard_at = read_clock()
+    context.control_seen_at = read_clock()
     context.retries.began_at = read_clock()
     context.retries.phase = context.random.random()
     context.node = LinkNode(
@@ -86,12 +87,12 @@
     )
     service = HttpService(
         reactor=reactor,
-        handle=partial(take_request, context),
+        handle=partial(handle_request, context),
         limits=partial(read_limits, context),
     )
     health = HttpService(
         reactor=reactor,
-        handle=partial(answer_readiness, context),
+        handle=partial(respond_readiness, context),
         limits=HttpLimits,
     )
     ports = [
@@ -115,21 +116,21 @@
 
 
 def learn_controls(daemon: GatewayDaemon, settings: GatewaySettings) -> None:
-    """Connect to controls that changed settings name beside those known."""
+    """Connect to controls that reloaded settings name and that have no link yet."""
     for name in settings.controls:
         connect_control(daemon.context, name)
 
 
 def run_tick(context: GatewayContext) -> None:
-    """Do what is due a few times a second; what fails is logged, the rest goes on."""
+    """Run the periodic tasks; a task that fails is logged and the others continue."""
     now = context.clock()
-    checks = [partial(one.check_silence, now) for one in context.exchanges]
-    for duty in (*checks, partial(report_use, context)):
-        run_logged(duty, "gateway: Duty failed")
+    checks = [partial(one.check_responsiveness, now) for one in context.exchanges]
+    for task in (*checks, partial(send_report, context)):
+        run_logged(task, "gateway: Periodic task failed")
 
 
 def read_limits(context: GatewayContext) -> HttpLimits:
-    """Return what callers may send by the document in force."""
+    """Return the limits on requests from the document in force, or the defaults."""
     if context.index is None:
         return HttpLimits()
 
@@ -142,9 +143,9 @@
     )
 
 
-def answer_readiness(
+def respond_readiness(
     context: GatewayContext, request: HttpRequest, responder: Responder
 ) -> None:
-    """Tell the balancer whether callers may be sent here."""
+    """Respond to the balancer's readiness check."""
     ready = context.index is not None and not context.stopping
     responder.send(200 if ready else 503, [])
--- a/src/waxwingwell/adapters/gateway/dialect.py
+++ b/src/waxwingwell/adapters/gateway/dialect.py
@@ -1,7 +1,7 @@
-"""What a gateway needs to read from, and write into, the headers of a request.
+"""Values that a gateway reads from and writes to the headers of requests and responses.
 
-How these are named on the wire is up to whoever supplies the ``Dialect``; the gateway
-knows no header but the standard ones.
+The supplier of the ``Dialect`` defines the header names; the gateway itself knows only
+the standard headers.
 """
 
 from __future__ import annotations
@@ -14,57 +14,57 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RequestFacts:
-    """What a caller says of its request."""
+    """Properties of a request that its caller states in headers."""
 
     request_id: str
     budget: float | None = None
-    """Seconds that the caller will wait."""
+    """Seconds that the caller waits for the response; None if it does not say."""
     key: str | None = None
     model: str = ""
-    """The model that the caller names, or ``*``."""
+    """Model that the caller names; ``*`` lets the gateway select one."""
     prompt_tokens: int = 0
     output_tokens: int = 0
     parts: tuple[tuple[str, int], ...] = ()
-    """Parts of the prompt in order, id and tokens; the last is the request's own."""
+    """Prompt blocks in order, id and tokens; the last one is the request's own."""
     session: str = ""
     resume_after: str = ""
-    """Id of the last event that the caller has."""
+    """Id of the last event that the caller has received."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Dispatch:
-    """What an upstream is told beside the caller's own headers."""
+    """Values sent to an upstream in addition to the caller's own headers."""
 
     upstream: str
-    """Only the upstream of this id may run the request."""
+    """Id of the only upstream that may run the request."""
     remaining: float | None
-    """Seconds that the caller will still wait."""
+    """Seconds that the caller still waits; None if it does not say."""
     workspace: str | None = None
     model: str = ""
     urgency: int | None = None
-    """0 comes first, 9 last."""
+    """Rank from 0, the most urgent, to 9."""
     resume_after: str = ""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AnswerFacts:
-    """What an upstream says of its answer."""
+    """Properties of a response that its upstream states in headers."""
 
     not_run: bool
-    """The upstream proves that it did not run the request and never will."""
+    """The upstream guarantees that it did not run the request and never will."""
     signed: bool
-    """The answer bears the mark of a real upstream."""
+    """The response carries the mark of a real upstream."""
     request_id: str | None = None
-    """The request that this answers; None if it does not say."""
+    """Id of the request that this responds to; None if the upstream does not say."""
     encoded: bool = False
-    """The body is not in the form that the upstream made."""
+    """The body is content-encoded, so it is not as the upstream sent it."""
     confidence: float | None = None
-    """The model's own opinion of its answer, 0 to 1."""
+    """The model's confidence in its response, 0 to 1."""
 
 
 @dataclass(frozen=True, slots=True)
 class Dialect:
-    """Reads and writes the headers of one way of speaking."""
+    """Reads and writes the headers of one protocol between callers and upstreams."""
 
     read_request: Callable[[HeaderList], RequestFacts]
     write_request: Callable[[HeaderList, Dispatch], HeaderList]
--- a/src/waxwingwell/adapters/gateway/endings.py
+++ b/src/waxwingwell/adapters/gateway/endings.py
@@ -1,4 +1,4 @@
-"""The final answer of a request, and the line that tells how it ended."""
+"""The final response to a request, and the log line of its outcome."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 
 
 RETRY_AFTER = 0.5
-"""Seconds after which a caller may come back if nothing could take its request."""
+"""Seconds after which a caller may retry if no upstream could take its request."""
 
 
 LEAVE_SECONDS = 0.3
-"""How much longer than it said a caller may take to leave a stream."""
+"""Seconds past the caller's own deadline before its stream is cut."""
 
 
 def deliver(exchange: Exchange, attempt: Attempt, now: float) -> None:
-    """Pass a whole answer on."""
+    """Send the end of a complete response to the caller."""
     if attempt.streaming:
-        exchange.responder.write(exchange.splitter.rest)
+        exchange.responder.write(exchange.splitter.partial_event)
         exchange.responder.finish()
     else:
         headers = strip_hop_headers(attempt.headers or [])
@@ -36,13 +36,13 @@
 
 
 def give_up(exchange: Exchange, reason: str, pause: float = RETRY_AFTER) -> None:
-    """Give the final answer at once: nothing more can be done."""
+    """Send the final response of a request that can't be attempted any more."""
     now = exchange.context.clock()
     if exchange.responder.started:
         exchange.responder.abort()
         settle(exchange, "cut", 0, now, reason)
-    elif exchange.last_answer is not None:
-        status, headers, body = exchange.last_answer
+    elif exchange.last_response is not None:
+        status, headers, body = exchange.last_response
         exchange.responder.send(status, headers, body)
         settle(exchange, "passed_on_failure", status, now, reason)
     elif exchange.runs:
@@ -56,12 +56,13 @@
 def expire(exchange: Exchange) -> None:
     """End the request at its deadline.
 
-    Failure: a stream was cut a few milliseconds before its caller would have left by
-    itself, as the time it has left is told in whole milliseconds and takes its way. So
-    a stream that has begun goes on a little beyond what its caller said.
+    The caller's remaining time is sent in whole milliseconds and takes time to arrive,
+    so a stream would be cut a few milliseconds before its caller disconnects by itself.
+    A stream that has started therefore continues for ``LEAVE_SECONDS``, up to the
+    route's timeout.
     """
     now = exchange.context.clock()
-    latest = exchange.began_at + exchange.route.timeout
+    latest = exchange.started_at + exchange.route.timeout
     if exchange.responder.started and now < latest and not exchange.overdue:
         exchange.overdue = True
         delay = min(LEAVE_SECONDS, latest - now)
@@ -69,11 +70,11 @@
         exchange.deadline_timer = reactor.callLater(delay, expire, exchange)
         return
 
-    end_now(exchange, "deadline", now)
+    finish_now(exchange, "deadline", now)
 
 
-def end_now(exchange: Exchange, reason: str, now: float) -> None:
-    """End a request that nothing can be waited for any more."""
+def finish_now(exchange: Exchange, reason: str, now: float) -> None:
+    """End a request now, at its deadline or when the process exits."""
     attempt = exchange.stop_attempt()
     sent = attempt is not None and attempt.call is not None and attempt.call.sent
     if exchange.responder.started:
@@ -90,42 +91,42 @@
 def settle(
     exchange: Exchange, outcome: str, status: int, now: float, reason: str = ""
 ) -> None:
-    """Note the end of the request."""
-    if exchange.over:
+    """Record the end of the request in metrics and the log, once."""
+    if exchange.finished:
         return
 
-    exchange.over = True
+    exchange.finished = True
     exchange.context.exchanges.discard(exchange)
     if exchange.deadline_timer is not None and exchange.deadline_timer.active():
         exchange.deadline_timer.cancel()
 
     REQUESTS.labels(exchange.route.kind.value, outcome).inc()
-    ANSWER.labels(exchange.route.kind.value).observe(now - exchange.began_at)
+    ANSWER.labels(exchange.route.kind.value).observe(now - exchange.started_at)
     attempt = exchange.attempt
-    answer = attempt.facts if attempt is not None else None
+    response = attempt.facts if attempt is not None else None
     log_event(
         "gateway: Request ended",
         request=exchange.facts.request_id,
         route=exchange.route.name,
         outcome=outcome,
         model=exchange.model,
-        confidence=answer.confidence if answer is not None else None,
+        confidence=response.confidence if response is not None else None,
         status=status,
         reason=reason,
-        attempts=exchange.tries,
+        attempts=exchange.attempt_count,
         runs=exchange.runs,
         events=exchange.splitter.events,
-        first_ms=to_ms(exchange.pauses.first_at, exchange.began_at),
+        first_ms=to_ms(exchange.pauses.first_event_at, exchange.started_at),
         pause_ms=round(exchange.pauses.longest * 1000),
-        ms=round((now - exchange.began_at) * 1000),
+        ms=round((now - exchange.started_at) * 1000),
     )
 
 
-def to_ms(at: float | None, began_at: float) -> int | None:
-    """Return the milliseconds from the beginning to ``at``, if it came to that."""
-    return None if at is None else round((at - began_at) * 1000)
+def to_ms(at: float | None, started_at: float) -> int | None:
+    """Return the milliseconds from ``started_at`` to ``at``, or None without ``at``."""
+    return None if at is None else round((at - started_at) * 1000)
 
 
 def retry_after(seconds: float) -> tuple[bytes, bytes]:
-    """Return the header that tells a caller when to come back."""
+    """Return the ``Retry-After`` header for a delay in seconds."""
     return (b"Retry-After", f"{seconds:g}".encode())
--- a/src/waxwingwell/adapters/gateway/escalation.py
+++ b/src/waxwingwell/adapters/gateway/escalation.py
@@ -1,4 +1,4 @@
-"""Asking a larger model where the smallest one is unsure of its answer."""
+"""Escalation to a larger model where the smallest one has low confidence."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def find_larger(exchange: Exchange, attempt: Attempt, now: float) -> Choice | None:
-    """Return where a larger model can do better than an unsure answer, or None."""
+    """Return the choice of a larger model if it is worth its cost, or None."""
     index = exchange.index
     facts = attempt.facts
     if index is None or facts is None or facts.confidence is None:
@@ -36,7 +36,7 @@
     ):
         return None
 
-    if not exchange.may_run_again() or not exchange.is_in_budget(now, CHOICE_PART):
+    if not exchange.may_run_again() or not exchange.has_retry_budget(now, CHOICE_PART):
         return None
 
     larger = choose_upstream(
@@ -45,15 +45,15 @@
         exchange.route,
         exchange.facts,
         model=exchange.route.models[-1],
-        avoided=exchange.met,
-        begun=False,
-        limit=exchange.first_limit(now),
+        tried_upstreams=exchange.tried_upstreams,
+        response_started=False,
+        limit=exchange.first_event_limit(now),
         now=now,
     )
     if larger is None:
         return None
 
-    stake = weigh_stake(exchange, larger, now)
+    stake = make_stake(exchange, larger, now)
     if not wants_larger(facts.confidence, stake):
         return None
 
@@ -69,8 +69,8 @@
     return larger
 
 
-def weigh_stake(exchange: Exchange, larger: Choice, now: float) -> Stake:
-    """Return what asking a larger model costs, and what it may bring."""
+def make_stake(exchange: Exchange, larger: Choice, now: float) -> Stake:
+    """Return the costs and the possible benefit of asking the larger model."""
     request = exchange.facts
     services = exchange.index.services if exchange.index is not None else {}
     models = services[larger.service].models if larger.service in services else ()
--- a/src/waxwingwell/adapters/gateway/events.py
+++ b/src/waxwingwell/adapters/gateway/events.py
@@ -1,7 +1,7 @@
-"""Cutting a stream of server-sent events where it may be resumed.
+"""Splitting of a stream of server-sent events where it may be resumed.
 
-Failure: an upstream breaks off in the middle of an event. Were that part passed on,
-the first event of the resumed stream would be joined to it.
+An upstream may disconnect in the middle of an event. If the partial event were
+forwarded, the first event of the resumed stream would be joined to it.
 """
 
 from __future__ import annotations
@@ -12,62 +12,62 @@
 
 
 class EventSplitter:
-    """Holds back what is not yet a whole event, and knows the last event's id."""
+    """Buffers an incomplete event, and tracks the id of the last complete one."""
 
-    __slots__ = ("_rest", "events", "last_id")
+    __slots__ = ("_partial_event", "events", "last_id")
 
     def __init__(self, last_id: str = "") -> None:
-        self._rest = b""
+        self._partial_event = b""
         self.last_id = last_id
         self.events = 0
 
     def feed(self, data: bytes) -> bytes:
-        """Return the whole events that are complete now."""
-        buffered = self._rest + data
+        """Add received bytes, and return the events that are complete now."""
+        buffered = self._partial_event + data
         end = buffered.rfind(EVENT_END)
         if end < 0:
-            self._rest = buffered
+            self._partial_event = buffered
             return b""
 
         end += len(EVENT_END)
-        whole, self._rest = buffered[:end], buffered[end:]
-        self.events += whole.count(EVENT_END)
-        self._note_id(whole)
-        return whole
+        complete_events, self._partial_event = buffered[:end], buffered[end:]
+        self.events += complete_events.count(EVENT_END)
+        self._record_last_id(complete_events)
+        return complete_events
 
-    def drop_rest(self) -> None:
-        """Forget a part of an event that will not be completed."""
-        self._rest = b""
+    def discard_partial_event(self) -> None:
+        """Discard a partial event that will not be completed."""
+        self._partial_event = b""
 
     @property
-    def rest(self) -> bytes:
-        """The part of an event that is held back."""
-        return self._rest
+    def partial_event(self) -> bytes:
+        """Buffered bytes of an incomplete event."""
+        return self._partial_event
 
-    def _note_id(self, whole: bytes) -> None:
-        """Remember the last id of these events."""
-        lines = whole.split(b"\n")
+    def _record_last_id(self, complete_events: bytes) -> None:
+        """Record the last id among these events."""
+        lines = complete_events.split(b"\n")
         for line in reversed(lines):
             if line.startswith(ID_FIELD):
                 self.last_id = line[len(ID_FIELD) :].strip().decode("latin-1")
                 return
 
 
-class Pauses:
-    """When the first event was passed on, and the longest time between two."""
+class EventPauses:
+    """Time of the first forwarded event, and the longest gap between two events."""
 
-    __slots__ = ("first_at", "last_at", "longest")
+    __slots__ = ("first_event_at", "last_event_at", "longest")
 
     def __init__(self) -> None:
-        self.first_at: float | None = None
-        self.last_at = 0.0
+        self.first_event_at: float | None = None
+        self.last_event_at = 0.0
         self.longest = 0.0
 
-    def note(self, now: float) -> None:
-        """Note that events are passed on."""
-        if self.first_at is None:
-            self.first_at = now
+    def record(self, now: float) -> None:
+        """Record that events are forwarded now."""
+        if self.first_event_at is None:
+            self.first_event_at = now
         else:
-            self.longest = max(self.longest, now - self.last_at)
+            self.longest = max(self.longest, now - self.last_event_at)
 
-        self.last_at = now
+        self.last_event_at = now
--- a/src/waxwingwell/adapters/gateway/sending.py
+++ b/src/waxwingwell/adapters/gateway/sending.py
@@ -1,4 +1,4 @@
-"""Sending a request to the upstream that was chosen."""
+"""Sending of a request to the selected upstream."""
 
 from __future__ import annotations
 
@@ -25,14 +25,16 @@
 
 
 CONNECT_SECONDS = 0.4
-"""To reach an upstream: two lost packets between data centres, at a few ms each way."""
-CONNECT_PART = 0.25
-"""Of the time left, whichever is shorter."""
-LAST_URGENCY = 9
+"""Connect timeout in seconds: it covers two lost packets between data centres, at a few
+milliseconds each way."""
+CONNECT_SHARE = 0.25
+"""Share of the remaining time that bounds the connect timeout."""
+LOWEST_URGENCY = 9
+"""Greatest rank that an upstream accepts; 0 is the most urgent."""
 
 
-def log_placed(exchange: Exchange, attempt: Attempt, now: float) -> None:
-    """Log where a request goes, and what spoke for it."""
+def log_placement(exchange: Exchange, attempt: Attempt, now: float) -> None:
+    """Log the placement of a request and the estimates behind it."""
     placement = attempt.choice.placement
     log_event(
         "gateway: Placed",
@@ -42,7 +44,7 @@
         upstream=attempt.upstream,
         version=placement.upstream.version,
         model=attempt.choice.model,
-        attempt=exchange.tries,
+        attempt=exchange.attempt_count,
         running=placement.running,
         uncached=placement.uncached,
         wait_ms=round(placement.wait),
@@ -52,7 +54,7 @@
 
 
 def open_call(exchange: Exchange, attempt: Attempt, now: float) -> UpstreamCall:
-    """Send a request, and count it as our load on the upstream."""
+    """Start a call to the upstream and count it as this gateway's load there."""
     placement = attempt.choice.placement
     attempt.work = placement.work
     begin_use(exchange.context.load, attempt.upstream, attempt.work)
@@ -93,12 +95,15 @@
             on_data=partial(exchange.take_data, attempt),
             on_end=partial(exchange.take_end, attempt),
         ),
-        connect_timeout=min(CONNECT_SECONDS, remaining * CONNECT_PART),
+        connect_timeout=min(CONNECT_SECONDS, remaining * CONNECT_SHARE),
     )
 
 
 def find_urgency(route: Route, workspace: Workspace | None) -> int | None:
-    """Return the rank of the request; the workspace's goes before the route's."""
+    """Return the rank of a stream request, or None for other kinds.
+
+    The workspace's priority takes precedence over the route's.
+    """
     if route.kind is not RouteKind.STREAM:
         return None
 
@@ -106,4 +111,4 @@
     if workspace is not None and workspace.priority is not None:
         rank = 3 * workspace.priority + route.priority
 
-    return min(rank, LAST_URGENCY)
+    return min(rank, LOWEST_URGENCY)
--- a/src/waxwingwell/adapters/gateway/settings.py
+++ b/src/waxwingwell/adapters/gateway/settings.py
@@ -9,23 +9,23 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class GatewaySettings:
-    """Where a gateway lives and what it may do; times in seconds."""
+    """Addresses, limits and policies of a gateway process; times in seconds."""
 
     node: str
     address: str
     data_centre: str
     callers: tuple[str, int]
-    """Where callers connect."""
+    """Host and port that callers connect to."""
     readiness: tuple[str, int]
-    """Where the balancer asks whether to send callers here."""
+    """Host and port of the balancer's readiness checks."""
     link_port: int
     controls: tuple[str, ...]
     retries: RetryLimits = RetryLimits()
     session_life: float = 5.0
-    """How long after its last request a session is still under way."""
+    """Time after its last request for which a session counts as active."""
     fail_closed: bool = False
-    """Refuse work once no control was heard of for ``revoke_after``."""
+    """Refuse requests after ``revoke_after`` without a message from any control."""
     revoke_after: float = 5.0
     grace: float = 8.0
-    """From the order to stop until the process is killed."""
+    """Time from the signal to stop until the process is killed."""
     metrics: tuple[str, int] | None = None
--- a/src/waxwingwell/adapters/gateway/steering.py
+++ b/src/waxwingwell/adapters/gateway/steering.py
@@ -1,4 +1,4 @@
-"""What a gateway hears from the controls, and tells them."""
+"""Messages that a gateway receives from controls, and the reports that it sends."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 from ..links import close_link
 from ..links import is_link_up
 from ..links import open_link
-from .waiting import admit_all
+from .waiting import serve_waiting
 
 
 if TYPE_CHECKING:
@@ -50,52 +50,52 @@
 
 
 def take_call(sender: str, body: Any) -> Deferred[Message]:
-    """Answer a call: nobody has a reason to call a gateway."""
+    """Reject a call: a gateway serves no calls, only casts."""
     reason = f"{type(body).__name__} from {sender} is not understood"
     return succeed(NotAccepted(reason=reason))
 
 
 def take_cast(context: GatewayContext, sender: str, body: Any) -> None:
-    """Take in what a control tells."""
+    """Handle a cast from a control."""
     now = context.clock()
-    context.heard_at = now
+    context.control_seen_at = now
     if isinstance(body, ShareRouting):
-        take_routing(context, body)
+        apply_routing(context, body)
     elif isinstance(body, ShareNews):
         for news in body.news:
             take_news(context.fleet, news, now)
     elif isinstance(body, ShareHeartbeats):
         refresh(context.fleet, body.heard, now)
-        context.fleet_at = now
+        context.heartbeats_at = now
         drop_tombstones(context.fleet, now)
     elif isinstance(body, ShareMembers):
-        know_controls(context, body)
-        note_place(context, sender, body.data_centre)
+        update_controls(context, body)
+        record_data_centre(context, sender, body.data_centre)
     elif isinstance(body, FleetReport):
         take_sum(
             context.load,
             body.use,
-            context.reported,
+            context.reported_use,
             work=body.work - context.reported_work,
             gateways=body.gateways,
             now=now,
         )
-        take_repeats(context.retries, body.repeats, context.reported_repeats, now)
+        take_repeats(context.retries, body.repeats, context.reported_retries, now)
         take_told(context.prefixes, body.read, now)
         take_kept(context.sessions, body.kept, body.held)
 
 
-def take_routing(context: GatewayContext, body: ShareRouting) -> None:
-    """Take state into force unless a newer one is held.
+def apply_routing(context: GatewayContext, body: ShareRouting) -> None:
+    """Apply the routing state unless the state held is as new.
 
-    Failure: a control that lags behind shares an older state; were it taken, keys and
-    routes that were removed would work again.
+    A control that lags behind shares an older state. Applying it would make keys and
+    routes valid again that have been removed.
     """
     if body.index <= context.routing_index:
         return
 
-    held = -1 if context.index is None else context.index.document.version
-    if body.document and body.version > held:
+    held_version = -1 if context.index is None else context.index.document.version
+    if body.document and body.version > held_version:
         data = zlib.decompress(body.document)
         document = msgspec.msgpack.decode(data, type=Document)
         context.index = index_document(document)
@@ -105,20 +105,20 @@
             index=body.index,
             routes=len(document.routes),
         )
-        held = document.version
+        held_version = document.version
 
-    if held < body.version:
+    if held_version < body.version:
         return
 
     context.routing_index = body.index
     context.rollouts = {rollout.service: rollout for rollout in body.rollouts}
     note_moves(context.sessions, body.rollouts, body.index)
     if context.index is not None:
-        admit_all(context.room)
+        serve_waiting(context.startup_queue)
 
 
-def know_controls(context: GatewayContext, body: ShareMembers) -> None:
-    """Connect to the controls there are, and let go of those that are gone."""
+def update_controls(context: GatewayContext, body: ShareMembers) -> None:
+    """Connect to new controls, and close broken links to removed ones."""
     for name in body.controls:
         connect_control(context, name)
 
@@ -135,7 +135,7 @@
 
 
 def connect_control(context: GatewayContext, name: str) -> None:
-    """Open a link to a control unless there is one."""
+    """Open a link to a control unless one exists or the gateway is stopping."""
     if name in context.controls or context.node is None or context.stopping:
         return
 
@@ -143,84 +143,90 @@
     context.controls[name] = open_link(context.node, name, connect)
 
 
-def note_place(context: GatewayContext, control: str, data_centre: str) -> None:
-    """Note whether a control is near; report to one that is, once there is one."""
+def record_data_centre(context: GatewayContext, control: str, data_centre: str) -> None:
+    """Record whether a control is in this data centre; attach to a local one."""
     if data_centre != context.settings.data_centre:
-        context.near.discard(control)
+        context.local_controls.discard(control)
         return
 
-    context.near.add(control)
-    if context.home not in context.near:
-        choose_home(context)
+    context.local_controls.add(control)
+    if context.attached_control not in context.local_controls:
+        attach_to_control(context)
 
 
-def report_use(context: GatewayContext) -> None:
-    """Tell one control what we have running and what answers we saw."""
-    link = context.controls.get(context.home)
+def send_report(context: GatewayContext) -> None:
+    """Send the attached control this gateway's load, retries and version evidence."""
+    link = context.controls.get(context.attached_control)
     if link is None or not is_link_up(link):
-        choose_home(context)
-        link = context.controls.get(context.home)
+        attach_to_control(context)
+        link = context.controls.get(context.attached_control)
 
     if link is None:
         return
 
     report = make_report(context)
     if cast_link(link, report):
-        context.reported = report.use
+        context.reported_use = report.use
         context.reported_work = report.work
-        context.reported_repeats = report.repeats
+        context.reported_retries = report.repeats
         drop_news(context.prefixes, report.read)
 
 
 def make_report(context: GatewayContext) -> GatewayReport:
-    """Return what we tell a control."""
+    """Return the report for a control."""
     evidence = tuple(
         VersionEvidence(
             service=service,
             version=version,
-            answers=tally.answers,
+            answers=tally.responses,
             failures=tally.failures,
             seconds=tally.seconds,
         )
         for (service, version), tally in context.tallies.items()
     )
     now = context.clock()
-    life = context.settings.session_life
+    session_life = context.settings.session_life
     return GatewayReport(
         gateway=context.settings.node,
-        run=run_of(context),
+        run=identify_run(context),
         use=list_use(context.load),
         evidence=evidence,
         work=read_work(context.load, now),
         held=context.routing_index,
-        kept=list_kept(context.sessions, context.rollouts.values(), life, now),
+        kept=list_kept(context.sessions, context.rollouts.values(), session_life, now),
         repeats=list_repeats(context.retries, context.settings.retries, now),
         read=list_news(context.prefixes),
     )
 
 
-def run_of(context: GatewayContext) -> int:
-    """Return what tells this process from others of the same gateway."""
+def identify_run(context: GatewayContext) -> int:
+    """Return the number that distinguishes this process from others of this gateway."""
     began_at = context.retries.began_at
     return round(began_at * 1000) if math.isfinite(began_at) else 0
 
 
-def choose_home(context: GatewayContext) -> None:
-    """Report to a control that can be reached, to one in our data centre if any can.
+def attach_to_control(context: GatewayContext) -> None:
+    """Attach to a random reachable control, preferably in this data centre.
 
-    Reports and sums are most of what gateways and controls tell each other, and bytes
-    between data centres are dear. A lot spreads gateways over the controls.
+    Reports and totals are most of the traffic between gateways and controls, and
+    traffic between data centres is expensive. The random choice spreads the gateways
+    over the controls.
     """
     up = [name for name, link in context.controls.items() if is_link_up(link)]
-    near = [name for name in up if name in context.near]
-    former, context.home = context.home, context.random.choice(near or up or [""])
-    if context.home != former:
-        leave_home(context, former)
-        log_event("gateway: Reports go to", control=context.home, before=former)
+    local_controls = [name for name in up if name in context.local_controls]
+    former, context.attached_control = (
+        context.attached_control,
+        context.random.choice(local_controls or up or [""]),
+    )
+    if context.attached_control != former:
+        detach_from_control(context, former)
+        log_event(
+            "gateway: Reports go to", control=context.attached_control, before=former
+        )
 
 
-def leave_home(context: GatewayContext, control: str) -> None:
-    """Tell the former home that another control counts our requests and repeats."""
+def detach_from_control(context: GatewayContext, control: str) -> None:
+    """Notify the former control that another one counts this gateway's requests."""
     link = context.controls.get(control)
     if link is None or not is_link_up(link):
         return
--- a/src/waxwingwell/adapters/gateway/stopping.py
+++ b/src/waxwingwell/adapters/gateway/stopping.py
@@ -1,4 +1,4 @@
-"""The planned stop of a gateway: answers end and leave, then all is closed."""
+"""Graceful shutdown: responses are completed and flushed, then everything is closed."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from ..http.server import is_settled
 from ..links import close_link
 from ..ports import close_port
-from .waiting import refuse_all
+from .waiting import refuse_waiting
 
 
 if TYPE_CHECKING:
@@ -25,76 +25,78 @@
 
 
 LOOK_SECONDS = 0.1
-"""Between two looks at what is still under way."""
+"""Interval in seconds between checks of the requests and connections left."""
 BALANCER_SECONDS = 2.5
-"""How long a stopping gateway goes on taking connections: the balancer needs two looks,
-a second apart, to notice."""
+"""Seconds for which a stopping gateway still accepts connections: the balancer needs
+two checks, a second apart, to notice the stop."""
 STOP_MARGIN = 0.6
-"""Seconds before the process is killed at which nothing new is begun, and whoever still
-waits is told."""
+"""Seconds before the process is killed at which the gateway accepts no more requests
+and responds to those still open."""
 LAST_SECONDS = 0.3
-"""Of the margin, for the last answers to leave: some ways between data centres."""
+"""Seconds of the margin in which the last responses are flushed: a few one-way delays
+between data centres."""
 CLOSE_SECONDS = 1.0
-"""How long callers may take to close after their answers, within that."""
+"""Seconds that callers have to close their connections after their responses, within
+the same limit."""
 
 
 def stop_gateway(
     daemon: GatewayDaemon, done: Callable[[], None], told_at: float | None = None
 ) -> None:
-    """Let running requests end and their answers leave, then close everything.
+    """Complete running requests, flush their responses, then close everything.
 
-    New connections are served until the balancer has noticed; connections that are
-    kept open are closed as their answers end. ``done`` is called last. ``told_at`` is
-    when the process was told to stop, if that was earlier: its time counts from there.
+    New connections are served until the balancer has noticed the stop; persistent
+    connections are closed as their responses end. ``done`` is called last. ``told_at``
+    is the time of the signal to stop if that came earlier: the grace counts from it.
     """
     context = daemon.context
     context.stopping = True
     daemon.service.stopping = True
-    began_at = context.clock() if told_at is None else told_at
-    deadline = began_at + context.settings.grace - STOP_MARGIN
+    started_at = context.clock() if told_at is None else told_at
+    deadline = started_at + context.settings.grace - STOP_MARGIN
     context.exit_at = deadline
     log_event("gateway: Stopping", requests=len(context.exchanges))
 
-    def look() -> None:
+    def poll() -> None:
         now = context.clock()
-        noticed = now >= began_at + BALANCER_SECONDS
-        if (noticed and is_settled(daemon.service)) or now >= deadline:
+        balancer_noticed = now >= started_at + BALANCER_SECONDS
+        if (balancer_noticed and is_settled(daemon.service)) or now >= deadline:
             limit = min(now + CLOSE_SECONDS, deadline + LAST_SECONDS)
             close_gateway(daemon, limit, done)
             return
 
-        if noticed:
+        if balancer_noticed:
             close_idle(daemon.service)
 
-        context.reactor.callLater(min(LOOK_SECONDS, deadline - now), look)
+        context.reactor.callLater(min(LOOK_SECONDS, deadline - now), poll)
 
-    look()
+    poll()
 
 
 def close_gateway(
     daemon: GatewayDaemon, limit: float, done: Callable[[], None]
 ) -> None:
-    """Begin nothing more, and wait up to ``limit`` until callers have read and closed.
+    """Accept no more requests, and wait up to ``limit`` until callers have closed.
 
-    Failure: the process ended while the kernel still held the end of an answer, and a
-    request that its caller had sent ahead made the kernel reset the connection.
+    Exiting while the kernel still holds the end of a response would lose it: a
+    pipelined request that nobody reads makes the kernel reset the connection.
 
-    Failure: it ended in the turn in which its ports were to close. The kernel took
-    connections until the process was gone and reset them, so that their callers could
-    not tell whether an order had been read. A closed port refuses them.
+    The ports are closed before the process exits. Otherwise the kernel accepts
+    connections until then and resets them, and their callers can't determine whether a
+    request was read. A closed port refuses them.
     """
     context = daemon.context
     context.exit_at = context.clock()
     closing = [close_port(port) for port in daemon.ports]
-    end_requests(context, context.clock())
+    finish_requests(context, context.clock())
 
-    def look(_: object = None) -> None:
+    def poll(_: object = None) -> None:
         close_idle(daemon.service)
         close_idle(daemon.health)
         now = context.clock()
         waiting = daemon.service.connections or daemon.health.connections
         if waiting and now < limit:
-            context.reactor.callLater(min(LOOK_SECONDS, limit - now), look)
+            context.reactor.callLater(min(LOOK_SECONDS, limit - now), poll)
             return
 
         try:
@@ -102,24 +104,24 @@
         finally:
             done()
 
-    DeferredList(closing).addCallback(look)
+    DeferredList(closing).addCallback(poll)
 
 
-def end_requests(context: GatewayContext, now: float) -> None:
-    """Tell callers what is known of their requests, as the process has to end.
+def finish_requests(context: GatewayContext, now: float) -> None:
+    """Send callers a final response to their open requests before the process exits.
 
-    Failure: their connections closed without a word, and the log took it for their
-    leave.
+    Otherwise their connections close without a response, and the log records that the
+    callers disconnected.
     """
     for exchange in list(context.exchanges):
-        end = partial(exchange.end_now, "the process ends", now)
-        run_logged(end, "gateway: Request not ended")
+        end = partial(exchange.finish_now, "gateway process is exiting", now)
+        run_logged(end, "gateway: Could not send the final response")
 
-    refuse_all(context.room)
+    refuse_waiting(context.startup_queue)
 
 
 def finish_stop(daemon: GatewayDaemon) -> None:
-    """End the duties and close the links."""
+    """Stop the periodic tasks and close the links."""
     context = daemon.context
     log_event("gateway: Stopped", unsettled=count_unsettled(daemon.service))
     daemon.loop.stop()
--- a/src/waxwingwell/adapters/gateway/waiting.py
+++ b/src/waxwingwell/adapters/gateway/waiting.py
@@ -1,8 +1,8 @@
-"""Requests that reach a gateway before its first configuration.
+"""Queue of requests that arrive before the gateway's first configuration.
 
-Failure: all processes were killed and start again. A gateway takes connections some
-tenths of a second before the controls have elected a leader, and callers that are
-refused twice in that time are lost, though the next moment each could be served.
+When all processes restart, a gateway accepts connections some tenths of a second before
+the controls have elected a leader. Callers refused twice in that time give up, although
+each could be served a moment later, so their requests are queued instead.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 
 
 MAX_WAITING = 200
-"""Requests kept at a time; one holds its body, some tens of kilobytes."""
+"""Maximum number of queued requests; each holds its body, some tens of kilobytes."""
 WAIT_SECONDS = 2.0
-"""Longest wait: an election that fails once, and the next one."""
+"""Longest wait in seconds: it covers a failed election and the next one."""
 
 
 @dataclass(slots=True, eq=False)
 class Waiting:
-    """One request that waits."""
+    """One queued request."""
 
     serve: Callable[[], None]
     refuse: Callable[[], None]
@@ -37,67 +37,67 @@
 
 
 @dataclass(slots=True)
-class WaitingRoom:
-    """All requests that wait, in the order of their arrival."""
+class StartupQueue:
+    """The queued requests in order of arrival."""
 
     waiting: dict[Waiting, None] = field(default_factory=dict)
 
 
-def find_wait(room: WaitingRoom, budget: float | None) -> float:
+def find_wait(startup_queue: StartupQueue, budget: float | None) -> float:
     """Return the seconds that one more request may wait; 0 if it may not.
 
-    ``budget`` is the time that its caller allows, in seconds. The caller has the larger
-    part of it left for another try.
+    ``budget`` is the time that its caller allows, in seconds. The larger part of it
+    stays available for another attempt by the caller.
     """
-    if len(room.waiting) >= MAX_WAITING or budget is None:
+    if len(startup_queue.waiting) >= MAX_WAITING or budget is None:
         return 0.0
 
     return min(budget * LONGEST_PART, WAIT_SECONDS)
 
 
-def keep_waiting(
-    room: WaitingRoom,
+def enqueue_request(
+    startup_queue: StartupQueue,
     reactor: Any,
     responder: Responder,
     waiting: Waiting,
     limit: float,
 ) -> None:
-    """Keep a request until ``admit_all``, or refuse it after ``limit`` seconds."""
+    """Queue a request until ``serve_waiting``, or refuse it after ``limit`` seconds."""
 
-    def leave() -> None:
-        room.waiting.pop(waiting, None)
+    def remove() -> None:
+        startup_queue.waiting.pop(waiting, None)
         if waiting.timer.active():
             waiting.timer.cancel()
 
     def expire() -> None:
-        leave()
+        remove()
         waiting.refuse()
 
-    room.waiting[waiting] = None
+    startup_queue.waiting[waiting] = None
     waiting.timer = reactor.callLater(limit, expire)
-    responder.on_lost = leave
+    responder.on_lost = remove
 
 
-def admit_all(room: WaitingRoom) -> None:
-    """Serve the requests that wait, the first one first."""
-    for waiting in empty_room(room):
-        run_logged(waiting.serve, "gateway: Waiting request failed")
+def serve_waiting(startup_queue: StartupQueue) -> None:
+    """Serve the queued requests in order of arrival."""
+    for waiting in drain_queue(startup_queue):
+        run_logged(waiting.serve, "gateway: Could not serve a queued request")
 
 
-def refuse_all(room: WaitingRoom) -> None:
-    """Refuse the requests that wait: the process ends, and other gateways may serve.
+def refuse_waiting(startup_queue: StartupQueue) -> None:
+    """Refuse the queued requests as the process exits; other gateways may serve them.
 
-    Failure: a gateway with a short grace ended while requests waited for their first
-    configuration, and their connections closed without a word.
+    Otherwise a gateway with a short grace exits while requests wait for the first
+    configuration, and their connections close without a response.
     """
-    for waiting in empty_room(room):
-        run_logged(waiting.refuse, "gateway: Waiting request not refused")
+    for waiting in drain_queue(startup_queue):
+        run_logged(waiting.refuse, "gateway: Could not refuse a queued request")
 
 
-def empty_room(room: WaitingRoom) -> list[Waiting]:
-    """Take all requests out; their waits are over."""
-    taken = list(room.waiting)
-    room.waiting.clear()
+def drain_queue(startup_queue: StartupQueue) -> list[Waiting]:
+    """Remove and return all queued requests, and cancel their timers."""
+    taken = list(startup_queue.waiting)
+    startup_queue.waiting.clear()
     for waiting in taken:
         waiting.timer.cancel()
 
--- a/src/waxwingwell/adapters/gateway/watch.py
+++ b/src/waxwingwell/adapters/gateway/watch.py
@@ -1,8 +1,8 @@
-"""The watch on upstreams that take a request and then say nothing.
+"""Detection of upstreams that accept a request and then send no data.
 
-Failure: an upstream went dark. Its connections stay open, and its requests would wait
-until their callers leave. Another upstream is asked, if there is one that can go on:
-the silent one's answer may still be on its way.
+The connections of an unresponsive upstream stay open, so its requests would wait until
+their callers disconnect. A request fails over only if another upstream can take it,
+as the unresponsive one's response may still be on its way.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from ...routing.health import note_unreachable
 from ...routing.records import RouteKind
 from ...routing.silence import silence_limit
-from .attempts import Fate
+from .attempts import AttemptOutcome
 
 
 if TYPE_CHECKING:
@@ -20,54 +20,59 @@
     from .exchange import Exchange
 
 
-SILENT_OBJECTIVES = 1.5
-"""Objectives after which an answer that may be asked for again is asked of another
-upstream: it is late by then, and nineteen of twenty calls take a third of that."""
-SILENT_PART = 0.4
-"""Of the whole time, whichever is shorter: the second try has the longer part."""
+UNRESPONSIVE_OBJECTIVES = 1.5
+"""Multiple of the route's objective after which an idempotent call without a response
+fails over: it is late by then, and 95 % of calls take a third of that."""
+UNRESPONSIVE_SHARE = 0.4
+"""Share of the request's whole time that bounds the same wait, so that the second
+attempt has the longer part."""
 
 
 def limit_silence(exchange: Exchange, attempt: Attempt, remaining: float) -> None:
-    """Begin to wait for the first sign of a call that may be asked for again."""
+    """Start the timer for the first byte of an idempotent call that may run again."""
     route = exchange.route
     if route.kind is not RouteKind.IDEMPOTENT or not exchange.may_run_again():
         return
 
-    total = exchange.deadline - exchange.began_at
-    limit = min(SILENT_OBJECTIVES * route.objective, SILENT_PART * total)
+    total = exchange.deadline - exchange.started_at
+    limit = min(UNRESPONSIVE_OBJECTIVES * route.objective, UNRESPONSIVE_SHARE * total)
     if limit < remaining:
         reactor = exchange.context.reactor
         attempt.timer = reactor.callLater(limit, abandon, exchange, attempt)
 
 
 def abandon(exchange: Exchange, attempt: Attempt) -> None:
-    """Ask another upstream for a call that had no sign in time."""
-    if attempt.over or attempt.first_at is not None:
+    """Fail over a call whose first byte did not arrive in time."""
+    if attempt.finished or attempt.first_byte_at is not None:
         return
 
-    if not exchange.can_move(exchange.context.clock()):
+    if not exchange.can_fail_over(exchange.context.clock()):
         return
 
     attempt.cancel()
-    exchange.finish_attempt(attempt, Fate.BROKEN, "silent")
+    exchange.finish_attempt(attempt, AttemptOutcome.BROKEN, "no response in time")
 
 
-def check_silence(exchange: Exchange, now: float) -> None:
-    """Ask another upstream to go on with a stream if its own seems to be dark."""
+def check_responsiveness(exchange: Exchange, now: float) -> None:
+    """Fail over a stream if its upstream seems to be unresponsive."""
     attempt = exchange.attempt
-    if attempt is None or attempt.over or exchange.route.kind is not RouteKind.STREAM:
+    if (
+        attempt is None
+        or attempt.finished
+        or exchange.route.kind is not RouteKind.STREAM
+    ):
         return
 
-    sign = exchange.context.signs.get(attempt.upstream, 0.0)
-    silent = now - max(attempt.began_at, attempt.last_at, sign)
+    active_at = exchange.context.upstream_active_at.get(attempt.upstream, 0.0)
+    idle = now - max(attempt.started_at, attempt.last_byte_at, active_at)
     expected = attempt.choice.placement.wait / 1000
-    started = attempt.first_at is not None
-    if silent <= silence_limit(started=started, expected=expected):
+    started = attempt.first_byte_at is not None
+    if idle <= silence_limit(started=started, expected=expected):
         return
 
-    if not exchange.can_move(now):
+    if not exchange.can_fail_over(now):
         return
 
     note_unreachable(exchange.context.health, attempt.upstream, now)
     attempt.cancel()
-    exchange.finish_attempt(attempt, Fate.BROKEN, f"silent for {silent:.1f} s")
+    exchange.finish_attempt(attempt, AttemptOutcome.BROKEN, f"no data for {idle:.1f} s")
--- a/tests/adapters/gateway/support.py
+++ b/tests/adapters/gateway/support.py
@@ -19,7 +19,7 @@
 from tests.routing.factories import make_document
 from tests.routing.factories import make_news
 from tests.routing.factories import make_route
-from waxwingwell.adapters.gateway.arrivals import take_request
+from waxwingwell.adapters.gateway.arrivals import handle_request
 from waxwingwell.adapters.gateway.context import GatewayContext
 from waxwingwell.adapters.gateway.dialect import AnswerFacts
 from waxwingwell.adapters.gateway.dialect import Dialect
@@ -272,7 +272,7 @@
 
     gateway.service = HttpService(
         reactor=gateway.reactor,
-        handle=lambda request, responder: take_request(
+        handle=lambda request, responder: handle_request(
             gateway.context, request, responder
         ),
         limits=HttpLimits,
--- a/tests/adapters/gateway/test_exchange.py
+++ b/tests/adapters/gateway/test_exchange.py
@@ -225,7 +225,7 @@
 
                 gateway.reactor.advance(1.6)
                 [exchange] = gateway.context.exchanges
-                exchange.check_silence(gateway.reactor.seconds())
+                exchange.check_responsiveness(gateway.reactor.seconds())
                 self.assertTrue(first.transport.aborted)
                 self.assertEqual(len(gateway.upstreams), 2)
 
@@ -263,7 +263,7 @@
         upstream.answer(make_stream_head() + make_chunk(b"id: 1\ndata: a\n\n"))
         gateway.reactor.advance(3.0)
         [exchange] = gateway.context.exchanges
-        exchange.check_silence(gateway.reactor.seconds())
+        exchange.check_responsiveness(gateway.reactor.seconds())
         self.assertFalse(upstream.transport.aborted)
         upstream.answer(make_chunk(b"id: 2\ndata: b\n\n") + LAST_CHUNK)
         self.assertTrue(caller.received.endswith(LAST_CHUNK))
@@ -274,8 +274,8 @@
         gateway.upstreams[0].accept()
         gateway.reactor.advance(1.6)
         [exchange] = gateway.context.exchanges
-        gateway.context.signs.update(u1=1.5, u2=1.5)
-        exchange.check_silence(gateway.reactor.seconds())
+        gateway.context.upstream_active_at.update(u1=1.5, u2=1.5)
+        exchange.check_responsiveness(gateway.reactor.seconds())
         self.assertEqual(len(gateway.upstreams), 1)
 
 
@@ -338,7 +338,7 @@
                 gateway = make_gateway()
                 gateway.context.settings = make_settings(fail_closed=closed)
                 gateway.reactor.advance(6.0)
-                gateway.context.fleet_at = 0.0
+                gateway.context.heartbeats_at = 0.0
                 self.assertEqual(gateway.ask().status, status)
 
     def test_a_stopping_gateway_takes_only_what_it_can_finish(self) -> None:
--- a/tests/adapters/gateway/test_resuming.py
+++ b/tests/adapters/gateway/test_resuming.py
@@ -11,8 +11,8 @@
 from tests.routing.factories import make_rollout
 from tests.routing.factories import make_route
 from waxwingwell.adapters.gateway import exchange
-from waxwingwell.adapters.gateway.exchange import MAX_TRIES
-from waxwingwell.adapters.gateway.exchange import RETURN_SECONDS
+from waxwingwell.adapters.gateway.exchange import MAX_ATTEMPTS
+from waxwingwell.adapters.gateway.exchange import RETRY_DELAY_SECONDS
 from waxwingwell.routing.fleet import UpstreamState
 from waxwingwell.routing.fleet import take_news
 from waxwingwell.routing.load import begin_use
@@ -128,17 +128,17 @@
         """
         gateway = prepare(*(f"u{number}" for number in range(1, 9)))
         caller = gateway.ask()
-        for place in range(MAX_TRIES - 1):
+        for place in range(MAX_ATTEMPTS - 1):
             upstream = gateway.upstreams[place]
             upstream.accept()
             upstream.answer(NOT_RUN)
 
-        last = gateway.upstreams[MAX_TRIES - 1]
+        last = gateway.upstreams[MAX_ATTEMPTS - 1]
         last.accept()
         last.answer(make_stream_head() + FIRST_EVENT)
         gateway.reactor.advance(1.6)
         [running] = gateway.context.exchanges
-        running.check_silence(gateway.reactor.seconds())
+        running.check_responsiveness(gateway.reactor.seconds())
         self.assertFalse(last.transport.aborted)
         last.answer(SECOND_EVENT + LAST_CHUNK)
         self.assert_whole(caller)
@@ -196,7 +196,7 @@
                 self.assertFalse(caller.transport.aborted)
                 self.assertEqual(len(gateway.context.exchanges), 1)
                 self.assertEqual(len(gateway.upstreams), len(others) + 1)
-                gateway.reactor.advance(RETURN_SECONDS)
+                gateway.reactor.advance(RETRY_DELAY_SECONDS)
                 self.assertEqual(len(gateway.upstreams), len(others) + 2)
                 finish(gateway.upstreams[-1])
                 self.assert_whole(caller)
@@ -206,20 +206,20 @@
         gateway = prepare("u1")
         caller, first = begin(gateway)
         first.reset()
-        for _ in range(MAX_TRIES - 1):
+        for _ in range(MAX_ATTEMPTS - 1):
             self.assertFalse(caller.transport.aborted)
-            gateway.reactor.advance(RETURN_SECONDS)
+            gateway.reactor.advance(RETRY_DELAY_SECONDS)
             gateway.upstreams[-1].refuse()
 
         self.assertTrue(caller.transport.aborted)
-        self.assertEqual(len(gateway.upstreams), MAX_TRIES)
+        self.assertEqual(len(gateway.upstreams), MAX_ATTEMPTS)
         self.assertEqual(gateway.context.exchanges, set())
 
         gateway = prepare("u1")
         caller, first = begin(gateway)
         first.reset()
         caller.leave()
-        gateway.reactor.advance(RETURN_SECONDS)
+        gateway.reactor.advance(RETRY_DELAY_SECONDS)
         self.assertEqual(len(gateway.upstreams), 1)
         self.assertEqual(gateway.context.exchanges, set())
 
@@ -243,7 +243,7 @@
         first.accept()
         first.answer(make_stream_head("X-Confidence: 0.1"))
         gateway.upstreams[1].refuse()
-        gateway.reactor.advance(RETURN_SECONDS)
+        gateway.reactor.advance(RETRY_DELAY_SECONDS)
         self.assertEqual(len(gateway.upstreams), 3)
         third = gateway.upstreams[2]
         third.accept()
@@ -263,7 +263,7 @@
 
         gateway.reactor.advance(1.6)
         [running] = gateway.context.exchanges
-        running.check_silence(gateway.reactor.seconds())
+        running.check_responsiveness(gateway.reactor.seconds())
         self.assertFalse(first.transport.aborted)
         first.answer(SECOND_EVENT + LAST_CHUNK)
         self.assert_whole(caller)
@@ -294,7 +294,7 @@
 
                 gateway.reactor.advance(1.0)
                 [running] = gateway.context.exchanges
-                running.check_silence(gateway.reactor.seconds())
+                running.check_responsiveness(gateway.reactor.seconds())
                 upstream.answer(SECOND_EVENT + LAST_CHUNK)
                 self.assert_whole(caller)
                 self.assertEqual(len(gateway.upstreams), 1)
@@ -331,7 +331,7 @@
         for started in (True, False):
             with (
                 self.subTest(started=started),
-                mock.patch.object(exchange, "count_fate", side_effect=RuntimeError),
+                mock.patch.object(exchange, "record_outcome", side_effect=RuntimeError),
             ):
                 gateway = prepare()
                 caller = gateway.ask()
--- a/tests/adapters/gateway/test_steering.py
+++ b/tests/adapters/gateway/test_steering.py
@@ -13,9 +13,9 @@
 from tests.routing.factories import make_news
 from tests.routing.factories import make_rollout
 from waxwingwell.adapters.gateway.choice import list_candidates
-from waxwingwell.adapters.gateway.steering import report_use
+from waxwingwell.adapters.gateway.steering import apply_routing
+from waxwingwell.adapters.gateway.steering import send_report
 from waxwingwell.adapters.gateway.steering import take_cast
-from waxwingwell.adapters.gateway.steering import take_routing
 from waxwingwell.routing.fleet import take_news
 from waxwingwell.routing.messages import FleetReport
 from waxwingwell.routing.messages import RolloutState
@@ -114,7 +114,7 @@
     def test_our_own_share_is_not_counted_twice(self) -> None:
         gateway = make_gateway()
         context = gateway.context
-        context.reported = (UpstreamUse(upstream="u1", running=2, backlog=30),)
+        context.reported_use = (UpstreamUse(upstream="u1", running=2, backlog=30),)
         total = (
             UpstreamUse(upstream="u1", running=5, backlog=100),
             UpstreamUse(upstream="u2", running=1, backlog=5),
@@ -147,10 +147,10 @@
         gateway = make_gateway()
         context = gateway.context
         context.controls = {"a": make_link(), "b": make_link()}
-        context.home = "a"
+        context.attached_control = "a"
         body = ShareMembers(controls=("a", "b"), data_centre="north")
         take_cast(context, "b", body)
-        self.assertEqual(context.home, "b")
+        self.assertEqual(context.attached_control, "b")
 
     def test_its_former_home_counts_it_no_more(self) -> None:
         """Guards against repeats that two controls sum, so that callers are refused."""
@@ -162,8 +162,8 @@
             stopped=False, protocol=SimpleNamespace(cast=told.append)
         )
         context.controls = {"a": former, "b": make_link()}
-        context.home = "a"
-        report_use(context)
+        context.attached_control = "a"
+        send_report(context)
         body = ShareMembers(controls=("a", "b"), data_centre="north")
         take_cast(context, "b", body)
         first, last = told
@@ -194,8 +194,8 @@
     if down:
         context.controls[down].protocol = None
 
-    report_use(context)
-    return str(context.home)
+    send_report(context)
+    return str(context.attached_control)
 
 
 class MoveTest(unittest.TestCase):
@@ -207,15 +207,15 @@
         first, other = make_gateway(), make_gateway("u1", "u2")
         first.ask(X_Id=find_session(rollout))
         sent: list[Any] = []
-        first.context.home = "c"
+        first.context.attached_control = "c"
         link = SimpleNamespace(
             stopped=False, protocol=SimpleNamespace(cast=sent.append)
         )
         first.context.controls = {"c": link}
         for gateway in (first, other):
-            take_routing(gateway.context, move(rollout))
+            apply_routing(gateway.context, move(rollout))
 
-        report_use(first.context)
+        send_report(first.context)
         [report] = sent
         self.assertEqual(report.held, 1)
         total = FleetReport(gateways=2, use=(), held=report.held, kept=report.kept)
--- a/tests/adapters/gateway/test_stopping.py
+++ b/tests/adapters/gateway/test_stopping.py
@@ -208,7 +208,9 @@
                 self.assertEqual(caller.status, status)
                 ends = [one for one in found if one["message"] == REQUEST_ENDED]
                 self.assertEqual([one["extra"]["outcome"] for one in ends], [outcome])
-                self.assertEqual(ends[0]["extra"]["reason"], "the process ends")
+                self.assertEqual(
+                    ends[0]["extra"]["reason"], "gateway process is exiting"
+                )
 
     def test_requests_without_a_configuration_are_refused(self) -> None:
         """Guards against a process that ends with requests in its waiting room."""
--- a/tests/adapters/gateway/test_tick.py
+++ b/tests/adapters/gateway/test_tick.py
@@ -36,7 +36,7 @@
 
                 for exchange in gateway.context.exchanges:
                     if exchange.facts.request_id == broken:
-                        exchange.check_silence = raise_error
+                        exchange.check_responsiveness = raise_error
 
                 gateway.reactor.advance(3.0)
                 run_tick(gateway.context)
--- a/tests/adapters/gateway/test_waiting.py
+++ b/tests/adapters/gateway/test_waiting.py
@@ -63,10 +63,10 @@
 
     def test_a_fault_with_one_request_is_none_of_the_others(self) -> None:
         """The first of those that wait can't be served; the rest must not be lost."""
-        room = self.gateway.context.room
+        startup_queue = self.gateway.context.startup_queue
         self.gateway.ask()
         served = self.gateway.ask()
-        first = next(iter(room.waiting))
+        first = next(iter(startup_queue.waiting))
         first.serve = raise_error
         self.configure()
         [upstream] = self.gateway.upstreams
@@ -112,7 +112,7 @@
         """Guards against a wait that outlives its request on a kept connection."""
         caller = self.gateway.ask(X_Id="q1")
         caller.send(make_request("/chat/x", b"hi", "X-Key: k1", "X-Id: q1"))
-        self.assertEqual(len(self.gateway.context.room.waiting), 1)
+        self.assertEqual(len(self.gateway.context.startup_queue.waiting), 1)
         self.configure()
         for _ in range(2):
             upstream = self.gateway.upstreams[-1]
@@ -129,9 +129,9 @@
         self.assertEqual(caller.status, 503)
         caller.send(make_request("/chat/x", b"hi", "X-Key: k1", "X-Budget: 9"))
         self.pass_time(0.5)
-        self.assertEqual(len(self.gateway.context.room.waiting), 1)
+        self.assertEqual(len(self.gateway.context.startup_queue.waiting), 1)
         caller.leave()
-        self.assertEqual(len(self.gateway.context.room.waiting), 0)
+        self.assertEqual(len(self.gateway.context.startup_queue.waiting), 0)
         self.configure()
         self.assertEqual(self.gateway.upstreams, [])
 
--- a/tests/commands/test_review.py
+++ b/tests/commands/test_review.py
@@ -22,13 +22,13 @@
 LINES: list[dict[str, Any]] = [
     end(10.1, "answered", first_ms=120, pause_ms=40),
     end(10.2, "answered", first_ms=300, pause_ms=900),
-    end(13.0, "cut", reason="silent for 1.7 s", events=7),
+    end(13.0, "cut", reason="no data for 1.7 s", events=7),
     end(13.1, "refused", reason="no upstream left"),
     {
         "at": 13.2,
         "event": "gateway: Attempt ended",
         "fate": "broken",
-        "reason": "silent for 2.1 s",
+        "reason": "no data for 2.1 s",
     },
     {"at": 13.2, "event": "gateway: Larger model", "confidence": 0.2},
 ]
@@ -65,9 +65,9 @@
         self.assertIn(["chat", *counts, "120", "120", "40", "900"], rows)
         self.assertEqual([row[:2] for row in rows if row[:1] == ["2"]], [["2", "2"]])
         for part in (
-            "chat cut silent for # s",
+            "chat cut no data for # s",
             "chat refused no upstream left",
-            "broken silent for # s",
+            "broken no data for # s",
             "chat after 7 events",
             "larger model's: 1",
         ):
