--- a/src/waxwingwell/adapters/gateway/choice.py
+++ b/src/waxwingwell/adapters/gateway/choice.py
@@ -67,7 +67,11 @@
         if point < 0:
             return target.service
 
-    return next(one.service for one in reversed(route.targets) if one.weight > 0)
+    return next(
+        candidate.service
+        for candidate in reversed(route.targets)
+        if candidate.weight > 0
+    )
 
 
 def choose_upstream(
@@ -77,7 +81,7 @@
     facts: RequestFacts,
     *,
     model: str,
-    tried_upstreams: set[str],
+    excluded: set[str],
     response_started: bool,
     limit: float,
     now: float,
@@ -85,8 +89,9 @@
     """Return the choice for the next attempt, or None if no upstream may run it.
 
     ``model`` is the one that an earlier attempt used, if any; ``limit`` is the number
-    of seconds within which the first event is due. ``response_started`` says that the
-    caller has received a part of the response.
+    of seconds within which the first event is due. Upstreams in ``excluded`` are not
+    chosen. ``response_started`` says that the caller has received a part of the
+    response.
 
     If the only upstream of a version that is being rolled out fails, its streams would
     be cut although upstreams of the former version are free. So a request whose
@@ -99,14 +104,14 @@
     if record is None:
         return None
 
-    spent = tried_upstreams if response_started else set()
+    spent = excluded if response_started else set()
     allowed = list_candidates(context, service, key, now, spent)
-    untried = [one for one in allowed if one.upstream not in tried_upstreams]
+    untried = [candidate for candidate in allowed if candidate.upstream not in excluded]
     if not model and is_sized(route, facts.model):
         model = first_model(route)
 
     kind = find_pool(route, facts.model, model)
-    pool = list_pool([one.upstream for one in allowed], kind)
+    pool = list_pool([candidate.upstream for candidate in allowed], kind)
     demand = Demand(
         service=record,
         model=model or facts.model,
@@ -162,7 +167,7 @@
         serving = list_serving(context.fleet, service, heard_after=-math.inf)
 
     if service not in context.established and serving:
-        oldest = min(serving, key=lambda one: one.incarnation)
+        oldest = min(serving, key=lambda candidate: candidate.incarnation)
         context.established[service] = oldest.version
 
     rollout = context.rollouts.get(service)
--- a/src/waxwingwell/adapters/gateway/daemon.py
+++ b/src/waxwingwell/adapters/gateway/daemon.py
@@ -124,7 +124,9 @@
 def run_tick(context: GatewayContext) -> None:
     """Run the periodic tasks; a task that fails is logged and the others continue."""
     now = context.clock()
-    checks = [partial(one.check_responsiveness, now) for one in context.exchanges]
+    checks = [
+        partial(exchange.check_responsiveness, now) for exchange in context.exchanges
+    ]
     for task in (*checks, partial(send_report, context)):
         run_logged(task, "gateway: Periodic task failed")
 
--- a/src/waxwingwell/adapters/gateway/escalation.py
+++ b/src/waxwingwell/adapters/gateway/escalation.py
@@ -45,7 +45,7 @@
         exchange.route,
         exchange.facts,
         model=exchange.route.models[-1],
-        tried_upstreams=exchange.tried_upstreams,
+        excluded=exchange.tried_upstreams,
         response_started=False,
         limit=exchange.first_event_limit(now),
         now=now,
@@ -85,7 +85,10 @@
         output_tokens=request.output_tokens,
         prompt_tokens=request.prompt_tokens,
         uncached=larger.placement.uncached,
-        cost=next((one.cost for one in models if one.name == larger.model), 0.0),
+        cost=next(
+            (candidate.cost for candidate in models if candidate.name == larger.model),
+            0.0,
+        ),
         pressure=larger.pressure,
         usage=estimate_usage(exchange.context.load, larger.engines, now),
     )
--- a/src/waxwingwell/adapters/gateway/exchange.py
+++ b/src/waxwingwell/adapters/gateway/exchange.py
@@ -134,7 +134,7 @@
             self.route,
             self.facts,
             model=self.model,
-            tried_upstreams=self.tried_upstreams,
+            excluded=self.tried_upstreams,
             response_started=self.responder.started,
             limit=self.first_event_limit(now),
             now=now,
@@ -214,7 +214,7 @@
         """Send the final response at once."""
         finish_now(self, reason, now)
 
-    # --- upstream response ------------------------------------------------
+    # --- upstream response ----------------------------------------------------
 
     def take_head(self, attempt: Attempt, status: int, headers: HeaderList) -> None:
         """Handle the head of an upstream's response."""
@@ -314,7 +314,7 @@
         """
         return attempt.streaming or not self.responder.started
 
-    # --- end of an attempt ---------------------------------------------------------
+    # --- end of an attempt ----------------------------------------------------
 
     def finish_attempt(
         self, attempt: Attempt, outcome: AttemptOutcome, reason: str
--- a/src/waxwingwell/adapters/gateway/steering.py
+++ b/src/waxwingwell/adapters/gateway/steering.py
@@ -185,7 +185,7 @@
         for (service, version), tally in context.tallies.items()
     )
     now = context.clock()
-    session_life = context.settings.session_life
+    session_lifetime = context.settings.session_life
     return GatewayReport(
         gateway=context.settings.node,
         run=identify_run(context),
@@ -193,7 +193,9 @@
         evidence=evidence,
         work=read_work(context.load, now),
         held=context.routing_index,
-        kept=list_kept(context.sessions, context.rollouts.values(), session_life, now),
+        kept=list_kept(
+            context.sessions, context.rollouts.values(), session_lifetime, now
+        ),
         repeats=list_repeats(context.retries, context.settings.retries, now),
         read=list_news(context.prefixes),
     )
--- a/src/waxwingwell/adapters/gateway/stopping.py
+++ b/src/waxwingwell/adapters/gateway/stopping.py
@@ -33,8 +33,8 @@
 """Seconds before the process is killed at which the gateway accepts no more requests
 and responds to those still open."""
 LAST_SECONDS = 0.3
-"""Seconds of the margin in which the last responses are flushed: a few one-way delays
-between data centres."""
+"""Seconds of the margin in which the last responses are flushed: several one-way
+delays between data centres."""
 CLOSE_SECONDS = 1.0
 """Seconds that callers have to close their connections after their responses, within
 the same limit."""
