--- a/tests/adapters/gateway/support.py
+++ b/tests/adapters/gateway/support.py
@@ -1,4 +1,4 @@
-"""A gateway without a network: its callers and upstreams are in-memory transports."""
+"""A gateway whose callers and upstreams are connected by in-memory transports."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 def read_request(headers: HeaderList) -> RequestFacts:
-    """Decode the tests' own headers."""
+    """Decode the request headers of these tests."""
     found = {name.lower(): value.decode() for name, value in headers}
     budget = found.get(b"x-budget")
     return RequestFacts(
@@ -53,7 +53,7 @@
 
 
 def write_request(headers: HeaderList, dispatch: Dispatch) -> HeaderList:
-    """Write what an upstream is told."""
+    """Return the headers of a request to an upstream."""
     kept = [pair for pair in headers if pair[0].lower() != b"x-after"]
     kept.append((b"X-Upstream", dispatch.upstream.encode()))
     kept.append((b"X-After", dispatch.resume_after.encode()))
@@ -62,7 +62,7 @@
 
 
 def read_answer(status: int, headers: HeaderList) -> AnswerFacts:
-    """Decode an upstream's answer."""
+    """Decode the head of an upstream's response."""
     found = {name.lower(): value.decode() for name, value in headers}
     confidence = found.get(b"x-confidence")
     return AnswerFacts(
@@ -77,26 +77,27 @@
 
 
 class Transport(StringTransportWithDisconnection):
-    """A transport with a write buffer, which remembers whether it was aborted.
+    """A transport with a write buffer that records whether it was aborted.
 
-    While ``held`` is true, as for a caller that does not read, written bytes wait here.
+    While ``held`` is true, as for a caller that does not read, written bytes stay in
+    the buffer.
     """
 
     aborted = False
     half_closed = False
     held = False
     stays = False
-    """The other end goes on sending after it was told that nothing more comes."""
+    """Whether the peer continues to send after this end was half-closed."""
     waiting = b""
 
     def write(self, data: bytes) -> None:
-        """Send, or keep for later."""
+        """Send data, or buffer it while ``held``."""
         self.waiting += data
         if not self.held:
             self.flush()
 
     def flush(self) -> None:
-        """Send what waits, then ask for more or close, as Twisted's transports do."""
+        """Send buffered bytes, then resume the producer or close, as Twisted does."""
         parent: Any = super()
         data, self.waiting = self.waiting, b""
         parent.write(data)
@@ -106,19 +107,19 @@
             parent.loseConnection()
 
     def release(self) -> None:
-        """Let the other end read all."""
+        """Let the peer read all buffered bytes."""
         self.held = False
         self.flush()
 
     def loseConnection(self) -> None:  # noqa: N802
-        """Close once nothing waits."""
+        """Close once the buffer is empty."""
         parent: Any = super()
         self.disconnecting = True
         if not self.waiting:
             parent.loseConnection()
 
     def loseWriteConnection(self) -> None:  # noqa: N802
-        """Tell the other end that nothing more comes."""
+        """Half-close the connection."""
         self.half_closed = True
         if not self.stays:
             self.loseConnection()
@@ -127,7 +128,7 @@
         """Do nothing."""
 
     def abortConnection(self) -> None:  # noqa: N802
-        """End the connection at once."""
+        """Abort the connection at once."""
         self.aborted = True
         if self.connected:
             self.connected = False
@@ -135,14 +136,14 @@
 
 
 def make_transport() -> Any:
-    """Return an untyped transport: the library's test transports have no types."""
+    """Return an untyped transport, as Twisted's test transports have no types."""
     maker: Any = Transport
     return maker()
 
 
 @dataclass(slots=True)
 class Upstream:
-    """One connection that the gateway opened to an upstream."""
+    """One connection from the gateway to an upstream."""
 
     factory: Any
     host: str
@@ -152,7 +153,7 @@
     transport: Any = None
 
     def accept(self) -> bytes:
-        """Accept the connection; return what the gateway sent."""
+        """Accept the connection and return the bytes that the gateway sent."""
         self.protocol = self.factory.buildProtocol(None)
         self.transport = make_transport()
         self.transport.protocol = self.protocol
@@ -163,12 +164,12 @@
         """Refuse the connection."""
         self.factory.clientConnectionFailed(None, Failure(Refused()))
 
-    def answer(self, data: bytes) -> None:
-        """Send bytes."""
+    def respond(self, data: bytes) -> None:
+        """Send response bytes to the gateway."""
         self.protocol.dataReceived(data)
 
     def close(self) -> None:
-        """End the connection in order."""
+        """Close the connection cleanly."""
         self.transport.connected = False
         self.protocol.connectionLost(Failure(ConnectionDone()))
 
@@ -180,7 +181,7 @@
 
 @dataclass(slots=True)
 class Caller:
-    """One caller's connection."""
+    """One caller's connection to the gateway."""
 
     connection: HttpConnection
     transport: Any
@@ -196,19 +197,19 @@
 
     @property
     def received(self) -> bytes:
-        """What came back so far."""
+        """Bytes received so far."""
         return bytes(self.transport.value())
 
     @property
     def status(self) -> int:
-        """Status of the answer, 0 before it came."""
+        """Status of the response, or 0 before it arrives."""
         parts = self.received.split(b" ", 2)
         return int(parts[1]) if len(parts) > 1 else 0
 
 
 @dataclass(slots=True)
 class Gateway:
-    """A gateway with a document and some upstreams."""
+    """A gateway with a document and some upstreams on a simulated clock."""
 
     reactor: Any = field(default_factory=MemoryReactorClock)
     context: Any = None
@@ -223,7 +224,7 @@
         return Caller(connection, transport)
 
     def ask(self, **headers: str) -> Caller:
-        """Send a request of a new caller."""
+        """Send a request from a new caller."""
         known = {"Host": "a.example", "X-Id": "q1", "X-Key": "k1", "X-Budget": "10"}
         given = {name.replace("_", "-"): value for name, value in headers.items()}
         lines = [f"{name}: {value}" for name, value in {**known, **given}.items()]
@@ -234,7 +235,7 @@
 
     @property
     def upstreams(self) -> list[Upstream]:
-        """Connections that were opened, in order."""
+        """Connections that the gateway opened, in order."""
         return [
             Upstream(factory, host, port, timeout)
             for host, port, factory, timeout, _ in self.reactor.tcpClients
@@ -256,7 +257,7 @@
 
 
 def make_gateway(*names: str, **route: Any) -> Gateway:
-    """Return a gateway with upstreams of the names given and one route."""
+    """Return a gateway with one route and upstreams of the given names."""
     gateway = Gateway()
     gateway.context = GatewayContext(
         settings=make_settings(),
@@ -280,10 +281,10 @@
     return gateway
 
 
-def make_answer(
+def make_response(
     body: bytes = b"fine", status: int = 200, *extra: str, signed: bool = True
 ) -> bytes:
-    """Return a whole answer of an upstream."""
+    """Return a complete response of an upstream."""
     lines = [f"HTTP/1.1 {status} X", "X-Id: q1", f"Content-Length: {len(body)}"]
     if signed:
         lines.append("X-Signed: 1")
@@ -292,18 +293,18 @@
 
 
 def make_stream_head(*extra: str) -> bytes:
-    """Return the head of a stream without an end yet."""
+    """Return the head of a chunked stream."""
     lines = ["HTTP/1.1 200 OK", "X-Id: q1", "X-Signed: 1", "Transfer-Encoding: chunked"]
     return "\r\n".join([*lines, *extra]).encode() + b"\r\n\r\n"
 
 
 def make_chunk(data: bytes) -> bytes:
-    """Return one chunk of a body."""
+    """Return one chunk of a chunked body."""
     return f"{len(data):x}\r\n".encode() + data + b"\r\n"
 
 
 def note_lines(action: Callable[[], None]) -> list[Any]:
-    """Return the log's records of what an action does."""
+    """Return the log records that an action produces."""
     found: list[Any] = []
     sink = logger.add(lambda text: found.append(text.record))
     logger.enable("waxwingwell.adapters.events")
--- a/tests/adapters/gateway/test_resuming.py
+++ b/tests/adapters/gateway/test_resuming.py
@@ -1,4 +1,4 @@
-"""Streams that have begun: they go on as long as any upstream can finish them."""
+"""Tests of started streams: they continue as long as any upstream can finish them."""
 
 from __future__ import annotations
 
@@ -24,82 +24,82 @@
 from .support import Caller
 from .support import Gateway
 from .support import Upstream
-from .support import make_answer
 from .support import make_chunk
 from .support import make_gateway
+from .support import make_response
 from .support import make_settings
 from .support import make_stream_head
 
 
 FIRST_EVENT = make_chunk(b"id: 1\ndata: a\n\n")
 SECOND_EVENT = make_chunk(b"id: 2\ndata: b\n\n")
-NOT_RUN = make_answer(b"", 503, "X-Not-Run: 1")
+NOT_RUN = make_response(b"", 503, "X-Not-Run: 1")
 
 
-def prepare(*names: str, **route: Any) -> Gateway:
-    """Return a gateway that has the budget of repeats for itself."""
+def make_sole_gateway(*names: str, **route: Any) -> Gateway:
+    """Return a gateway that has the whole retry budget to itself."""
     gateway = make_gateway(*names, **route)
     gateway.context.load.others_at = 0.0
     return gateway
 
 
-def begin(gateway: Gateway, **headers: str) -> tuple[Caller, Upstream]:
-    """Ask for a stream and pass on its first event."""
+def start_stream(gateway: Gateway, **headers: str) -> tuple[Caller, Upstream]:
+    """Request a stream and forward its first event."""
     caller = gateway.ask(**headers)
     upstream = gateway.upstreams[-1]
     upstream.accept()
-    upstream.answer(make_stream_head() + FIRST_EVENT)
+    upstream.respond(make_stream_head() + FIRST_EVENT)
     return caller, upstream
 
 
-def finish(upstream: Upstream) -> None:
-    """Go on after the first event, to the end."""
+def finish_stream(upstream: Upstream) -> None:
+    """Resume the stream after the first event and finish it."""
     upstream.accept()
-    upstream.answer(make_stream_head() + SECOND_EVENT + LAST_CHUNK)
+    upstream.respond(make_stream_head() + SECOND_EVENT + LAST_CHUNK)
 
 
 class ResumingTest(unittest.TestCase):
-    """What a caller gets when something changes while its stream is under way."""
+    """Changes and failures while a stream is running."""
 
-    def assert_whole(self, caller: Caller) -> None:
-        """Check that both events came once, and the end."""
+    def assert_complete(self, caller: Caller) -> None:
+        """Check that the caller received both events once, and the end."""
         self.assertEqual(caller.received.count(b"data: a"), 1)
         self.assertEqual(caller.received.count(b"data: b"), 1)
         self.assertTrue(caller.received.endswith(LAST_CHUNK))
         self.assertFalse(caller.transport.aborted)
 
     def test_a_refused_resumption_goes_to_another_upstream(self) -> None:
-        """The upstream that is to go on with a stream answers with something else.
+        """The upstream that should resume a stream sends another kind of response.
 
-        The first one broke after an event. The caller holds half of its answer, and a
-        third upstream can finish it; whatever the second says can't be passed on.
+        The first one failed after an event. The caller has received half of its
+        response, so the second upstream's can't be forwarded; a third one can finish.
         """
-        for name, answer in (
-            ("not found", make_answer(b"no", 404)),
-            ("conflict", make_answer(b"no", 409)),
-            ("too many", make_answer(b"no", 429)),
-            ("moved", make_answer(b"", 302)),
-            ("from elsewhere", make_answer(b"no", 404, signed=False)),
-            ("failure", make_answer(b"no", 500)),
+        for name, response in (
+            ("not found", make_response(b"no", 404)),
+            ("conflict", make_response(b"no", 409)),
+            ("too many", make_response(b"no", 429)),
+            ("moved", make_response(b"", 302)),
+            ("from elsewhere", make_response(b"no", 404, signed=False)),
+            ("failure", make_response(b"no", 500)),
             ("not run", NOT_RUN),
-            ("of another request", make_answer().replace(b"q1", b"q2")),
+            ("of another request", make_response().replace(b"q1", b"q2")),
         ):
             with self.subTest(name):
-                gateway = prepare()
-                caller, first = begin(gateway)
+                gateway = make_sole_gateway()
+                caller, first = start_stream(gateway)
                 first.reset()
                 second = gateway.upstreams[1]
                 second.accept()
-                second.answer(answer)
+                second.respond(response)
                 self.assertEqual(len(gateway.upstreams), 3)
-                finish(gateway.upstreams[2])
-                self.assert_whole(caller)
+                finish_stream(gateway.upstreams[2])
+                self.assert_complete(caller)
 
-    def test_a_stream_goes_on_under_the_document_that_it_came_with(self) -> None:
-        """An operator takes something away while streams run.
+    def test_a_stream_keeps_the_document_of_its_arrival(self) -> None:
+        """An operator removes part of the configuration while streams run.
 
-        A new document comes into force, and then the first upstream breaks. The caller
-        was let in, and the upstreams that it was let in to still serve.
+        The first upstream fails after the new document is in force. The caller was
+        admitted under the former one, and that one's upstreams still serve.
         """
         other = make_route(targets=(Target("other", 1),))
         for name, fields in (
@@ -110,80 +110,83 @@
             ("timeout", {"routes": (make_route(timeout=0.1),)}),
         ):
             with self.subTest(name):
-                gateway = prepare()
-                caller, first = begin(gateway)
+                gateway = make_sole_gateway()
+                caller, first = start_stream(gateway)
                 document = make_document(version=2, **fields)
                 gateway.context.index = index_document(document)
                 gateway.reactor.advance(0.5)
                 first.reset()
                 self.assertEqual(len(gateway.upstreams), 2)
-                finish(gateway.upstreams[1])
-                self.assert_whole(caller)
+                finish_stream(gateway.upstreams[1])
+                self.assert_complete(caller)
 
-    def test_a_silent_upstream_is_kept_once_no_try_is_left(self) -> None:
-        """A stream came late to its upstream, after five that were full.
+    def test_an_unresponsive_upstream_is_kept_once_no_attempt_is_left(self) -> None:
+        """Five upstreams were at capacity, and the sixth stalls for a while.
 
-        The sixth falls silent for a while. It is the last that may be asked, so the
-        stream waits for it, though another upstream is free.
+        It is the last attempt that is allowed, so the stream waits for it although
+        another upstream is free.
         """
-        gateway = prepare(*(f"u{number}" for number in range(1, 9)))
+        gateway = make_sole_gateway(*(f"u{number}" for number in range(1, 9)))
         caller = gateway.ask()
         for place in range(MAX_ATTEMPTS - 1):
             upstream = gateway.upstreams[place]
             upstream.accept()
-            upstream.answer(NOT_RUN)
+            upstream.respond(NOT_RUN)
 
         last = gateway.upstreams[MAX_ATTEMPTS - 1]
         last.accept()
-        last.answer(make_stream_head() + FIRST_EVENT)
+        last.respond(make_stream_head() + FIRST_EVENT)
         gateway.reactor.advance(1.6)
         [running] = gateway.context.exchanges
         running.check_responsiveness(gateway.reactor.seconds())
         self.assertFalse(last.transport.aborted)
-        last.answer(SECOND_EVENT + LAST_CHUNK)
-        self.assert_whole(caller)
+        last.respond(SECOND_EVENT + LAST_CHUNK)
+        self.assert_complete(caller)
 
-    def test_a_stream_leaves_a_target_version_that_has_no_other_upstream(self) -> None:
-        """A roll-out has just begun, with one upstream of the new version.
+    def test_a_stream_leaves_a_target_version_without_other_upstreams(self) -> None:
+        """A roll-out has one upstream of the new version, which fails during a stream.
 
-        It breaks in the middle of a stream. The upstreams of the former version, which
-        still serve, finish the answer; what has not begun is not moved back.
+        The upstreams of the former version still serve and finish the response; a
+        request without a response yet is not moved back.
         """
-        for begun, asked in ((True, 2), (False, 1)):
-            with self.subTest(begun=begun):
-                gateway = prepare("u1", "u2")
+        for response_started, attempts in ((True, 2), (False, 1)):
+            with self.subTest(response_started=response_started):
+                gateway = make_sole_gateway("u1", "u2")
                 target = make_news("u3", version="v2", incarnation=5)
                 take_news(gateway.context.fleet, target, 0.0)
                 gateway.context.rollouts = {"chat": make_rollout(share=1.0)}
                 caller = gateway.ask()
                 upstream = gateway.upstreams[0]
                 self.assertIn(b"X-Upstream: u3", upstream.accept())
-                if begun:
-                    upstream.answer(make_stream_head() + FIRST_EVENT)
+                if response_started:
+                    upstream.respond(make_stream_head() + FIRST_EVENT)
                     upstream.reset()
                 else:
-                    upstream.answer(NOT_RUN)
+                    upstream.respond(NOT_RUN)
 
-                self.assertEqual(len(gateway.upstreams), asked)
-                if begun:
-                    finish(gateway.upstreams[1])
-                    self.assert_whole(caller)
+                self.assertEqual(len(gateway.upstreams), attempts)
+                if response_started:
+                    finish_stream(gateway.upstreams[1])
+                    self.assert_complete(caller)
 
-    def test_a_begun_stream_comes_back_to_an_upstream_that_it_met(self) -> None:
-        """A stream breaks, and every other upstream was met as well.
+    def test_a_started_stream_retries_tried_upstreams(self) -> None:
+        """A stream breaks after every upstream has been tried.
 
-        A connection was reset, or an upstream was full for a moment. Nobody is left to
-        ask but those, and a caller that holds a part of its answer can't be refused.
+        A connection was reset, or an upstream was at capacity for a moment. Only those
+        upstreams are left, and a caller that has received a part of its response can't
+        be refused.
         """
         for name, others in (
             ("no other upstream", []),
-            ("the other was full", ["full"]),
+            ("the other was at capacity", ["full"]),
             ("the other was not reached", ["lost"]),
             ("both", ["full", "lost"]),
         ):
             with self.subTest(name):
-                gateway = prepare(*(f"u{number}" for number in range(len(others) + 1)))
-                caller, first = begin(gateway)
+                gateway = make_sole_gateway(
+                    *(f"u{number}" for number in range(len(others) + 1))
+                )
+                caller, first = start_stream(gateway)
                 first.reset()
                 for place, other in enumerate(others, 1):
                     upstream = gateway.upstreams[place]
@@ -191,20 +194,20 @@
                         upstream.refuse()
                     else:
                         upstream.accept()
-                        upstream.answer(NOT_RUN)
+                        upstream.respond(NOT_RUN)
 
                 self.assertFalse(caller.transport.aborted)
                 self.assertEqual(len(gateway.context.exchanges), 1)
                 self.assertEqual(len(gateway.upstreams), len(others) + 1)
                 gateway.reactor.advance(RETRY_DELAY_SECONDS)
                 self.assertEqual(len(gateway.upstreams), len(others) + 2)
-                finish(gateway.upstreams[-1])
-                self.assert_whole(caller)
+                finish_stream(gateway.upstreams[-1])
+                self.assert_complete(caller)
 
-    def test_coming_back_has_its_bounds(self) -> None:
-        """All that is left refuses again and again, or the caller leaves meanwhile."""
-        gateway = prepare("u1")
-        caller, first = begin(gateway)
+    def test_retries_of_tried_upstreams_are_bounded(self) -> None:
+        """The only upstream keeps refusing, or the caller disconnects meanwhile."""
+        gateway = make_sole_gateway("u1")
+        caller, first = start_stream(gateway)
         first.reset()
         for _ in range(MAX_ATTEMPTS - 1):
             self.assertFalse(caller.transport.aborted)
@@ -215,49 +218,51 @@
         self.assertEqual(len(gateway.upstreams), MAX_ATTEMPTS)
         self.assertEqual(gateway.context.exchanges, set())
 
-        gateway = prepare("u1")
-        caller, first = begin(gateway)
+        gateway = make_sole_gateway("u1")
+        caller, first = start_stream(gateway)
         first.reset()
         caller.leave()
         gateway.reactor.advance(RETRY_DELAY_SECONDS)
         self.assertEqual(len(gateway.upstreams), 1)
         self.assertEqual(gateway.context.exchanges, set())
 
-    def test_what_has_not_begun_is_refused_at_once(self) -> None:
-        gateway = prepare("u1")
+    def test_a_request_without_a_response_is_refused_at_once(self) -> None:
+        gateway = make_sole_gateway("u1")
         caller = gateway.ask()
         upstream = gateway.upstreams[0]
         upstream.accept()
-        upstream.answer(NOT_RUN)
+        upstream.respond(NOT_RUN)
         self.assertEqual(caller.status, 503)
 
-    def test_a_dropped_answer_is_made_up_for(self) -> None:
-        """An unsure answer is dropped for a larger model's, which then isn't reached.
+    def test_a_dropped_response_is_requested_again(self) -> None:
+        """A low-confidence response is dropped, and the larger model is unreachable.
 
-        The drop was our own choice, and the upstream that had answered still serves. It
-        is asked again, where the caller got a failure.
+        The gateway chose to drop the response, and the first upstream still serves. It
+        is asked again; otherwise the caller would get an error.
         """
-        gateway = prepare("u1", "u2", models=("small", "large"))
+        gateway = make_sole_gateway("u1", "u2", models=("small", "large"))
         caller = gateway.ask(X_Model="*")
         first = gateway.upstreams[0]
         first.accept()
-        first.answer(make_stream_head("X-Confidence: 0.1"))
+        first.respond(make_stream_head("X-Confidence: 0.1"))
         gateway.upstreams[1].refuse()
         gateway.reactor.advance(RETRY_DELAY_SECONDS)
         self.assertEqual(len(gateway.upstreams), 3)
         third = gateway.upstreams[2]
         third.accept()
-        third.answer(make_stream_head() + FIRST_EVENT + SECOND_EVENT + LAST_CHUNK)
-        self.assert_whole(caller)
+        third.respond(make_stream_head() + FIRST_EVENT + SECOND_EVENT + LAST_CHUNK)
+        self.assert_complete(caller)
 
-    def test_a_silent_upstream_is_kept_if_another_would_be_too_late(self) -> None:
-        """A stream pauses shortly before its caller's time is up.
+    def test_an_unresponsive_upstream_is_kept_if_others_would_be_late(
+        self,
+    ) -> None:
+        """A stream pauses shortly before its caller's deadline.
 
-        Another upstream is there, but can't have an event in the time that is left. The
-        silent one still can; given up, the stream is cut with nobody asked.
+        Another upstream can't send an event in the time left, but the unresponsive one
+        still can. If it was abandoned, the stream would be cut without another attempt.
         """
-        gateway = prepare("u1", "u2")
-        caller, first = begin(gateway, X_Budget="1.7")
+        gateway = make_sole_gateway("u1", "u2")
+        caller, first = start_stream(gateway, X_Budget="1.7")
         for _ in range(2000):
             begin_use(gateway.context.load, "u2", 0.0)
 
@@ -265,12 +270,12 @@
         [running] = gateway.context.exchanges
         running.check_responsiveness(gateway.reactor.seconds())
         self.assertFalse(first.transport.aborted)
-        first.answer(SECOND_EVENT + LAST_CHUNK)
-        self.assert_whole(caller)
+        first.respond(SECOND_EVENT + LAST_CHUNK)
+        self.assert_complete(caller)
         self.assertEqual(len(gateway.upstreams), 1)
 
-    def test_what_ends_no_answer_that_is_under_way(self) -> None:
-        """Changes around a stream: its upstream goes on with it to the end."""
+    def test_changes_that_do_not_end_a_running_stream(self) -> None:
+        """The stream's upstream continues it to the end despite the change."""
         leaves = make_news("u1", sequence=2, state=UpstreamState.LEAVING)
         gone = make_news("u1", sequence=2, state=UpstreamState.GONE)
         port = make_news("u1").port
@@ -283,8 +288,8 @@
             ("a roll-out is reverted", None, {"state": "reverted"}),
         ):
             with self.subTest(name):
-                gateway = prepare("u1")
-                caller, upstream = begin(gateway)
+                gateway = make_sole_gateway("u1")
+                caller, upstream = start_stream(gateway)
                 if news is not None:
                     take_news(gateway.context.fleet, news, 0.0)
 
@@ -295,20 +300,20 @@
                 gateway.reactor.advance(1.0)
                 [running] = gateway.context.exchanges
                 running.check_responsiveness(gateway.reactor.seconds())
-                upstream.answer(SECOND_EVENT + LAST_CHUNK)
-                self.assert_whole(caller)
+                upstream.respond(SECOND_EVENT + LAST_CHUNK)
+                self.assert_complete(caller)
                 self.assertEqual(len(gateway.upstreams), 1)
 
-    def test_a_gateway_that_takes_nothing_new_still_resumes(self) -> None:
-        """The gateway is stopping, or cut off from the controls.
+    def test_a_gateway_that_refuses_requests_still_resumes_streams(self) -> None:
+        """The gateway is stopping, or isolated from the controls.
 
-        It refuses new callers. Those whose answer is under way get it whole, also where
-        their upstream breaks meanwhile.
+        It refuses new requests, but running streams are completed, even if their
+        upstream fails meanwhile.
         """
         for name in ("stopping", "cut off"):
             with self.subTest(name):
-                gateway = prepare()
-                caller, first = begin(gateway)
+                gateway = make_sole_gateway()
+                caller, first = start_stream(gateway)
                 if name == "stopping":
                     gateway.context.stopping = True
                     gateway.service.stopping = True
@@ -319,28 +324,28 @@
 
                 self.assertEqual(gateway.ask().status, 503)
                 first.reset()
-                finish(gateway.upstreams[1])
-                self.assert_whole(caller)
+                finish_stream(gateway.upstreams[1])
+                self.assert_complete(caller)
 
-    def test_a_fault_of_ours_at_the_end_is_told_at_once(self) -> None:
-        """Counting an answer fails, by a fault in our own code.
+    def test_an_internal_error_at_the_end_is_reported_at_once(self) -> None:
+        """An internal error occurs while the outcome of an attempt is recorded.
 
-        The upstream's call is over by then. Unless the caller is told, it waits for the
-        rest until its time is up, and a stop of the gateway waits with it.
+        The call to the upstream is over by then. Unless the caller is notified, it
+        waits until its deadline, and so does a stop of the gateway.
         """
         for started in (True, False):
             with (
                 self.subTest(started=started),
                 mock.patch.object(exchange, "record_outcome", side_effect=RuntimeError),
             ):
-                gateway = prepare()
+                gateway = make_sole_gateway()
                 caller = gateway.ask()
                 upstream = gateway.upstreams[0]
                 upstream.accept()
                 if started:
-                    upstream.answer(make_stream_head() + FIRST_EVENT + LAST_CHUNK)
+                    upstream.respond(make_stream_head() + FIRST_EVENT + LAST_CHUNK)
                 else:
-                    upstream.answer(make_answer(b"no", 404))
+                    upstream.respond(make_response(b"no", 404))
 
                 self.assertEqual(gateway.context.exchanges, set())
                 self.assertEqual(gateway.context.load.own, {})
--- a/tests/adapters/gateway/test_steering.py
+++ b/tests/adapters/gateway/test_steering.py
@@ -1,4 +1,4 @@
-"""What a gateway takes from controls that may lag behind each other."""
+"""Tests of messages from controls, which may lag behind each other, and of reports."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
 from .support import make_gateway
 
 
-def share(index: int, version: int) -> ShareRouting:
-    """Return the state at a place of the log."""
+def share_document(index: int, version: int) -> ShareRouting:
+    """Return the routing state at an index of the controls' log."""
     encoded = msgspec.msgpack.encode(make_document(version=version))
     return ShareRouting(
         index=index, version=version, document=zlib.compress(encoded), rollouts=()
@@ -40,18 +40,17 @@
 
 
 class RoutingTest(unittest.TestCase):
-    """The document in force never steps back."""
+    """The document in force is never replaced by an older one."""
 
-    def test_documents(self) -> None:
-        """One control is cut off and has an old state.
+    def test_an_older_document_is_not_applied(self) -> None:
+        """An isolated control shares an old state after another one shared a newer one.
 
-        It tells a gateway of it after another control has told of a newer one. Keys
-        and routes that were removed must not work again.
+        Applying it would make keys and routes valid again that have been removed.
         """
         for name, shares, expected in (
-            ("newer", [share(5, 2), share(6, 3)], 3),
-            ("older", [share(6, 3), share(5, 2)], 3),
-            ("the same place", [share(6, 3), share(6, 4)], 3),
+            ("newer", [share_document(5, 2), share_document(6, 3)], 3),
+            ("older", [share_document(6, 3), share_document(5, 2)], 3),
+            ("the same place", [share_document(6, 3), share_document(6, 4)], 3),
         ):
             with self.subTest(name):
                 gateway = make_gateway()
@@ -62,56 +61,55 @@
 
 
 class FleetTest(unittest.TestCase):
-    """Which upstreams are taken to be alive."""
+    """Selection of the upstreams that count as alive."""
 
-    def tell(self, gateway: Any, at: float, *heard: str) -> None:
-        """Let a control tell of heartbeats."""
+    def send_heartbeats(self, gateway: Any, at: float, *heard: str) -> None:
+        """Share heartbeats from a control."""
         gateway.reactor.advance(at - gateway.reactor.seconds())
         counts = tuple((name, 1, int(at) + 1) for name in heard)
         take_cast(gateway.context, "control", ShareHeartbeats(heard=counts))
 
-    def names(self, gateway: Any) -> set[str]:
-        """Return the upstreams that requests may use."""
+    def list_names(self, gateway: Any) -> set[str]:
+        """Return the names of the upstreams that requests may use."""
         now = gateway.reactor.seconds()
         found = list_candidates(gateway.context, "chat", "s", now)
         return {one.upstream for one in found}
 
-    def test_silent_upstreams_are_left(self) -> None:
+    def test_unresponsive_upstreams_are_dropped(self) -> None:
         gateway = make_gateway("u1", "u2")
         for second in range(1, 9):
-            self.tell(gateway, second, "u1")
+            self.send_heartbeats(gateway, second, "u1")
 
-        self.assertEqual(self.names(gateway), {"u1"})
+        self.assertEqual(self.list_names(gateway), {"u1"})
 
-    def test_silence_means_nothing_while_no_control_is_heard(self) -> None:
+    def test_missing_heartbeats_do_not_count_without_a_control(self) -> None:
         gateway = make_gateway("u1", "u2")
-        self.tell(gateway, 1.0, "u1", "u2")
+        self.send_heartbeats(gateway, 1.0, "u1", "u2")
         gateway.reactor.advance(60.0)
-        self.assertEqual(self.names(gateway), {"u1", "u2"})
+        self.assertEqual(self.list_names(gateway), {"u1", "u2"})
 
-    def test_upstreams_are_used_if_a_control_tells_of_none(self) -> None:
-        """A control lost its memory.
+    def test_all_upstreams_are_used_if_a_control_reports_none(self) -> None:
+        """A control that lost its state shares heartbeats without any upstream.
 
-        It sends rounds of heartbeats without a single upstream in them. Refusing every
-        request for that would be worse than a connection that fails.
+        Refusing every request for that would be worse than a failed connection.
         """
         gateway = make_gateway("u1", "u2")
         for second in range(1, 12):
-            self.tell(gateway, second)
+            self.send_heartbeats(gateway, second)
 
-        self.assertEqual(self.names(gateway), {"u1", "u2"})
+        self.assertEqual(self.list_names(gateway), {"u1", "u2"})
 
-    def test_news_of_a_leave_counts_at_once(self) -> None:
+    def test_an_announced_departure_applies_at_once(self) -> None:
         gateway = make_gateway("u1", "u2")
         leaving = make_news("u1", state="leaving", sequence=9)
         take_cast(gateway.context, "control", ShareNews(news=(leaving,)))
-        self.assertEqual(self.names(gateway), {"u2"})
+        self.assertEqual(self.list_names(gateway), {"u2"})
 
 
 class LoadTest(unittest.TestCase):
-    """What others have running."""
+    """Load of the other gateways."""
 
-    def test_our_own_share_is_not_counted_twice(self) -> None:
+    def test_own_load_is_not_counted_twice(self) -> None:
         gateway = make_gateway()
         context = gateway.context
         context.reported_use = (UpstreamUse(upstream="u1", running=2, backlog=30),)
@@ -128,22 +126,27 @@
         self.assertEqual(context.load.gateways, 4)
 
 
-class HomeTest(unittest.TestCase):
-    """Which control a gateway reports to."""
+class AttachmentTest(unittest.TestCase):
+    """Selection of the control that a gateway is attached to."""
 
-    def test_it_reports_to_a_control_in_its_own_data_centre(self) -> None:
-        """Guards against reports and sums that cross data centres without need."""
+    def test_a_gateway_attaches_to_a_control_in_its_data_centre(self) -> None:
+        """Guards against reports and totals that cross data centres needlessly."""
         for name, places, down, expected in (
-            ("one is near", {"a": "south", "b": "north", "c": "south"}, "", {"b"}),
-            ("two are near", {"a": "north", "b": "north", "c": "west"}, "", {"a", "b"}),
-            ("none is near", {"a": "south", "b": "west"}, "", {"a", "b"}),
-            ("the near one is down", {"a": "south", "b": "north"}, "b", {"a"}),
+            ("one is local", {"a": "south", "b": "north", "c": "south"}, "", {"b"}),
+            (
+                "two are local",
+                {"a": "north", "b": "north", "c": "west"},
+                "",
+                {"a", "b"},
+            ),
+            ("none is local", {"a": "south", "b": "west"}, "", {"a", "b"}),
+            ("the local one is down", {"a": "south", "b": "north"}, "b", {"a"}),
         ):
             with self.subTest(name):
-                self.assertIn(find_home(places, down), expected)
+                self.assertIn(find_attached_control(places, down), expected)
 
-    def test_it_returns_to_a_near_control(self) -> None:
-        """Guards against gateways that stay far after a near control has restarted."""
+    def test_a_gateway_reattaches_to_a_local_control(self) -> None:
+        """Guards against staying with a remote control once a local one is back."""
         gateway = make_gateway()
         context = gateway.context
         context.controls = {"a": make_link(), "b": make_link()}
@@ -152,21 +155,21 @@
         take_cast(context, "b", body)
         self.assertEqual(context.attached_control, "b")
 
-    def test_its_former_home_counts_it_no_more(self) -> None:
-        """Guards against repeats that two controls sum, so that callers are refused."""
+    def test_the_former_control_stops_counting_the_gateway(self) -> None:
+        """Guards against retries that two controls count, which refuses callers."""
         gateway = make_gateway()
         context = gateway.context
         gateway.ask()
-        told: list[Any] = []
+        reports: list[Any] = []
         former = SimpleNamespace(
-            stopped=False, protocol=SimpleNamespace(cast=told.append)
+            stopped=False, protocol=SimpleNamespace(cast=reports.append)
         )
         context.controls = {"a": former, "b": make_link()}
         context.attached_control = "a"
         send_report(context)
         body = ShareMembers(controls=("a", "b"), data_centre="north")
         take_cast(context, "b", body)
-        first, last = told
+        first, last = reports
         self.assertEqual([one.requests for one in first.repeats], [1])
         self.assertEqual(last.repeats, ())
         self.assertEqual(last.use, ())
@@ -175,14 +178,18 @@
 
 
 def make_link() -> Any:
-    """Return a link that is up and keeps nothing."""
+    """Return a link that is up and discards all messages."""
     return SimpleNamespace(
         stopped=False, protocol=SimpleNamespace(cast=lambda body: True)
     )
 
 
-def find_home(places: dict[str, str], down: str) -> str:
-    """Return where a gateway in the north reports, knowing where controls are."""
+def find_attached_control(places: dict[str, str], down: str) -> str:
+    """Return the control that a gateway in the north attaches to.
+
+    ``places`` holds the data centre of each control; ``down`` is a control without a
+    link.
+    """
     gateway = make_gateway()
     context = gateway.context
     context.controls = {name: make_link() for name in places}
@@ -198,11 +205,11 @@
     return str(context.attached_control)
 
 
-class MoveTest(unittest.TestCase):
-    """What gateways tell each other of the sessions in a move."""
+class RolloutSessionTest(unittest.TestCase):
+    """Exchange between gateways of the sessions affected by a roll-out."""
 
-    def test_a_session_under_way_is_told_of_and_kept(self) -> None:
-        """Its next request reaches a gateway that has never served it."""
+    def test_an_active_session_is_reported_and_kept(self) -> None:
+        """Its next request reaches a gateway that has never served the session."""
         rollout = make_rollout(share=0.19)
         first, other = make_gateway(), make_gateway("u1", "u2")
         first.ask(X_Id=find_session(rollout))
@@ -213,7 +220,7 @@
         )
         first.context.controls = {"c": link}
         for gateway in (first, other):
-            apply_routing(gateway.context, move(rollout))
+            apply_routing(gateway.context, share_rollout(rollout))
 
         send_report(first.context)
         [report] = sent
@@ -229,13 +236,13 @@
         self.assertEqual(set(found.values()), {"v2"})
 
 
-def move(rollout: RolloutState) -> ShareRouting:
-    """Return a state of the controls with a move."""
+def share_rollout(rollout: RolloutState) -> ShareRouting:
+    """Return a routing state with a roll-out."""
     return ShareRouting(index=1, version=-1, document=b"", rollouts=(rollout,))
 
 
 def list_sessions(rollout: RolloutState) -> list[str]:
-    """Return sessions of a move's first share."""
+    """Return sessions in the first share of a roll-out."""
     return [
         name
         for name in map(str, range(400))
@@ -244,5 +251,5 @@
 
 
 def find_session(rollout: RolloutState) -> str:
-    """Return a session of a move's first share."""
+    """Return one session in the first share of a roll-out."""
     return list_sessions(rollout)[0]
--- a/tests/adapters/gateway/test_stopping.py
+++ b/tests/adapters/gateway/test_stopping.py
@@ -1,4 +1,4 @@
-"""What becomes of answers under way when a gateway stops as planned."""
+"""Tests of responses that are open when a gateway shuts down gracefully."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 from .support import LAST_CHUNK
 from .support import Caller
 from .support import Gateway
-from .support import make_answer
 from .support import make_chunk
 from .support import make_gateway
+from .support import make_response
 from .support import make_settings
 from .support import make_stream_head
 from .support import note_lines
@@ -31,11 +31,11 @@
 
 REQUEST_ENDED = "gateway: Request ended"
 STREAM = make_stream_head() + make_chunk(b"id: 1\ndata: a\n\n") + LAST_CHUNK
-WHOLE = make_answer(b"all of it")
+COMPLETE = make_response(b"all of it")
 
 
-class Stop:
-    """A gateway that is told to stop, and whether it has ended."""
+class Shutdown:
+    """The shutdown of a gateway, and whether it has ended."""
 
     def __init__(self, gateway: Gateway) -> None:
         self.gateway = gateway
@@ -51,34 +51,34 @@
             loop=loop,
         )
 
-    def begin(self, told_at: float | None = None) -> None:
-        """Tell the gateway to stop."""
-        stop_gateway(self.daemon, self._note_end, told_at)
+    def signal(self, signalled_at: float | None = None) -> None:
+        """Start the shutdown, as after a signal to stop."""
+        stop_gateway(self.daemon, self._record_end, signalled_at)
 
-    def _note_end(self) -> None:
+    def _record_end(self) -> None:
         self.ended = True
 
     def wait(self, seconds: float) -> None:
-        """Let the time pass in which the gateway looks a few times."""
+        """Advance the clock in the steps in which the gateway polls."""
         for _ in range(round(seconds / LOOK_SECONDS)):
             self.gateway.reactor.advance(LOOK_SECONDS)
 
 
 class Port:
-    """A listening port, which closes when the test says so."""
+    """A listening port that is closed when the test says so."""
 
     def __init__(self) -> None:
         self.closing: Deferred[None] = Deferred()
-        self.told = False
+        self.asked_to_close = False
 
     def stopListening(self) -> Deferred[None]:  # noqa: N802
-        """Begin to close."""
-        self.told = True
+        """Start to close the port."""
+        self.asked_to_close = True
         return self.closing
 
 
-def ask_and_hold(gateway: Gateway) -> tuple[Caller, Any]:
-    """Send a request of a caller that reads nothing for now."""
+def send_without_reading(gateway: Gateway) -> tuple[Caller, Any]:
+    """Send a request from a caller that does not read for now."""
     caller = gateway.ask()
     upstream = gateway.upstreams[-1]
     upstream.accept()
@@ -86,29 +86,28 @@
     return caller, upstream
 
 
-class LastBytesTest(unittest.TestCase):
-    """Answers that the upstream has ended and the caller has not got whole.
+class FlushTest(unittest.TestCase):
+    """Responses that the upstream has finished but the caller has not received.
 
-    A stream ended in the middle as its gateway stopped. That waited for requests, which
-    end when their last bytes are handed to the transport: they leave in the reactor's
-    next turn or later, and are dropped when it stops. Evidence: for 8 of 8 such streams
-    the log said "answered" and, 0.2 to 0.4 ms later, that the gateway had stopped.
+    A request counts as ended when its last bytes are handed to the transport. They are
+    sent in a later turn of the reactor, and lost if it stops before: the log of 8 such
+    streams out of 8 has "answered" 0.2 to 0.4 ms before the gateway's stop.
     """
 
-    def test_the_gateway_ends_after_the_last_byte_has_left(self) -> None:
-        for kind, answer in ((RouteKind.STREAM, STREAM), (RouteKind.ONCE, WHOLE)):
-            for signalled in ("before the answer", "after the answer"):
+    def test_the_gateway_stops_after_the_last_byte_is_flushed(self) -> None:
+        for kind, response in ((RouteKind.STREAM, STREAM), (RouteKind.ONCE, COMPLETE)):
+            for signalled in ("before the response", "after the response"):
                 with self.subTest(kind=kind, signalled=signalled):
                     gateway = make_gateway(kind=kind)
-                    stop = Stop(gateway)
-                    caller, upstream = ask_and_hold(gateway)
-                    if signalled == "before the answer":
-                        stop.begin()
+                    stop = Shutdown(gateway)
+                    caller, upstream = send_without_reading(gateway)
+                    if signalled == "before the response":
+                        stop.signal()
                         stop.wait(BALANCER_SECONDS)
-                        upstream.answer(answer)
+                        upstream.respond(response)
                     else:
-                        upstream.answer(answer)
-                        stop.begin()
+                        upstream.respond(response)
+                        stop.signal()
                         stop.wait(BALANCER_SECONDS)
 
                     self.assertEqual(gateway.context.exchanges, set())
@@ -117,25 +116,25 @@
                     caller.transport.release()
                     stop.wait(0.2)
                     self.assertTrue(stop.ended)
-                    self.assertTrue(caller.received.endswith(answer[-5:]))
+                    self.assertTrue(caller.received.endswith(response[-5:]))
 
-    def test_the_gateway_waits_for_callers_to_close(self) -> None:
-        """A caller that sent its next request ahead of a long answer's end.
+    def test_the_gateway_waits_for_callers_to_close_connections(self) -> None:
+        """A caller pipelines its next request before a long response has ended.
 
-        The kernel held that end, and the process ended: the kernel found bytes that
-        nobody would read, reset the connection and dropped what it held.
+        If the process exits while the kernel holds the end of the response, the kernel
+        finds unread bytes, resets the connection and drops what it holds.
         """
         for closes in (True, False):
             with self.subTest(closes=closes):
                 gateway = make_gateway()
-                stop = Stop(gateway)
+                stop = Shutdown(gateway)
                 caller = gateway.ask()
                 caller.transport.stays = True
                 upstream = gateway.upstreams[-1]
                 upstream.accept()
-                stop.begin()
+                stop.signal()
                 stop.wait(BALANCER_SECONDS)
-                upstream.answer(STREAM)
+                upstream.respond(STREAM)
                 stop.wait(CLOSE_SECONDS / 2)
                 self.assertFalse(stop.ended)
                 if closes:
@@ -146,12 +145,12 @@
 
                 self.assertTrue(stop.ended)
 
-    def test_a_caller_that_never_reads_holds_the_stop_up_to_its_limit(self) -> None:
+    def test_a_caller_that_never_reads_delays_the_stop_to_its_limit(self) -> None:
         gateway = make_gateway()
-        stop = Stop(gateway)
-        _, upstream = ask_and_hold(gateway)
-        upstream.answer(WHOLE)
-        stop.begin()
+        stop = Shutdown(gateway)
+        _, upstream = send_without_reading(gateway)
+        upstream.respond(COMPLETE)
+        stop.signal()
         limit = gateway.context.settings.grace - STOP_MARGIN
         stop.wait(limit - 0.2)
         self.assertFalse(stop.ended)
@@ -159,50 +158,50 @@
         self.assertTrue(stop.ended)
 
 
-class StrayBytesTest(unittest.TestCase):
-    """Bytes on a kept connection that are no whole request.
+class PartialRequestTest(unittest.TestCase):
+    """Incomplete requests on persistent connections.
 
-    Nothing was asked by them, yet a stop waited for the rest up to its limit.
+    They ask for nothing, so a stop must not wait for the rest up to its limit.
     """
 
-    def test_they_hold_no_stop_up(self) -> None:
+    def test_a_partial_request_does_not_delay_the_stop(self) -> None:
         for data in (b"", b"\r", b"G", b"GET /x HTTP/1.1\r\nHo"):
             with self.subTest(data=data):
                 gateway = make_gateway("u1", kind=RouteKind.ONCE)
-                stop = Stop(gateway)
+                stop = Shutdown(gateway)
                 caller = gateway.ask()
                 upstream = gateway.upstreams[-1]
                 upstream.accept()
-                upstream.answer(WHOLE)
+                upstream.respond(COMPLETE)
                 if data:
                     caller.send(data)
 
-                stop.begin()
+                stop.signal()
                 stop.wait(BALANCER_SECONDS + 2 * LOOK_SECONDS)
                 self.assertTrue(stop.ended)
 
 
-class LimitTest(unittest.TestCase):
-    """Requests that are still under way when a stopping process has to end.
+class StopDeadlineTest(unittest.TestCase):
+    """Requests that are still open when a stopping process has to exit.
 
-    Their callers saw the connection close without a word, and the log said that they
-    had left: the reactor's stop looks like a caller's leave. They can be told what is
-    known, as at a deadline: whether the request may have run.
+    Without a final response their connections close, and the log records that the
+    callers disconnected, as the reactor's stop looks the same. They get a response as
+    at a deadline, which says whether the request may have run.
     """
 
-    def test_callers_hear_what_is_known(self) -> None:
+    def test_open_requests_get_a_final_response(self) -> None:
         for sent, status, outcome in (
             (False, 503, "refused"),
             (True, 504, "may_have_run"),
         ):
             with self.subTest(sent=sent):
                 gateway = make_gateway("u1", kind=RouteKind.ONCE)
-                stop = Stop(gateway)
+                stop = Shutdown(gateway)
                 caller = gateway.ask()
                 if sent:
                     gateway.upstreams[-1].accept()
 
-                stop.begin()
+                stop.signal()
                 found = note_lines(partial(stop.wait, gateway.context.settings.grace))
                 self.assertTrue(stop.ended)
                 self.assertEqual(caller.status, status)
@@ -213,66 +212,66 @@
                 )
 
     def test_requests_without_a_configuration_are_refused(self) -> None:
-        """Guards against a process that ends with requests in its waiting room."""
+        """Guards against a process that exits with requests in its startup queue."""
         gateway = make_gateway("u1")
         gateway.context.settings = make_settings(grace=STOP_MARGIN + 1.0)
         gateway.context.index = None
-        stop = Stop(gateway)
+        stop = Shutdown(gateway)
         caller = gateway.ask()
         self.assertEqual(caller.status, 0)
-        stop.begin()
+        stop.signal()
         stop.wait(1.0 + STOP_MARGIN)
         self.assertTrue(stop.ended)
         self.assertEqual(caller.status, 503)
         self.assertIn(b"Retry-After", caller.received)
 
-    def test_the_time_counts_from_the_signal(self) -> None:
-        """Guards against a stop, asked for during a slow start, that is cut by a kill.
+    def test_the_grace_counts_from_the_signal(self) -> None:
+        """Guards against a kill that cuts a stop requested during a slow start.
 
-        The process took its whole time from the end of its start on.
+        The process would count its whole grace from the end of its start.
         """
         gateway = make_gateway("u1", kind=RouteKind.ONCE)
-        stop = Stop(gateway)
+        stop = Shutdown(gateway)
         caller = gateway.ask()
         late = 5.0
         gateway.reactor.advance(late)
-        stop.begin(told_at=0.0)
+        stop.signal(signalled_at=0.0)
         stop.wait(gateway.context.settings.grace - STOP_MARGIN - late + LOOK_SECONDS)
         self.assertTrue(stop.ended)
         self.assertEqual(caller.status, 503)
 
-    def test_a_fault_with_one_caller_is_none_of_the_others(self) -> None:
-        """An error of ours in the end of one request.
+    def test_an_error_in_one_request_does_not_affect_the_others(self) -> None:
+        """An internal error occurs while one request is ended.
 
-        The others were told nothing, and the process was never done with stopping: it
-        stood until it was killed.
+        If it ended the loop, the others would get no response and the shutdown would
+        not finish until the process is killed.
         """
         gateway = make_gateway("u1", kind=RouteKind.ONCE)
-        stop = Stop(gateway)
+        stop = Shutdown(gateway)
         callers = [gateway.ask(), gateway.ask(X_Id="q2")]
         for exchange in list(gateway.context.exchanges):
             if exchange.facts.request_id == "q1":
                 exchange.stop_attempt = None
 
-        stop.begin()
+        stop.signal()
         stop.wait(gateway.context.settings.grace)
         self.assertTrue(stop.ended)
         self.assertEqual([caller.status for caller in callers], [0, 503])
 
-    def test_nothing_is_begun_at_the_limit(self) -> None:
-        """Requests that came in the last look of a stop.
+    def test_no_request_is_accepted_at_the_limit(self) -> None:
+        """A request arrives at the last poll of a stop.
 
-        They were refused, and the process ended before the refusals had left. A caller
-        that has connected hears that it may go elsewhere.
+        The process must not exit before its refusal is flushed, which tells a connected
+        caller to retry elsewhere.
         """
         gateway = make_gateway("u1", kind=RouteKind.ONCE)
-        stop = Stop(gateway)
+        stop = Shutdown(gateway)
         port = Port()
         stop.daemon.ports.append(port)
         gateway.ask().transport.stays = True
-        stop.begin()
+        stop.signal()
         stop.wait(gateway.context.settings.grace - STOP_MARGIN - LOOK_SECONDS)
-        self.assertFalse(port.told)
+        self.assertFalse(port.asked_to_close)
         late = gateway.open_caller()
         stop.wait(2 * LOOK_SECONDS)
         self.assertFalse(stop.ended)
@@ -284,29 +283,29 @@
         self.assertFalse(stop.ended)
 
     def test_the_ports_are_closed_first(self) -> None:
-        """A caller that connects as the process ends.
+        """A caller connects as the process exits.
 
-        The kernel took its connection for a port that was still to be closed, and reset
-        it. Refused by a closed port, it would know that its order was not read.
+        On a port not yet closed, the kernel accepts the connection and resets it. When
+        a closed port refuses it, the caller knows that its request was not read.
         """
         gateway = make_gateway()
-        stop = Stop(gateway)
+        stop = Shutdown(gateway)
         port = Port()
         stop.daemon.ports.append(port)
-        stop.begin()
+        stop.signal()
         stop.wait(BALANCER_SECONDS + 2 * LOOK_SECONDS)
         self.assertFalse(stop.ended)
         port.closing.callback(None)
         self.assertTrue(stop.ended)
 
-    def test_a_stream_looks_broken(self) -> None:
+    def test_an_open_stream_is_aborted(self) -> None:
         gateway = make_gateway("u1")
-        stop = Stop(gateway)
+        stop = Shutdown(gateway)
         caller = gateway.ask()
         upstream = gateway.upstreams[-1]
         upstream.accept()
-        upstream.answer(make_stream_head() + make_chunk(b"id: 1\ndata: a\n\n"))
-        stop.begin()
+        upstream.respond(make_stream_head() + make_chunk(b"id: 1\ndata: a\n\n"))
+        stop.signal()
         stop.wait(gateway.context.settings.grace)
         self.assertTrue(stop.ended)
         self.assertTrue(caller.transport.aborted)
--- a/tests/adapters/gateway/test_tick.py
+++ b/tests/adapters/gateway/test_tick.py
@@ -1,4 +1,4 @@
-"""What a gateway does a few times a second."""
+"""Tests of the periodic tasks of a gateway."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 
 def raise_error(now: float) -> None:
-    """Fail."""
+    """Raise an error."""
     raise RuntimeError
 
 
 class TickTest(unittest.TestCase):
-    """Duties that don't depend on each other."""
+    """Periodic tasks that don't depend on each other."""
 
-    def test_a_fault_with_one_request_is_none_of_the_others(self) -> None:
-        """Upstreams went dark, and the look at one of their streams fails.
+    def test_an_error_in_one_request_does_not_affect_the_others(self) -> None:
+        """All upstreams are unresponsive, and the check of one of the streams fails.
 
-        The streams after it were not looked at any more: their callers waited beside
-        upstreams that could have gone on with them.
+        If that ended the loop, the streams after it would not be checked and their
+        callers would wait although other upstreams could resume them.
         """
         names = ("q1", "q2", "q3", "q4")
         for broken in names:
@@ -32,7 +32,7 @@
                     gateway.ask(X_Id=name)
                     upstream = gateway.upstreams[-1]
                     upstream.accept()
-                    upstream.answer(make_stream_head().replace(b"q1", name.encode()))
+                    upstream.respond(make_stream_head().replace(b"q1", name.encode()))
 
                 for exchange in gateway.context.exchanges:
                     if exchange.facts.request_id == broken:
