--- a/src/waxwingwell/adapters/gateway/daemon.py
+++ b/src/waxwingwell/adapters/gateway/daemon.py
@@ -41,7 +41,7 @@
 
 
 REPORT_SECONDS = 0.25
-"""Interval of the periodic tasks, which include the report to a control."""
+"""Interval of the periodic tasks, among them the report to a control."""
 
 
 @dataclass(slots=True)
--- a/src/waxwingwell/adapters/gateway/endings.py
+++ b/src/waxwingwell/adapters/gateway/endings.py
@@ -24,7 +24,7 @@
 
 
 def deliver(exchange: Exchange, attempt: Attempt, now: float) -> None:
-    """Send the end of a complete response to the caller."""
+    """Send a complete response, or the end of a streamed one, to the caller."""
     if attempt.streaming:
         exchange.responder.write(exchange.splitter.partial_event)
         exchange.responder.finish()
--- a/src/waxwingwell/adapters/gateway/steering.py
+++ b/src/waxwingwell/adapters/gateway/steering.py
@@ -144,7 +144,7 @@
 
 
 def record_data_centre(context: GatewayContext, control: str, data_centre: str) -> None:
-    """Record whether a control is in this data centre; attach to a local one."""
+    """Record whether a control is local, and attach to a local one unless attached."""
     if data_centre != context.settings.data_centre:
         context.local_controls.discard(control)
         return
--- a/tests/adapters/gateway/test_steering.py
+++ b/tests/adapters/gateway/test_steering.py
@@ -131,7 +131,7 @@
 
     def test_a_gateway_attaches_to_a_control_in_its_data_centre(self) -> None:
         """Guards against reports and totals that cross data centres needlessly."""
-        for name, places, down, expected in (
+        for name, data_centres, down, expected in (
             ("one is local", {"a": "south", "b": "north", "c": "south"}, "", {"b"}),
             (
                 "two are local",
@@ -143,7 +143,7 @@
             ("the local one is down", {"a": "south", "b": "north"}, "b", {"a"}),
         ):
             with self.subTest(name):
-                self.assertIn(find_attached_control(places, down), expected)
+                self.assertIn(find_attached_control(data_centres, down), expected)
 
     def test_a_gateway_reattaches_to_a_local_control(self) -> None:
         """Guards against staying with a remote control once a local one is back."""
@@ -184,17 +184,17 @@
     )
 
 
-def find_attached_control(places: dict[str, str], down: str) -> str:
+def find_attached_control(data_centres: dict[str, str], down: str) -> str:
     """Return the control that a gateway in the north attaches to.
 
-    ``places`` holds the data centre of each control; ``down`` is a control without a
+    ``data_centres`` holds the data centre of each control; ``down`` is a control without a
     link.
     """
     gateway = make_gateway()
     context = gateway.context
-    context.controls = {name: make_link() for name in places}
-    controls = tuple(places)
-    for name, data_centre in places.items():
+    context.controls = {name: make_link() for name in data_centres}
+    controls = tuple(data_centres)
+    for name, data_centre in data_centres.items():
         body = ShareMembers(controls=controls, data_centre=data_centre)
         take_cast(context, name, body)
 
--- a/tests/adapters/gateway/test_tick.py
+++ b/tests/adapters/gateway/test_tick.py
@@ -40,5 +40,5 @@
 
                 gateway.reactor.advance(3.0)
                 run_tick(gateway.context)
-                moved = len(gateway.upstreams) - len(names)
-                self.assertEqual(moved, len(names) - 1)
+                failed_over = len(gateway.upstreams) - len(names)
+                self.assertEqual(failed_over, len(names) - 1)
