--- a/src/waxwingwell/adapters/gateway/endings.py
+++ b/src/waxwingwell/adapters/gateway/endings.py
@@ -58,8 +58,8 @@
 
     The caller's remaining time is sent in whole milliseconds and takes time to arrive,
     so a stream would be cut a few milliseconds before its caller disconnects by itself.
-    A stream that has started therefore continues for ``LEAVE_SECONDS``, up to the
-    route's timeout.
+    A stream that has started therefore continues for ``LEAVE_SECONDS``, up to
+    the route's timeout.
     """
     now = exchange.context.clock()
     latest = exchange.started_at + exchange.route.timeout
--- a/tests/adapters/gateway/test_steering.py
+++ b/tests/adapters/gateway/test_steering.py
@@ -187,8 +187,8 @@
 def find_attached_control(data_centres: dict[str, str], down: str) -> str:
     """Return the control that a gateway in the north attaches to.
 
-    ``data_centres`` holds the data centre of each control; ``down`` is a control without a
-    link.
+    ``data_centres`` holds the data centre of each control; ``down`` is a control
+    without a link.
     """
     gateway = make_gateway()
     context = gateway.context
