--- a/src/waxwingwell/adapters/gateway/stopping.py
+++ b/src/waxwingwell/adapters/gateway/stopping.py
@@ -47,8 +47,8 @@
 
     New connections are served until the balancer has noticed the stop; persistent
     connections are closed as their responses end. ``done`` is called last.
-    ``told_at`` is the time of the signal to stop if that came earlier: the grace counts
-    from it.
+    ``told_at`` is the time of the signal to stop if that came earlier: the grace
+    counts from it.
     """
     context = daemon.context
     context.stopping = True
