--- a/src/waxwingwell/state/consensus/__init__.py
+++ b/src/waxwingwell/state/consensus/__init__.py
@@ -1,7 +1,7 @@
-"""The replicated log: elections, replication, membership, snapshots, lease.
+"""Raft: leader election, log replication, membership, snapshots, leader lease.
 
-Pure: the present time (monotonic seconds) and the random source are arguments,
-messages and writes are queued for ``state/group.py`` to carry out.
+Does no I/O: the current time (monotonic seconds) and the random source are
+arguments; messages and writes are queued, and ``state/group.py`` performs them.
 """
 
 from __future__ import annotations
--- a/src/waxwingwell/state/consensus/checks.py
+++ b/src/waxwingwell/state/consensus/checks.py
@@ -1,15 +1,15 @@
-"""Invariants of the replicated log, asserted where its state changes."""
+"""Runtime checks of the invariants of the replicated log."""
 
 from __future__ import annotations
 
 
 class InvariantError(Exception):
-    """The replicated log broke one of its own rules; its process must stop."""
+    """An invariant of the replicated log is violated; the process must stop."""
 
 
-def check(holds: bool, rule: str, *, member: str) -> None:
-    """Raise ``InvariantError`` naming ``rule`` and the member unless it holds."""
-    if holds:
+def check(condition: bool, rule: str, *, member: str) -> None:
+    """Raise ``InvariantError`` with ``rule`` and ``member`` unless ``condition``."""
+    if condition:
         return
 
-    raise InvariantError(f"{rule} (member {member})")
+    raise InvariantError(f"invariant violated: {rule} (member {member})")
--- a/src/waxwingwell/state/consensus/dispatch.py
+++ b/src/waxwingwell/state/consensus/dispatch.py
@@ -1,22 +1,22 @@
-"""What a replica does at each tick and with each message."""
+"""Entry points of a replica: timer ticks and received messages."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
-from .elections import ask_pre_votes
 from .elections import receive_timeout_now
-from .elections import receive_vote_answer
 from .elections import receive_vote_request
+from .elections import receive_vote_response
+from .elections import start_pre_vote
 from .following import receive_append
 from .founding import is_empty
 from .founding import receive_probe
-from .founding import receive_probe_answer
+from .founding import receive_probe_response
+from .founding import retry_join
 from .founding import tend_founding
-from .founding import tend_joining
 from .lease import lost_quorum
-from .membership import receive_join
-from .membership import tend_members
+from .membership import receive_join_request
+from .membership import repair_membership
 from .messages import AppendAnswer
 from .messages import AppendEntries
 from .messages import Expelled
@@ -32,8 +32,8 @@
 from .replica import become_follower
 from .replica import is_voter
 from .replication import leave_if_removed
-from .replication import receive_append_answer
-from .replication import receive_snapshot_answer
+from .replication import receive_append_response
+from .replication import receive_snapshot_response
 from .replication import send_heartbeats
 from .snapshots import receive_snapshot
 
@@ -44,7 +44,7 @@
 
 
 def tick(replica: Replica, now: float) -> None:
-    """Do what is due."""
+    """Run the timers that are due."""
     if replica.expelled:
         return
 
@@ -56,15 +56,15 @@
         tend_founding(replica, now)
         return
 
-    tend_joining(replica, now)
+    retry_join(replica, now)
     if is_voter(replica) and now >= replica.election_at:
-        ask_pre_votes(replica, now)
+        start_pre_vote(replica, now)
 
 
 def tick_leader(replica: Replica, now: float) -> None:
-    """Step down if no majority answers; else keep the others following."""
+    """Step down without a responding majority; else send heartbeats and repair."""
     leave_if_removed(replica, now)
-    end_transfer(replica, now)
+    expire_transfer(replica, now)
     if replica.role is not Role.LEADER:
         return
 
@@ -72,16 +72,16 @@
         become_follower(replica, replica.term, "", now)
         return
 
-    tend_members(replica, now)
+    repair_membership(replica, now)
     if now >= replica.heartbeat_at:
         send_heartbeats(replica, now)
 
 
-def end_transfer(replica: Replica, now: float) -> None:
-    """Give a transfer up when its time is over.
+def expire_transfer(replica: Replica, now: float) -> None:
+    """Abort a leadership transfer whose deadline has passed.
 
-    Once the target was told to stand, the lease can't be had back in this term;
-    stepping down lets a new term begin.
+    Once ``TimeoutNow`` is sent, the lease can't be regained in this term, so the
+    leader steps down to let a new term start.
     """
     transfer = replica.transfer
     if transfer is None or now < transfer.deadline:
@@ -93,7 +93,7 @@
 
 
 def receive(replica: Replica, message: ConsensusMessage, now: float) -> None:
-    """Take in a message for this member; drop what is for another or a former one."""
+    """Handle a message; drop it if it is for another member or a former id."""
     if message.group != replica.group or replica.expelled:
         return
 
@@ -107,9 +107,9 @@
     if isinstance(message, RequestVote):
         receive_vote_request(replica, message, now)
     elif isinstance(message, VoteAnswer):
-        receive_vote_answer(replica, message, now)
+        receive_vote_response(replica, message, now)
     elif isinstance(message, ProbeAnswer):
-        receive_probe_answer(replica, message, now)
+        receive_probe_response(replica, message, now)
     elif isinstance(message, Expelled):
         replica.expelled = True
     else:
@@ -117,7 +117,7 @@
 
 
 def receive_by_name(replica: Replica, message: Probe | JoinRequest) -> None:
-    """Take in what a member sends that doesn't know our id."""
+    """Handle a message addressed by name, as its sender doesn't know the id."""
     if message.target != replica.name:
         return
 
@@ -125,21 +125,21 @@
         receive_probe(replica, message)
         return
 
-    receive_join(replica, message)
+    receive_join_request(replica, message)
 
 
 def receive_in_term(replica: Replica, message: ConsensusMessage, now: float) -> None:
-    """Move to a later term first, if the message is of one."""
+    """Handle a message of a term, after adopting that term if it is later."""
     if message.term > replica.term:
         become_follower(replica, message.term, "", now)
 
     if isinstance(message, AppendEntries):
         receive_append(replica, message, now)
     elif isinstance(message, AppendAnswer):
-        receive_append_answer(replica, message, now)
+        receive_append_response(replica, message, now)
     elif isinstance(message, InstallSnapshot):
         receive_snapshot(replica, message, now)
     elif isinstance(message, SnapshotAnswer):
-        receive_snapshot_answer(replica, message, now)
+        receive_snapshot_response(replica, message, now)
     elif isinstance(message, TimeoutNow):
         receive_timeout_now(replica, message, now)
--- a/src/waxwingwell/state/consensus/elections.py
+++ b/src/waxwingwell/state/consensus/elections.py
@@ -1,8 +1,8 @@
-"""Elections: pre-vote, vote, and the hand-over of leadership."""
+"""Leader election: pre-vote, vote, and the target's part of a transfer."""
 
 from __future__ import annotations
 
-from .lease import promises_leader
+from .lease import must_withhold_vote
 from .log import last_index
 from .log import last_term
 from .messages import Expelled
@@ -19,32 +19,33 @@
 from .replication import become_leader
 
 
-def ask_pre_votes(replica: Replica, now: float) -> None:
-    """Ask whether an election could be won, without moving any term.
+def start_pre_vote(replica: Replica, now: float) -> None:
+    """Ask whether an election could be won, without incrementing the term.
 
-    Failure: a member that was cut off returns with a high term and unseats a
-    leader that serves everyone else. Members that hear a leader deny a pre-vote.
+    Otherwise a member that returns from a partition with a high term would depose
+    a leader that all others follow. Members that hear a leader deny the pre-vote.
     """
     replica.role = Role.PRE_CANDIDATE
     replica.leader = ""
     replica.votes = {replica.member}
-    draw_pre_vote_time(replica, now)
+    reset_pre_vote_timer(replica, now)
     request_votes(replica, replica.term + 1, pre=True)
     count_votes(replica, now)
 
 
-def draw_pre_vote_time(replica: Replica, now: float) -> None:
-    """Ask for pre-votes again soon: they move no term, so asking harms nobody.
+def reset_pre_vote_timer(replica: Replica, now: float) -> None:
+    """Schedule the next pre-vote after one to two heartbeat intervals.
 
-    Failure: all members restart, and the first asks before its links are up, or while
-    the others still keep a promise. It would wait a whole election timeout more.
+    When all members restart, the first may ask before its links are up or while the
+    others still withhold their votes. Waiting another full election timeout would
+    delay the election; a pre-vote increments no term, so repeating it is harmless.
     """
     heartbeat = replica.timing.heartbeat
     replica.election_at = now + replica.random.uniform(heartbeat, 2 * heartbeat)
 
 
 def stand_for_election(replica: Replica, now: float, *, transfer: bool = False) -> None:
-    """Vote for oneself in the next term and ask the others."""
+    """Become a candidate in the next term and request the other voters' votes."""
     set_term(replica, replica.term + 1, replica.member)
     replica.role = Role.CANDIDATE
     replica.leader = ""
@@ -57,7 +58,7 @@
 def request_votes(
     replica: Replica, term: int, *, pre: bool = False, transfer: bool = False
 ) -> None:
-    """Queue a request to every other voter."""
+    """Queue a vote or pre-vote request to every other voter."""
     for voter in replica.membership.voters:
         if voter == replica.member:
             continue
@@ -76,7 +77,7 @@
 
 
 def count_votes(replica: Replica, now: float) -> None:
-    """Go on to the next step once a majority of the voters agrees."""
+    """Proceed from pre-vote to election, or to leader, once a majority agrees."""
     voters = replica.membership.voters
     if len(replica.votes.intersection(voters)) < quorum(voters):
         return
@@ -90,27 +91,27 @@
 
 
 def receive_vote_request(replica: Replica, request: RequestVote, now: float) -> None:
-    """Give a vote, or deny it."""
-    if tell_if_expelled(replica, request.sender):
+    """Grant or deny a vote or pre-vote."""
+    if notify_if_expelled(replica, request.sender):
         return
 
-    if promises_leader(replica, now) and not request.transfer:
-        answer_vote(replica, request, granted=False)
+    if must_withhold_vote(replica, now) and not request.transfer:
+        send_vote_response(replica, request, granted=False)
         return
 
     if request.term > replica.term and not request.pre:
         become_follower(replica, request.term, "", now)
 
-    granted = may_vote(replica, request)
+    granted = can_grant_vote(replica, request)
     if granted and not request.pre:
         set_term(replica, request.term, request.sender)
         draw_election_time(replica, now)
 
-    answer_vote(replica, request, granted=granted)
+    send_vote_response(replica, request, granted=granted)
 
 
-def may_vote(replica: Replica, request: RequestVote) -> bool:
-    """Return whether the asker's term and log allow a vote for it."""
+def can_grant_vote(replica: Replica, request: RequestVote) -> bool:
+    """Return whether the candidate's term and log are recent enough for a vote."""
     if request.term < replica.term:
         return False
 
@@ -120,13 +121,15 @@
     if request.pre and request.term == replica.term:
         return False
 
-    theirs = (request.last_term, request.last_index)
-    return theirs >= (last_term(replica.log), last_index(replica.log))
+    candidate_log = (request.last_term, request.last_index)
+    return candidate_log >= (last_term(replica.log), last_index(replica.log))
 
 
-def answer_vote(replica: Replica, request: RequestVote, *, granted: bool) -> None:
-    """Queue the answer; it leaves after the vote is synced."""
-    answer = VoteAnswer(
+def send_vote_response(
+    replica: Replica, request: RequestVote, *, granted: bool
+) -> None:
+    """Queue the response; it is sent after the vote is synced."""
+    response = VoteAnswer(
         group=replica.group,
         sender=replica.member,
         target=request.sender,
@@ -134,11 +137,11 @@
         granted=granted,
         pre=request.pre,
     )
-    replica.outbox.append(answer)
+    replica.outbox.append(response)
 
 
-def tell_if_expelled(replica: Replica, sender: str) -> bool:
-    """Tell a removed member that it is out, so that it stops and says so."""
+def notify_if_expelled(replica: Replica, sender: str) -> bool:
+    """Notify a removed member, so that it stops and logs why; return if removed."""
     if sender not in replica.membership.removed:
         return False
 
@@ -152,24 +155,24 @@
     return True
 
 
-def receive_vote_answer(replica: Replica, answer: VoteAnswer, now: float) -> None:
-    """Count a vote of the election that is going on."""
-    if not answer.granted:
-        if answer.term > replica.term:
-            become_follower(replica, answer.term, "", now)
+def receive_vote_response(replica: Replica, response: VoteAnswer, now: float) -> None:
+    """Count a vote granted in the current election or pre-vote."""
+    if not response.granted:
+        if response.term > replica.term:
+            become_follower(replica, response.term, "", now)
         return
 
-    wanted = Role.PRE_CANDIDATE if answer.pre else Role.CANDIDATE
-    asked = replica.term + 1 if answer.pre else replica.term
-    if replica.role is not wanted or answer.term != asked:
+    expected_role = Role.PRE_CANDIDATE if response.pre else Role.CANDIDATE
+    expected_term = replica.term + 1 if response.pre else replica.term
+    if replica.role is not expected_role or response.term != expected_term:
         return
 
-    replica.votes.add(answer.sender)
+    replica.votes.add(response.sender)
     count_votes(replica, now)
 
 
 def receive_timeout_now(replica: Replica, message: TimeoutNow, now: float) -> None:
-    """Stand at once, if the sender still leads this term and we may lead."""
+    """Start an election at once if the sender leads this term and we are a voter."""
     if message.term != replica.term or replica.leader != message.sender:
         return
 
--- a/src/waxwingwell/state/consensus/following.py
+++ b/src/waxwingwell/state/consensus/following.py
@@ -1,4 +1,4 @@
-"""Replication at a follower: taking entries in, and answering."""
+"""Log replication at a follower: appending entries and responding."""
 
 from __future__ import annotations
 
@@ -20,27 +20,27 @@
 
 
 def receive_append(replica: Replica, message: AppendEntries, now: float) -> None:
-    """Take entries from the leader of this term and answer."""
+    """Append entries from the leader of this term and respond."""
     if message.term < replica.term:
-        answer_append(replica, message, success=False)
+        send_append_response(replica, message, success=False)
         return
 
     follow_leader(replica, message.sender, message.term, now)
-    if not holds_previous(replica, message):
-        answer_conflict(replica, message)
+    if not matches_previous_entry(replica, message):
+        reject_append(replica, message)
         return
 
-    take_entries(replica, message)
+    append_entries(replica, message)
     match = message.previous_index + len(message.entries)
     commit = min(message.commit, match)
     if commit > replica.commit:
         set_commit(replica, commit)
 
-    answer_append(replica, message, success=True, match=match)
+    send_append_response(replica, message, success=True, match=match)
 
 
-def holds_previous(replica: Replica, message: AppendEntries) -> bool:
-    """Return whether the entry before the batch is held with the same term."""
+def matches_previous_entry(replica: Replica, message: AppendEntries) -> bool:
+    """Return whether the log holds the entry before the batch, of the same term."""
     previous = message.previous_index
     if previous <= replica.log.base_index or previous <= replica.commit:
         return True
@@ -48,8 +48,8 @@
     return term_at(replica.log, previous) == message.previous_term
 
 
-def take_entries(replica: Replica, message: AppendEntries) -> None:
-    """Append what is new; replace what another leader never committed."""
+def append_entries(replica: Replica, message: AppendEntries) -> None:
+    """Append new entries; replace conflicting entries, which are uncommitted."""
     for offset, entry in enumerate(message.entries, start=1):
         index = message.previous_index + offset
         if index <= replica.log.base_index:
@@ -65,16 +65,16 @@
         append_received(replica, entry)
 
 
-def answer_conflict(replica: Replica, message: AppendEntries) -> None:
-    """Answer where the leader should go on: past a whole term at once."""
+def reject_append(replica: Replica, message: AppendEntries) -> None:
+    """Reject with a conflict hint, so that the leader skips a whole term at once."""
     previous = message.previous_index
     if previous > last_index(replica.log):
-        answer_append(
+        send_append_response(
             replica, message, success=False, conflict_index=last_index(replica.log) + 1
         )
         return
 
-    answer_append(
+    send_append_response(
         replica,
         message,
         success=False,
@@ -83,7 +83,7 @@
     )
 
 
-def answer_append(
+def send_append_response(
     replica: Replica,
     message: AppendEntries,
     *,
@@ -92,8 +92,8 @@
     conflict_term: int = 0,
     conflict_index: int = 0,
 ) -> None:
-    """Queue the answer; it leaves after the entries are synced."""
-    answer = AppendAnswer(
+    """Queue the response; it is sent after the entries are synced."""
+    response = AppendAnswer(
         group=replica.group,
         sender=replica.member,
         target=message.sender,
@@ -105,4 +105,4 @@
         conflict_term=conflict_term,
         conflict_index=conflict_index,
     )
-    replica.outbox.append(answer)
+    replica.outbox.append(response)
--- a/src/waxwingwell/state/consensus/founding.py
+++ b/src/waxwingwell/state/consensus/founding.py
@@ -1,10 +1,11 @@
-"""How an empty member founds a group or joins one.
-
-A fresh random id is drawn whenever a data folder is initialised, so that a disk
-that was lost returns as a stranger. Only the first name in order may found, only
-if the settings say ``bootstrap``, and only after *every* other named member
-answered that it is empty. So the setting may stay on: an emptied founder finds
-the others in a group, or waits for them, and never founds a second one.
+"""Bootstrapping a group, and joining an existing one, with an empty data folder.
+
+A new random id is drawn whenever a data folder is initialised, so a member whose
+disk was lost returns under another id. Only the first name in sort order
+bootstraps, only if the settings say ``bootstrap``, and only after *every* other
+named member responded that it is empty. So the setting may stay on: if that
+member's disk is lost, it finds the others in a group, or waits for them, and never
+bootstraps a second group.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 from .records import Membership
 from .records import name_of
 from .replica import is_voter
-from .replica import use_membership
+from .replica import set_membership
 
 
 if TYPE_CHECKING:
@@ -27,29 +28,29 @@
 
 
 def is_empty(replica: Replica) -> bool:
-    """Return whether this member belongs to no group yet."""
+    """Return whether this member has no log entries and belongs to no group."""
     return last_index(replica.log) == 0 and not replica.membership.voters
 
 
 def tend_founding(replica: Replica, now: float) -> None:
-    """Probe, found or ask to join, as often as the timing says."""
+    """Probe and bootstrap, or request to join, once per ``probe_interval``."""
     if now < replica.probe_at:
         return
 
-    replica.probe_at = now + replica.timing.probe
-    if may_found(replica):
+    replica.probe_at = now + replica.timing.probe_interval
+    if may_bootstrap(replica):
         probe_others(replica)
-        found_group(replica, now)
+        bootstrap_group(replica, now)
         return
 
-    ask_to_join(replica)
+    request_join(replica)
 
 
-def tend_joining(replica: Replica, now: float) -> None:
-    """Ask again if no leader writes to a member that is no voter.
+def retry_join(replica: Replica, now: float) -> None:
+    """Request to join again if a non-voter has not heard from a leader.
 
-    Failure: the leader that took it in fell before that was committed, and its
-    successor knows nothing of it.
+    A leader that added the member may fail before that entry is committed; its
+    successor then doesn't know the member.
     """
     if is_voter(replica) or now < replica.probe_at:
         return
@@ -57,25 +58,25 @@
     if now < replica.heard_at + replica.timing.election_max:
         return
 
-    replica.probe_at = now + replica.timing.probe
-    ask_to_join(replica)
+    replica.probe_at = now + replica.timing.probe_interval
+    request_join(replica)
 
 
-def may_found(replica: Replica) -> bool:
-    """Return whether this member is the one to found, as far as it knows."""
+def may_bootstrap(replica: Replica) -> bool:
+    """Return whether this member may bootstrap, by the responses so far."""
     if not replica.bootstrap or replica.name != min(replica.names):
         return False
 
-    return all(empty for _, empty in replica.probe_answers.values())
+    return all(empty for _, empty in replica.probe_responses.values())
 
 
 def other_names(replica: Replica) -> list[str]:
-    """Return the names that the settings give, but for our own."""
+    """Return the configured member names other than this member's."""
     return [name for name in replica.names if name != replica.name]
 
 
 def probe_others(replica: Replica) -> None:
-    """Ask the named members whether they are empty."""
+    """Ask the other configured members whether they are empty."""
     for name in other_names(replica):
         probe = Probe(
             group=replica.group,
@@ -86,18 +87,18 @@
         replica.outbox.append(probe)
 
 
-def found_group(replica: Replica, now: float) -> None:
-    """Stand for the first election once all others have answered."""
-    if len(replica.probe_answers) < len(other_names(replica)):
+def bootstrap_group(replica: Replica, now: float) -> None:
+    """Start the first election once all other members have responded."""
+    if len(replica.probe_responses) < len(other_names(replica)):
         return
 
-    ids = [member for member, _ in replica.probe_answers.values()]
-    use_membership(replica, Membership(voters=(replica.member, *ids)), 0)
+    ids = [member for member, _ in replica.probe_responses.values()]
+    set_membership(replica, Membership(voters=(replica.member, *ids)), 0)
     stand_for_election(replica, now)
 
 
-def ask_to_join(replica: Replica) -> None:
-    """Ask all named members; whichever leads takes us in."""
+def request_join(replica: Replica) -> None:
+    """Send a join request to all configured members; only the leader acts on it."""
     for name in other_names(replica):
         request = JoinRequest(
             group=replica.group,
@@ -109,25 +110,25 @@
 
 
 def receive_probe(replica: Replica, probe: Probe) -> None:
-    """Tell whether we are free: no log, and no vote for anyone else."""
+    """Report whether this member is empty: no log, and no vote for another."""
     empty = last_index(replica.log) == 0
     free = replica.term == 0 or replica.voted_for == probe.sender
-    answer = ProbeAnswer(
+    response = ProbeAnswer(
         group=replica.group,
         sender=replica.member,
         target=probe.sender,
         term=replica.term,
         empty=empty and free,
     )
-    replica.outbox.append(answer)
+    replica.outbox.append(response)
 
 
-def receive_probe_answer(replica: Replica, answer: ProbeAnswer, now: float) -> None:
-    """Note an answer; found when it was the last one missing."""
-    name = name_of(answer.sender)
+def receive_probe_response(replica: Replica, response: ProbeAnswer, now: float) -> None:
+    """Record a probe response; bootstrap if it was the last one missing."""
+    name = name_of(response.sender)
     if not is_empty(replica) or name not in other_names(replica):
         return
 
-    replica.probe_answers[name] = (answer.sender, answer.empty)
-    if may_found(replica):
-        found_group(replica, now)
+    replica.probe_responses[name] = (response.sender, response.empty)
+    if may_bootstrap(replica):
+        bootstrap_group(replica, now)
--- a/src/waxwingwell/state/consensus/lease.py
+++ b/src/waxwingwell/state/consensus/lease.py
@@ -1,8 +1,9 @@
-"""The leader lease, and the promise of the followers that it rests on.
+"""The leader lease, based on followers withholding their votes.
 
-A follower that answered the leader gives no vote for ``election_min`` after it
-heard it. The leader counts ``election_min`` less the drift margin from its own
-*sending* of what a majority answered, so its lease ends before any promise does.
+A follower grants no vote for ``election_min`` after it heard from the leader. The
+leader's lease lasts ``election_min`` less the drift margin, counted from its own
+*sending* of the message that a majority acknowledged, so it expires before any of
+those followers may vote again.
 """
 
 from __future__ import annotations
@@ -18,16 +19,16 @@
     from .replica import Replica
 
 
-def promises_leader(replica: Replica, now: float) -> bool:
-    """Return whether this member must not vote, since a leader may hold a lease."""
+def must_withhold_vote(replica: Replica, now: float) -> bool:
+    """Return whether this member must grant no vote, as a lease may be held."""
     if replica.role is Role.LEADER:
-        return now < confirmed_at(replica, now) + replica.timing.election_min
+        return now < quorum_acknowledged_at(replica, now) + replica.timing.election_min
 
     return now < replica.heard_at + replica.timing.election_min
 
 
-def confirmed_at(replica: Replica, now: float) -> float:
-    """Return the sending time of the latest message that a majority answered."""
+def quorum_acknowledged_at(replica: Replica, now: float) -> float:
+    """Return the send time of the latest message that a majority acknowledged."""
     times = []
     for voter in replica.membership.voters:
         if voter == replica.member:
@@ -42,26 +43,26 @@
 
 
 def holds_lease(replica: Replica, now: float) -> bool:
-    """Return whether no other member can lead at this instant.
+    """Return whether this member is the leader and no other can be at this time.
 
-    A process that was frozen, or cut off, wakes with ``now`` past the end of its
-    lease and learns here that others may have taken over.
+    A leader that was suspended or partitioned finds ``now`` past the end of its
+    lease, even before it receives any message of a new leader.
     """
-    if replica.role is not Role.LEADER or replica.lease_given_up:
+    if replica.role is not Role.LEADER or replica.lease_released:
         return False
 
     if replica.commit < replica.first_of_term:
         return False
 
-    length = replica.timing.election_min * (1 - replica.timing.drift)
-    return now < confirmed_at(replica, now) + length
+    duration = replica.timing.election_min * (1 - replica.timing.drift)
+    return now < quorum_acknowledged_at(replica, now) + duration
 
 
 def lost_quorum(replica: Replica, now: float) -> bool:
-    """Return whether a leader must step down, as no majority answers it.
+    """Return whether a leader must step down, as no majority responds to it.
 
-    Failure: a leader cut off for long would go on taking proposals that can't
-    commit, and callers would wait on it.
+    A partitioned leader would otherwise keep accepting proposals that can't commit,
+    and callers would wait for them.
     """
-    since = max(confirmed_at(replica, now), replica.led_at)
+    since = max(quorum_acknowledged_at(replica, now), replica.elected_at)
     return now >= since + replica.timing.election_max
--- a/src/waxwingwell/state/consensus/membership.py
+++ b/src/waxwingwell/state/consensus/membership.py
@@ -1,4 +1,4 @@
-"""Membership changes: one at a time, through the log, learners before voters."""
+"""Membership changes: one at a time through the log; members join as learners."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from .elections import tell_if_expelled
-from .records import REMOVED_KEPT
+from .elections import notify_if_expelled
+from .records import MAX_REMOVED_IDS
 from .records import EntryKind
 from .records import Membership
 from .records import Role
@@ -22,10 +22,10 @@
 
 
 def may_change(replica: Replica) -> bool:
-    """Return whether the next change may begin.
+    """Return whether the next membership change may start.
 
-    Failure: two changes under way, or one begun before the term's first entry is
-    committed, let two majorities without a common member decide apart.
+    With two changes in progress, or one started before the term's first entry is
+    committed, two majorities without a common member could decide independently.
     """
     return (
         replica.role is Role.LEADER
@@ -36,19 +36,19 @@
 
 
 def with_learner(membership: Membership, member: str) -> Membership:
-    """Add a learner; it takes the place of a former learner of its name."""
+    """Return ``membership`` with a learner; it replaces a learner of its name."""
     name = name_of(member)
     former = tuple(one for one in membership.learners if name_of(one) == name)
     kept = tuple(one for one in membership.learners if one not in former)
     return Membership(
         voters=membership.voters,
         learners=(*kept, member),
-        removed=(membership.removed + former)[-REMOVED_KEPT:],
+        removed=(membership.removed + former)[-MAX_REMOVED_IDS:],
     )
 
 
 def with_voter(membership: Membership, member: str) -> Membership:
-    """Let a learner vote."""
+    """Return ``membership`` with a learner promoted to voter."""
     return Membership(
         voters=(*membership.voters, member),
         learners=tuple(one for one in membership.learners if one != member),
@@ -57,54 +57,56 @@
 
 
 def without_member(membership: Membership, member: str) -> Membership:
-    """Drop a member for good."""
+    """Return ``membership`` without a member, whose id is recorded as removed."""
     return Membership(
         voters=tuple(one for one in membership.voters if one != member),
         learners=tuple(one for one in membership.learners if one != member),
-        removed=(*membership.removed, member)[-REMOVED_KEPT:],
+        removed=(*membership.removed, member)[-MAX_REMOVED_IDS:],
     )
 
 
 def change_membership(replica: Replica, membership: Membership) -> int:
-    """Append a membership, which counts from now on; return its index."""
+    """Append a membership, effective from its append; return its index."""
     data = msgspec.msgpack.encode(membership)
     return append_entry(replica, EntryKind.MEMBERSHIP, data)
 
 
-def receive_join(replica: Replica, request: JoinRequest) -> None:
-    """Take an empty member in as a learner, if the settings know its name."""
+def receive_join_request(replica: Replica, request: JoinRequest) -> None:
+    """Add an empty member as a learner, if its name is allowed to join."""
     member = request.sender
     membership = replica.membership
-    if replica.role is not Role.LEADER or tell_if_expelled(replica, member):
+    if replica.role is not Role.LEADER or notify_if_expelled(replica, member):
         return
 
     if member in membership.voters or member in membership.learners:
         return
 
-    known = replica.timing.open_to_all or name_of(member) in replica.names
-    if not known or not may_change(replica):
+    allowed = replica.timing.open_to_all or name_of(member) in replica.names
+    if not allowed or not may_change(replica):
         return
 
     change_membership(replica, with_learner(membership, member))
 
 
-def tend_members(replica: Replica, now: float) -> None:
-    """Repair: let a caught-up learner vote, after removing whom it replaces.
+def repair_membership(replica: Replica, now: float) -> None:
+    """Promote a caught-up learner, after removing the voter that it replaces.
 
-    Failure: a disk is lost and its member returns empty. Its former id is removed
-    only once the new one holds the log, so that the time in which a second loss
-    stops progress is one round trip; two changes, since exchanging a voter in one
-    would leave two majorities without a common member.
+    When a member returns with an empty disk, its former id is removed only once the
+    new id holds the log, so that a second loss can stop progress for only one round
+    trip. These are two changes, since replacing a voter in one change would allow
+    two majorities without a common member.
     """
     if not replica.timing.repair or not may_change(replica):
         return
 
-    learner = find_caught_up(replica, now)
+    learner = find_caught_up_learner(replica, now)
     if not learner:
         return
 
     membership = replica.membership
-    former = find_former(membership, learner) or find_absent(replica, now)
+    former = find_replaced_voter(membership, learner) or find_unresponsive_voter(
+        replica, now
+    )
     if former == replica.member:
         return
 
@@ -112,24 +114,24 @@
         change_membership(replica, without_member(membership, former))
         return
 
-    if not is_full(replica):
+    if not is_at_capacity(replica):
         change_membership(replica, with_voter(membership, learner))
 
 
-def is_full(replica: Replica) -> bool:
-    """Return whether there are as many voters as the timing allows."""
-    most = replica.timing.most_voters
-    return most > 0 and len(replica.membership.voters) >= most
+def is_at_capacity(replica: Replica) -> bool:
+    """Return whether the group has ``most_voters`` voters, if that is bounded."""
+    max_voters = replica.timing.most_voters
+    return max_voters > 0 and len(replica.membership.voters) >= max_voters
 
 
-def find_absent(replica: Replica, now: float) -> str:
+def find_unresponsive_voter(replica: Replica, now: float) -> str:
     """Return a voter that a waiting learner may replace, or "".
 
-    Failure: a VM is gone for good and another took over at a new address. Were the
-    former voter kept, each exchange would leave one dead voter more, until the dead
-    ones are half of the group.
+    If a VM is lost and another replaces it at a new address, the former voter must
+    go. Otherwise each replacement would leave one more dead voter, until half of the
+    group is dead.
     """
-    if not is_full(replica):
+    if not is_at_capacity(replica):
         return ""
 
     for voter in replica.membership.voters:
@@ -137,15 +139,15 @@
         if progress is None:
             continue
 
-        heard_at = max(progress.acknowledged_at, replica.led_at)
+        heard_at = max(progress.acknowledged_at, replica.elected_at)
         if now > heard_at + replica.timing.absent:
             return voter
 
     return ""
 
 
-def find_caught_up(replica: Replica, now: float) -> str:
-    """Return a learner that answers and is one batch behind at most, or ""."""
+def find_caught_up_learner(replica: Replica, now: float) -> str:
+    """Return a responding learner that is at most one batch behind, or ""."""
     for learner in replica.membership.learners:
         progress = replica.progress.get(learner)
         if progress is None or not is_caught_up(replica, progress):
@@ -158,10 +160,10 @@
 
 
 def is_caught_up(replica: Replica, progress: Progress) -> bool:
-    """Return whether a learner is one batch behind at most.
+    """Return whether a learner is at most one batch behind the commit index.
 
-    Failure: a learner in a far data centre is always some entries behind under
-    load. Were it asked to hold all that is committed, it would never vote.
+    Under load a learner in a distant data centre always lags by some entries. If it
+    had to hold all committed entries, it would never be promoted.
     """
     if progress.probing or progress.match == 0:
         return False
@@ -169,8 +171,8 @@
     return replica.commit - progress.match <= replica.timing.batch_entries
 
 
-def find_former(membership: Membership, learner: str) -> str:
-    """Return the voter of the learner's name, which lost its disk, or ""."""
+def find_replaced_voter(membership: Membership, learner: str) -> str:
+    """Return the voter with the learner's name, whose disk was lost, or ""."""
     name = name_of(learner)
     former = [voter for voter in membership.voters if name_of(voter) == name]
     return former[0] if former else ""
--- a/src/waxwingwell/state/consensus/messages.py
+++ b/src/waxwingwell/state/consensus/messages.py
@@ -1,18 +1,18 @@
-"""Messages between the members of a group.
+"""Raft messages between the members of a group.
 
-``sender`` and ``target`` are member ids. A member drops what names another
-target, so that one whose disk was replaced can't answer for its former id.
+``sender`` and ``target`` are member ids. A member drops messages for any other
+target, so that one whose disk was replaced can't respond for its former id.
 """
 
 from __future__ import annotations
 
 from ...messages import Message
-from .records import Entry  # noqa: TC001  # msgspec reads it
-from .records import Snapshot  # noqa: TC001  # msgspec reads it
+from .records import Entry  # noqa: TC001  # msgspec resolves it at run time
+from .records import Snapshot  # noqa: TC001  # msgspec resolves it at run time
 
 
 class ConsensusMessage(Message, frozen=True, kw_only=True):
-    """Base: group, both ends, and the sender's term."""
+    """Base class: the group, the sender and target, and the sender's term."""
 
     group: str
     sender: str
@@ -21,35 +21,35 @@
 
 
 class RequestVote(ConsensusMessage, frozen=True, kw_only=True):
-    """Ask for a vote, or with ``pre`` whether one would be given."""
+    """Request for a vote, or with ``pre`` for a pre-vote."""
 
     last_index: int
     last_term: int
     pre: bool = False
     transfer: bool = False
-    """The leader asked for this election and has given its lease up."""
+    """The leader requested this election and has released its lease."""
 
 
 class VoteAnswer(ConsensusMessage, frozen=True, kw_only=True):
-    """A vote; ``term`` is the one asked about if granted."""
+    """Response to ``RequestVote``; if granted, ``term`` is the requested one."""
 
     granted: bool
     pre: bool = False
 
 
 class AppendEntries(ConsensusMessage, frozen=True, kw_only=True):
-    """Entries after ``previous_index``, none in a heartbeat."""
+    """Log entries that follow ``previous_index``; a heartbeat has none."""
 
     previous_index: int
     previous_term: int
     commit: int
     sent_at: float
-    """The leader's clock; echoed, so that the lease counts from the sending."""
+    """The leader's clock; echoed, so that the lease counts from the send time."""
     entries: tuple[Entry, ...] = ()
 
 
 class AppendAnswer(ConsensusMessage, frozen=True, kw_only=True):
-    """Entries up to ``match`` are durable here, or where to go on from."""
+    """Response to ``AppendEntries``: durable up to ``match``, or a conflict hint."""
 
     sent_at: float
     previous_index: int
@@ -60,45 +60,45 @@
 
 
 class InstallSnapshot(ConsensusMessage, frozen=True, kw_only=True):
-    """Replace a member's state, whose next entry the leader has compacted away."""
+    """Snapshot for a member whose next entry the leader has compacted away."""
 
     snapshot: Snapshot
     sent_at: float
 
 
 class SnapshotAnswer(ConsensusMessage, frozen=True, kw_only=True):
-    """State up to ``match`` is durable here."""
+    """Response to ``InstallSnapshot``: the state up to ``match`` is durable."""
 
     sent_at: float
     match: int
 
 
 class TimeoutNow(ConsensusMessage, frozen=True, kw_only=True):
-    """Stand for election at once; the sender has given its lease up."""
+    """Order to start an election at once; the sender has released its lease."""
 
 
 class Probe(ConsensusMessage, frozen=True, kw_only=True):
-    """An empty founder asks whether a member belongs to a group already.
+    """Question of a bootstrapping member whether the target is empty.
 
-    The target is a name, as the id is not known yet.
+    The target is a name, as its id is not known yet.
     """
 
 
 class ProbeAnswer(ConsensusMessage, frozen=True, kw_only=True):
-    """Whether this member is free to be founded with."""
+    """Response to ``Probe``: whether a group may be bootstrapped with the sender."""
 
     empty: bool
 
 
 class JoinRequest(ConsensusMessage, frozen=True, kw_only=True):
-    """A member with an empty disk asks the leader to take it in as a learner.
+    """Request of a member with an empty disk to be added as a learner.
 
-    The target is a name, as the id is not known yet.
+    The target is a name, as its id is not known yet.
     """
 
 
 class Expelled(ConsensusMessage, frozen=True, kw_only=True):
-    """The target's id is no longer a member; its disk was replaced meanwhile."""
+    """Notification that the target's id is no longer a member of the group."""
 
 
 ConsensusBody = (
@@ -114,4 +114,4 @@
     | TimeoutNow
     | VoteAnswer
 )
-"""All messages of the log, for the unions of what travels over links."""
+"""All Raft messages, for the unions of message bodies sent over links."""
--- a/src/waxwingwell/state/consensus/records.py
+++ b/src/waxwingwell/state/consensus/records.py
@@ -1,4 +1,4 @@
-"""Records of the replicated log: entries, membership, snapshots, timing."""
+"""Data types of the replicated log: entries, membership, snapshots, timing."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from ..exceptions import InvalidMemberError
 
 
-ID_MARK = "~"
-"""Stands between a member's name and the random part of its id."""
+ID_SEPARATOR = "~"
+"""Separates a member's name from the random part of its id."""
 ID_BITS = 64
-REMOVED_KEPT = 100
+MAX_REMOVED_IDS = 100
 
 
 class EntryKind(StrEnum):
-    """What an entry of the log holds; one letter, since each entry carries it."""
+    """Kind of a log entry; one letter, since every entry stores it."""
 
     COMMAND = "c"
     NO_OP = "n"
@@ -25,7 +25,7 @@
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
-    """One entry of the log; its index is its place."""
+    """One log entry; its index follows from its position in the log."""
 
     term: int
     kind: EntryKind
@@ -33,16 +33,16 @@
 
 
 class Membership(msgspec.Struct, frozen=True):
-    """Ids of the members that vote, and of those that only receive the log."""
+    """Ids of the voters, and of the learners, which only receive the log."""
 
     voters: tuple[str, ...] = ()
     learners: tuple[str, ...] = ()
     removed: tuple[str, ...] = ()
-    """Ids that may never come back, the latest ``REMOVED_KEPT``."""
+    """Ids that may never rejoin; the latest ``MAX_REMOVED_IDS`` are kept."""
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """State of the machine after ``index``, and what the log said up to there."""
+    """State of the state machine after ``index``, and the membership as of then."""
 
     index: int
     term: int
@@ -53,14 +53,14 @@
 
 @dataclass(frozen=True, slots=True)
 class HardState:
-    """Term and vote, which must be durable before any answer that rests on them."""
+    """Term and vote, which must be durable before any response based on them."""
 
     term: int = 0
     voted_for: str = ""
 
 
 class Role(StrEnum):
-    """What a replica is doing; a follower that is no voter is a learner."""
+    """Raft role of a replica; a follower that is not a voter is a learner."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre-candidate"
@@ -70,58 +70,60 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Timing:
-    """Times in seconds, and bounds of batches.
+    """Timeouts in seconds, and limits of batches, log size and group size.
 
-    The lease is ``election_min`` less ``drift``; a fail-over takes about
-    ``election_max`` plus two round trips.
+    The lease lasts ``election_min`` less the share ``drift``; a fail-over takes
+    about ``election_max`` plus two round trips.
     """
 
     heartbeat: float = 0.1
     election_min: float = 0.4
     election_max: float = 0.8
     drift: float = 0.1
-    """Share by which two members' clocks may differ in speed."""
-    probe: float = 0.2
-    """Between two tries of an empty member to found or join a group."""
+    """Fraction by which the rates of two members' clocks may differ."""
+    probe_interval: float = 0.2
+    """Seconds between attempts of an empty member to bootstrap or join a group."""
     snapshot_retry: float = 5.0
-    """After which an unanswered snapshot is sent again."""
+    """Seconds after which an unacknowledged snapshot is sent again."""
     batch_entries: int = 512
     batch_bytes: int = 1 << 20
     window_entries: int = 4096
-    """Entries sent to a member and not yet answered."""
+    """Limit of entries in flight to a member: sent and not yet acknowledged."""
     snapshot_bytes: int = 4 << 20
-    """Log after which it is compacted, or the last snapshot's size if larger."""
+    """Log size that triggers compaction; the last snapshot's size if larger."""
     snapshot_tail: int = 1_000
-    """Entries kept before a snapshot, for members that are a little behind."""
+    """Entries retained before a snapshot, for members that lag slightly."""
     repair: bool = True
-    """The leader promotes caught-up learners and removes what they replace."""
+    """Whether the leader promotes learners and removes the voters they replace."""
     open_to_all: bool = False
-    """Members of any name may join; else only those that the settings name."""
+    """Whether members of any name may join, or only those in the settings."""
     most_voters: int = 0
-    """Learners beyond so many voters wait until one is absent; 0: no bound."""
+    """Voter count at which learners wait until a voter is absent; 0: no limit."""
     absent: float = 6.0
-    """Seconds of silence after which a waiting learner takes a voter's place."""
+    """Seconds without a response after which a waiting learner replaces a voter."""
 
 
 def make_member_id(name: str, bits: int) -> str:
     """Return the id of a member whose disk was initialised with ``bits``."""
-    return f"{name}{ID_MARK}{bits:016x}"
+    return f"{name}{ID_SEPARATOR}{bits:016x}"
 
 
 def name_of(member_id: str) -> str:
-    """Return the name, by which the settings give a member's address."""
-    return member_id.partition(ID_MARK)[0]
+    """Return the member name of an id, under which settings give its address."""
+    return member_id.partition(ID_SEPARATOR)[0]
 
 
 def check_name(name: str) -> None:
     """Raise ``InvalidMemberError`` if ``name`` could be mistaken for an id."""
     if not name:
-        raise InvalidMemberError("a member's name is empty")
+        raise InvalidMemberError("member name must not be empty")
 
-    if ID_MARK in name:
-        raise InvalidMemberError(f"a member's name may not hold {ID_MARK!r}: {name}")
+    if ID_SEPARATOR in name:
+        raise InvalidMemberError(
+            f"member name must not contain {ID_SEPARATOR!r}: {name}"
+        )
 
 
 def quorum(voters: tuple[str, ...]) -> int:
-    """Return how many voters are a majority."""
+    """Return the number of voters that make a majority."""
     return len(voters) // 2 + 1
--- a/src/waxwingwell/state/consensus/replica.py
+++ b/src/waxwingwell/state/consensus/replica.py
@@ -1,4 +1,4 @@
-"""State of one member of one group, and the changes that every part needs."""
+"""State of one group member, and the state transitions that modules share."""
 
 from __future__ import annotations
 
@@ -26,21 +26,21 @@
 
 @dataclass(slots=True)
 class Progress:
-    """What the leader knows of another member; times are the leader's clock."""
+    """Replication progress of another member; times are the leader's clock."""
 
     next_index: int
     match: int = 0
     acknowledged_at: float = -math.inf
-    """Sending time of the latest message that was answered in this term."""
+    """Send time of the latest message acknowledged in this term."""
     probing: bool = True
-    """The member's log end is unknown: one batch at a time."""
-    waiting: bool = False
+    """The end of the member's log is unknown, so one batch is sent at a time."""
+    awaiting_response: bool = False
     snapshot_sent_at: float = -math.inf
 
 
 @dataclass(slots=True)
 class Transfer:
-    """A hand-over of leadership that has begun."""
+    """A leadership transfer in progress."""
 
     target: str
     deadline: float
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Replica:
-    """One member of one group; indexes are of log entries, times are monotonic."""
+    """One group member; indexes are log indexes, times are monotonic seconds."""
 
     group: str
     member: str
@@ -69,7 +69,7 @@
     role: Role = Role.FOLLOWER
     leader: str = ""
     heard_at: float = -math.inf
-    """Last message of a leader; no vote is given for ``election_min`` after it."""
+    """Time of a leader's last message; no vote for ``election_min`` after it."""
     election_at: float = math.inf
     votes: set[str] = field(default_factory=set)
     expelled: bool = False
@@ -77,38 +77,38 @@
     commit: int = 0
     applied: int = 0
     durable: int = 0
-    """Last index that is synced here."""
+    """Last log index that is synced on this member."""
 
     progress: dict[str, Progress] = field(default_factory=dict)
-    led_at: float = -math.inf
+    elected_at: float = -math.inf
     heartbeat_at: float = -math.inf
     first_of_term: int = 0
-    """Index of the entry that the leader opened its term with."""
+    """Index of the first entry that the leader appended in its term."""
     transfer: Transfer | None = None
-    lease_given_up: bool = False
+    lease_released: bool = False
 
     probe_at: float = -math.inf
-    probe_answers: dict[str, tuple[str, bool]] = field(default_factory=dict)
-    """By name: the id, and whether that member was empty."""
+    probe_responses: dict[str, tuple[str, bool]] = field(default_factory=dict)
+    """By name: the member's id, and whether it was empty."""
 
     outbox: list[ConsensusMessage] = field(default_factory=list)
     hard_state_dirty: bool = False
     unwritten_from: int = 1
-    """Entries from here on differ from what the store holds."""
+    """Entries from this index on differ from what the store holds."""
     snapshot_dirty: bool = False
     snapshot_staged: bool = False
-    """The snapshot's data is durable already; only its use is not."""
+    """The snapshot's data is durable, but not yet recorded as the current one."""
     machine_stale: bool = False
-    """A received snapshot must be given to the machine."""
+    """A received snapshot must still be restored into the state machine."""
 
 
 def set_term(replica: Replica, term: int, voted_for: str) -> None:
-    """Move to a later term, or vote in this one."""
-    check(term >= replica.term, "terms never fall", member=replica.member)
+    """Adopt a later term, or vote in the current one."""
+    check(term >= replica.term, "the term never decreases", member=replica.member)
     if term == replica.term:
         check(
             replica.voted_for in ("", voted_for),
-            "one vote a term",
+            "at most one vote per term",
             member=replica.member,
         )
 
@@ -118,7 +118,7 @@
 
 
 def become_follower(replica: Replica, term: int, leader: str, now: float) -> None:
-    """Follow ``leader``, or nobody yet, in ``term``."""
+    """Become a follower in ``term``, of ``leader`` or of none yet."""
     if term > replica.term:
         set_term(replica, term, "")
 
@@ -133,7 +133,7 @@
 
 
 def draw_election_time(replica: Replica, now: float) -> None:
-    """Wait a random election timeout from ``now`` on."""
+    """Restart the election timer with a new random timeout."""
     timing = replica.timing
     replica.election_at = now + replica.random.uniform(
         timing.election_min, timing.election_max
@@ -141,48 +141,48 @@
 
 
 def set_commit(replica: Replica, index: int) -> None:
-    """Move the committed index forward."""
+    """Advance the commit index."""
     check(
         index >= replica.commit,
-        "the committed index never goes back",
+        "the commit index never decreases",
         member=replica.member,
     )
     check(
         index <= last_index(replica.log),
-        "only held entries are committed",
+        "only entries in the log are committed",
         member=replica.member,
     )
     replica.commit = index
 
 
 def append_entry(replica: Replica, kind: EntryKind, data: bytes) -> int:
-    """Append an entry of the present term; return its index."""
+    """Append an entry of the current term; return its index."""
     replica.log.entries.append(Entry(replica.term, kind, data))
     index = last_index(replica.log)
     if kind is EntryKind.MEMBERSHIP:
-        use_membership(replica, msgspec.msgpack.decode(data, type=Membership), index)
+        set_membership(replica, msgspec.msgpack.decode(data, type=Membership), index)
 
     return index
 
 
 def append_received(replica: Replica, entry: Entry) -> None:
-    """Append an entry that the leader sent."""
+    """Append an entry received from the leader."""
     replica.log.entries.append(entry)
     if entry.kind is not EntryKind.MEMBERSHIP:
         return
 
     membership = msgspec.msgpack.decode(entry.data, type=Membership)
-    use_membership(replica, membership, last_index(replica.log))
+    set_membership(replica, membership, last_index(replica.log))
 
 
-def use_membership(replica: Replica, membership: Membership, index: int) -> None:
-    """Take a membership into use; it counts from its append, not its commit."""
+def set_membership(replica: Replica, membership: Membership, index: int) -> None:
+    """Apply a membership; it takes effect on append, not on commit."""
     replica.membership = membership
     replica.membership_index = index
 
 
 def truncate_entries(replica: Replica, first: int) -> None:
-    """Drop entries that another leader's entries replace."""
+    """Remove the entries from ``first`` on, which conflict with the leader's."""
     check(
         first > replica.commit,
         "no committed entry is overwritten",
@@ -196,25 +196,25 @@
 
 
 def find_membership(replica: Replica) -> None:
-    """Take the latest membership that the log or the snapshot holds."""
+    """Apply the latest membership in the log, or else in the snapshot."""
     log = replica.log
     for index in range(last_index(log), log.base_index, -1):
         entry = entry_at(log, index)
         if entry.kind is EntryKind.MEMBERSHIP:
             membership = msgspec.msgpack.decode(entry.data, type=Membership)
-            use_membership(replica, membership, index)
+            set_membership(replica, membership, index)
             return
 
     if replica.snapshot is None:
-        use_membership(replica, Membership(), 0)
+        set_membership(replica, Membership(), 0)
         return
 
     snapshot = replica.snapshot
-    use_membership(replica, snapshot.membership, snapshot.membership_index)
+    set_membership(replica, snapshot.membership, snapshot.membership_index)
 
 
 def is_voter(replica: Replica) -> bool:
-    """Return whether this member votes, as far as its log says."""
+    """Return whether this member is a voter, according to its own log."""
     return replica.member in replica.membership.voters
 
 
@@ -226,15 +226,15 @@
 
 
 def leader_name(replica: Replica) -> str:
-    """Return the name of the leader followed, or the empty string."""
+    """Return the name of the current leader, or the empty string."""
     return name_of(replica.leader)
 
 
 def follow_leader(replica: Replica, leader: str, term: int, now: float) -> None:
-    """Follow the sender, and promise it no vote for a while."""
+    """Follow ``leader``, and grant no vote for ``election_min`` from now."""
     check(
         not (replica.role is Role.LEADER and term == replica.term),
-        "one leader a term",
+        "at most one leader per term",
         member=replica.member,
     )
     become_follower(replica, term, leader, now)
@@ -243,5 +243,5 @@
 
 
 def leads_term(replica: Replica, term: int) -> bool:
-    """Return whether we lead the term that an answer was given in."""
+    """Return whether this member is the leader of a response's term."""
     return replica.role is Role.LEADER and term == replica.term
--- a/src/waxwingwell/state/consensus/replication.py
+++ b/src/waxwingwell/state/consensus/replication.py
@@ -1,4 +1,4 @@
-"""Replication at the leader: sending, answers, and the committed index."""
+"""Log replication at the leader: batches, responses, and the commit index."""
 
 from __future__ import annotations
 
@@ -34,17 +34,17 @@
 
 
 def become_leader(replica: Replica, now: float) -> None:
-    """Lead the present term and open it with an entry of its own.
+    """Become leader of the current term and append its first entry.
 
-    Failure: an entry of an earlier term that a majority holds may still be lost.
-    Only counting an entry of the leader's own term commits all before it. In a
-    new group that entry holds the founding membership.
+    An entry of an earlier term may still be lost although a majority holds it. It is
+    committed only once a majority holds a later entry of the leader's own term. In a
+    new group that entry holds the initial membership.
     """
     replica.role = Role.LEADER
     replica.leader = replica.member
-    replica.led_at = now
+    replica.elected_at = now
     replica.heartbeat_at = now
-    replica.lease_given_up = False
+    replica.lease_released = False
     replica.transfer = None
     replica.progress.clear()
     if replica.membership_index == 0:
@@ -53,17 +53,17 @@
     else:
         replica.first_of_term = append_entry(replica, EntryKind.NO_OP, b"")
 
-    follow_members(replica)
+    track_members(replica)
 
 
-def follow_members(replica: Replica) -> None:
-    """Keep one progress for each other member."""
+def track_members(replica: Replica) -> None:
+    """Keep one ``Progress`` per other member of the current membership."""
     members = other_members(replica)
     for member in members:
         if member not in replica.progress:
             replica.progress[member] = Progress(next_index=last_index(replica.log))
 
-    for member in [known for known in replica.progress if known not in members]:
+    for member in [tracked for tracked in replica.progress if tracked not in members]:
         del replica.progress[member]
 
 
@@ -75,28 +75,28 @@
 
 
 def replicate(replica: Replica, now: float) -> None:
-    """Queue what each member lacks, within its window."""
-    follow_members(replica)
+    """Queue the entries or snapshot that each member lacks, within its window."""
+    track_members(replica)
     for member, progress in replica.progress.items():
         if progress.next_index <= replica.log.base_index:
-            # Before ``has_room``: a lost probe whose entries were compacted away
-            # since would be waited for without end.
+            # Checked before ``can_send_batch``, which would wait forever for the
+            # response to a lost probing batch whose entries are compacted away.
             send_snapshot(replica, member, progress, now)
             continue
 
-        while has_room(replica, progress):
+        while can_send_batch(replica, progress):
             send_append(replica, member, progress, now)
 
-    hand_over(replica)
+    send_timeout_now(replica)
 
 
-def has_room(replica: Replica, progress: Progress) -> bool:
-    """Return whether another batch may be sent to a member."""
+def can_send_batch(replica: Replica, progress: Progress) -> bool:
+    """Return whether another batch may be sent to a member now."""
     if progress.next_index > last_index(replica.log):
         return False
 
     if progress.probing:
-        return not progress.waiting
+        return not progress.awaiting_response
 
     sent = progress.next_index - 1 - progress.match
     return sent < replica.timing.window_entries
@@ -110,10 +110,10 @@
     *,
     empty: bool = False,
 ) -> None:
-    """Queue one batch, or a heartbeat, and expect it to arrive.
+    """Queue one batch or heartbeat, and advance ``next_index`` optimistically.
 
-    A lost batch shows at the next heartbeat, which names the entry before
-    ``next_index``: the member lacks it and answers with where its log ends.
+    A lost batch is detected at the next heartbeat, which names the entry before
+    ``next_index``: the member lacks it and responds with the end of its log.
     """
     previous = progress.next_index - 1
     previous_term = term_at(replica.log, previous)
@@ -136,7 +136,7 @@
     if not batch:
         return
 
-    progress.waiting = progress.probing
+    progress.awaiting_response = progress.probing
     if not progress.probing:
         progress.next_index += len(batch)
 
@@ -152,78 +152,82 @@
     )
 
 
-def receive_append_answer(replica: Replica, answer: AppendAnswer, now: float) -> None:
-    """Learn how far a member is, and that it followed us when we sent."""
-    progress = replica.progress.get(answer.sender)
-    if not leads_term(replica, answer.term) or progress is None:
+def receive_append_response(
+    replica: Replica, response: AppendAnswer, now: float
+) -> None:
+    """Record a member's match index, and that it followed us at the send time."""
+    progress = replica.progress.get(response.sender)
+    if not leads_term(replica, response.term) or progress is None:
         return
 
-    note_acknowledged(progress, answer.sent_at, now)
-    if answer.success:
-        note_match(replica, progress, answer.match)
+    record_acknowledgement(progress, response.sent_at, now)
+    if response.success:
+        record_match(replica, progress, response.match)
         return
 
-    go_back(replica, progress, answer)
+    rewind_next_index(replica, progress, response)
 
 
-def receive_snapshot_answer(
-    replica: Replica, answer: SnapshotAnswer, now: float
+def receive_snapshot_response(
+    replica: Replica, response: SnapshotAnswer, now: float
 ) -> None:
-    """Go on with the entries after a snapshot."""
-    progress = replica.progress.get(answer.sender)
-    if not leads_term(replica, answer.term) or progress is None:
+    """Record an installed snapshot and continue with the entries after it."""
+    progress = replica.progress.get(response.sender)
+    if not leads_term(replica, response.term) or progress is None:
         return
 
-    note_acknowledged(progress, answer.sent_at, now)
+    record_acknowledgement(progress, response.sent_at, now)
     progress.snapshot_sent_at = -math.inf
-    note_match(replica, progress, answer.match)
+    record_match(replica, progress, response.match)
 
 
-def note_acknowledged(progress: Progress, sent_at: float, now: float) -> None:
-    """Let the lease count from the sending of an answered message."""
+def record_acknowledgement(progress: Progress, sent_at: float, now: float) -> None:
+    """Record the send time of an acknowledged message, which extends the lease."""
     progress.acknowledged_at = max(progress.acknowledged_at, min(sent_at, now))
 
 
-def note_match(replica: Replica, progress: Progress, match: int) -> None:
-    """Go on after the entries that a member holds durably."""
+def record_match(replica: Replica, progress: Progress, match: int) -> None:
+    """Record up to where a member holds the log durably; advance the commit."""
     if match < progress.match:
         return
 
     if match == 0 and progress.next_index > 1:
-        # A heartbeat to a member that awaits a snapshot; it says nothing of its log.
+        # A member that awaits a snapshot responded to a heartbeat; its log is unknown.
         return
 
     progress.match = match
     progress.next_index = max(progress.next_index, match + 1)
     progress.probing = False
-    progress.waiting = False
+    progress.awaiting_response = False
     advance_commit(replica)
 
 
-def go_back(replica: Replica, progress: Progress, answer: AppendAnswer) -> None:
-    """Send from where the logs may agree; late answers change nothing."""
-    stale = answer.previous_index <= progress.match
+def rewind_next_index(
+    replica: Replica, progress: Progress, response: AppendAnswer
+) -> None:
+    """Move ``next_index`` back to where logs may match; ignore late responses."""
+    stale = response.previous_index <= progress.match
     if progress.probing:
-        stale = stale or answer.previous_index != progress.next_index - 1
+        stale = stale or response.previous_index != progress.next_index - 1
 
     if stale:
         return
 
-    target = answer.conflict_index
-    if answer.conflict_term:
+    target = response.conflict_index
+    if response.conflict_term:
         held = last_index_of_term(
-            replica.log, answer.conflict_term, before=answer.previous_index + 1
+            replica.log, response.conflict_term, before=response.previous_index + 1
         )
         target = target if held is None else held + 1
 
-    bounded = min(target, answer.previous_index)
+    bounded = min(target, response.previous_index)
     progress.next_index = max(progress.match + 1, bounded, 1)
     progress.probing = True
-    progress.waiting = False
+    progress.awaiting_response = False
 
 
 def advance_commit(replica: Replica) -> None:
-    """Commit what a majority holds durably, counting entries of our term only."""
+    """Commit what a majority holds durably, if it is of the leader's own term."""
     if replica.role is not Role.LEADER:
         return
 
@@ -238,7 +242,7 @@
 
 
 def durable_index(replica: Replica, voter: str) -> int:
-    """Return up to where a voter is known to hold the log durably."""
+    """Return the last index that a voter is known to hold durably."""
     if voter == replica.member:
         return replica.durable
 
@@ -247,7 +251,7 @@
 
 
 def leave_if_removed(replica: Replica, now: float) -> None:
-    """Step down once our own removal is committed."""
+    """Step down once this member's own removal is committed."""
     if replica.role is not Role.LEADER or is_voter(replica):
         return
 
@@ -255,15 +259,16 @@
         become_follower(replica, replica.term, "", now)
 
 
-def hand_over(replica: Replica) -> None:
-    """Let the target of a transfer stand, once it holds our whole log.
+def send_timeout_now(replica: Replica) -> None:
+    """Let the target of a transfer start an election, once it holds the whole log.
 
-    Failure: the message may arrive late, when our lease is back; two leaders
-    would hold one. So the lease is given up for the rest of the term first.
+    The message may arrive late. If the lease were regained by then, two leaders could
+    hold one, so the lease is released for the rest of the term first.
 
-    Failure: the target holds a command before a majority does, stands, and ends our
-    term: its proposer hears that it was lost, and it is carried out. No more are taken
-    during a transfer, so all are committed soon if a majority answers.
+    The whole log must be committed, too. If the target held a command before a
+    majority did, its election would end the term: the proposer would be notified of
+    a lost command that is then applied. No proposals are accepted during a transfer,
+    so all are committed soon if a majority responds.
     """
     transfer = replica.transfer
     if transfer is None or transfer.sent:
@@ -275,7 +280,7 @@
         return
 
     transfer.sent = True
-    replica.lease_given_up = True
+    replica.lease_released = True
     message = TimeoutNow(
         group=replica.group,
         sender=replica.member,
--- a/src/waxwingwell/state/consensus/snapshots.py
+++ b/src/waxwingwell/state/consensus/snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots: compaction of the log, and sending one to a member left behind."""
+"""Snapshots: log compaction, and transfer to members that lag too far."""
 
 from __future__ import annotations
 
@@ -25,10 +25,12 @@
 
 
 def make_snapshot(replica: Replica, data: bytes) -> Snapshot:
-    """Return a snapshot in which ``data`` stands for the applied entries."""
+    """Return a snapshot with ``data`` as the state after the applied entries."""
     index = replica.applied
     term = term_at(replica.log, index)
-    check(term is not None, "the applied entry is held", member=replica.member)
+    check(
+        term is not None, "the last applied entry is in the log", member=replica.member
+    )
     membership, membership_index = membership_at(replica, index)
     return Snapshot(
         index=index,
@@ -40,7 +42,7 @@
 
 
 def use_snapshot(replica: Replica, snapshot: Snapshot) -> None:
-    """Let a snapshot whose data is durable replace all but a tail of its entries."""
+    """Adopt a snapshot with durable data; compact all but a tail of its entries."""
     log = replica.log
     replica.snapshot = snapshot
     replica.snapshot_dirty = True
@@ -50,14 +52,14 @@
 
 
 def membership_at(replica: Replica, index: int) -> tuple[Membership, int]:
-    """Return the membership that holds after ``index``, and where it was set."""
+    """Return the membership in effect after ``index``, and its entry's index."""
     if 0 < replica.membership_index <= index:
         return replica.membership, replica.membership_index
 
-    for place in range(index, replica.log.base_index, -1):
-        entry = entry_at(replica.log, place)
+    for position in range(index, replica.log.base_index, -1):
+        entry = entry_at(replica.log, position)
         if entry.kind is EntryKind.MEMBERSHIP:
-            return msgspec.msgpack.decode(entry.data, type=Membership), place
+            return msgspec.msgpack.decode(entry.data, type=Membership), position
 
     if replica.snapshot is None:
         return Membership(), 0
@@ -68,10 +70,10 @@
 def send_snapshot(
     replica: Replica, member: str, progress: Progress, now: float
 ) -> None:
-    """Queue the snapshot, unless one is on its way.
+    """Queue the snapshot, unless one is in flight.
 
-    An answer to a later message means that it was lost, as streams keep the order;
-    a member back from a partition needn't wait for the retry.
+    A response to a later message means that the snapshot was lost, as streams keep
+    the order; so a member back from a partition needn't wait for ``snapshot_retry``.
     """
     retry_at = progress.snapshot_sent_at + replica.timing.snapshot_retry
     lost = progress.acknowledged_at > progress.snapshot_sent_at
@@ -95,20 +97,20 @@
 
 
 def receive_snapshot(replica: Replica, message: InstallSnapshot, now: float) -> None:
-    """Take the leader's snapshot in place of the log that it covers."""
+    """Install the leader's snapshot if it is ahead of the commit; respond."""
     if message.term < replica.term:
-        answer_snapshot(replica, message, 0)
+        send_snapshot_response(replica, message, 0)
         return
 
     follow_leader(replica, message.sender, message.term, now)
     if message.snapshot.index > replica.commit:
         install_snapshot(replica, message.snapshot)
 
-    answer_snapshot(replica, message, message.snapshot.index)
+    send_snapshot_response(replica, message, message.snapshot.index)
 
 
 def install_snapshot(replica: Replica, snapshot: Snapshot) -> None:
-    """Replace state and log; entries after the snapshot stay if they follow it."""
+    """Replace state and log; keep later entries if the log matches the snapshot."""
     log = replica.log
     if term_at(log, snapshot.index) != snapshot.term:
         log.entries.clear()
@@ -126,9 +128,11 @@
     find_membership(replica)
 
 
-def answer_snapshot(replica: Replica, message: InstallSnapshot, match: int) -> None:
-    """Queue the answer; it leaves after the snapshot is synced."""
-    answer = SnapshotAnswer(
+def send_snapshot_response(
+    replica: Replica, message: InstallSnapshot, match: int
+) -> None:
+    """Queue the response; it is sent after the snapshot is synced."""
+    response = SnapshotAnswer(
         group=replica.group,
         sender=replica.member,
         target=message.sender,
@@ -136,4 +140,4 @@
         sent_at=message.sent_at,
         match=match,
     )
-    replica.outbox.append(answer)
+    replica.outbox.append(response)
