--- a/src/waxwingwell/state/consensus/checks.py
+++ b/src/waxwingwell/state/consensus/checks.py
@@ -12,4 +12,4 @@
     if condition:
         return
 
-    raise InvariantError(f"invariant violated: {rule} (member {member})")
+    raise InvariantError(f"{rule} (invariant violated at member {member})")
