--- a/tests/state/consensus/__init__.py
+++ b/tests/state/consensus/__init__.py
@@ -1,3 +1,3 @@
-"""Tests of the replicated log."""
+"""Tests of the Raft implementation."""
 
 from __future__ import annotations
--- a/tests/state/consensus/fakes.py
+++ b/tests/state/consensus/fakes.py
@@ -1,6 +1,6 @@
-"""An in-memory cluster: stores that lose unsynced writes, links that misbehave.
+"""In-memory cluster: stores that lose unsynced writes, and faulty links.
 
-Time is a number that the test moves. Everything random comes from one seed.
+Time is simulated and advanced by the test. All randomness derives from one seed.
 """
 
 from __future__ import annotations
@@ -37,26 +37,28 @@
 
 logger.disable("waxwingwell.state")
 
-STEP = 0.02
-FAST = Timing(snapshot_bytes=3000, snapshot_tail=5, batch_entries=8, window_entries=24)
+STEP_SECONDS = 0.02
+FAST_TIMING = Timing(
+    snapshot_bytes=3000, snapshot_tail=5, batch_entries=8, window_entries=24
+)
 
 
 class CrashError(Exception):
-    """The process ended amid a write."""
+    """Simulated crash of the process during a write."""
 
 
 @dataclass(slots=True)
 class Disk:
-    """What is synced; a crash keeps exactly this."""
+    """Synced state of a member; exactly this survives a crash."""
 
     loaded: Loaded = field(default_factory=Loaded)
     full: bool = False
     crash: str = ""
-    """The next write ends the process: ``before`` it is synced, or ``after``."""
+    """Crash the process at the next write: ``before`` it is synced, or ``after``."""
 
 
 def open_fake_store(disk: Disk) -> Store:
-    """Return a store over ``disk`` whose every write is synced or fails whole."""
+    """Return a store over ``disk`` whose writes are synced or fail atomically."""
 
     def write(batch: Batch) -> None:
         if disk.full:
@@ -66,15 +68,15 @@
         if crash == "before":
             raise CrashError
 
-        disk.loaded = merge(disk.loaded, batch)
+        disk.loaded = apply_batch(disk.loaded, batch)
         if crash == "after":
             raise CrashError
 
     return Store(load=lambda: disk.loaded, write=write, close=lambda: None)
 
 
-def merge(old: Loaded, batch: Batch) -> Loaded:
-    """Return what a store holds after a batch."""
+def apply_batch(old: Loaded, batch: Batch) -> Loaded:
+    """Return the contents of a store after a batch is written."""
     base, base_term = old.base_index, old.base_term
     entries = dict(enumerate(old.entries, start=base + 1))
     if batch.snapshot is not None:
@@ -97,7 +99,7 @@
 
 @dataclass(slots=True)
 class Node:
-    """One member: its disk survives, its group and its applied state do not."""
+    """One member; only its disk survives a crash, not its group or applied state."""
 
     name: str
     disk: Disk = field(default_factory=Disk)
@@ -110,7 +112,7 @@
 
 @dataclass(slots=True, order=True)
 class Packet:
-    """A message under way; packets order by time, then by sending."""
+    """A message in flight; packets sort by delivery time, then by send order."""
 
     due: float
     order: int
@@ -121,22 +123,22 @@
 
 @dataclass(slots=True)
 class Cluster:
-    """All members, the links between them, and the time."""
+    """All members, the links between them, and the simulated time."""
 
     names: tuple[str, ...]
     random: random.Random
-    timing: Timing = FAST
+    timing: Timing = FAST_TIMING
     bootstrap: bool = True
     now: float = 1000.0
     nodes: dict[str, Node] = field(default_factory=dict)
     packets: list[Packet] = field(default_factory=list)
-    """A heap by the time they are due."""
-    cut: set[tuple[str, str]] = field(default_factory=set)
+    """Heap ordered by delivery time."""
+    cut_links: set[tuple[str, str]] = field(default_factory=set)
     loss: float = 0.0
-    doubling: float = 0.0
+    duplication: float = 0.0
     delay: tuple[float, float] = (0.001, 0.005)
-    far: dict[str, float] = field(default_factory=dict)
-    """By member: seconds by which messages to it take longer."""
+    extra_delay: dict[str, float] = field(default_factory=dict)
+    """By member: seconds added to the delay of messages to it."""
     sent: int = 0
     watch: Callable[[Cluster, Node], None] | None = None
     watch_message: Callable[[Cluster, ConsensusMessage], None] | None = None
@@ -146,10 +148,10 @@
     size: int,
     *,
     seed: int = 1,
-    timing: Timing = FAST,
+    timing: Timing = FAST_TIMING,
     watch: Callable[[Cluster, Node], None] | None = None,
 ) -> Cluster:
-    """Start a cluster of empty members that found a group."""
+    """Start a cluster of empty members that bootstrap a group."""
     names = tuple(f"control-{number}" for number in range(1, size + 1))
     cluster = Cluster(names, random.Random(seed), timing, watch=watch)
     for name in names:
@@ -162,7 +164,7 @@
 
 
 def start_node(cluster: Cluster, name: str, heard_at: float | None = None) -> None:
-    """Start a member from its disk; it knows that it heard no leader since."""
+    """Start a member from its disk; it heard no leader after ``heard_at``."""
     node = cluster.nodes[name]
     node.applied = []
     node.frozen = False
@@ -173,7 +175,7 @@
         members=cluster.names,
         store=open_fake_store(node.disk),
         machine=make_machine(node),
-        send=lambda target, message: post(cluster, name, target, message),
+        send=lambda target, message: send_packet(cluster, name, target, message),
         timing=cluster.timing,
         random=random.Random(cluster.random.getrandbits(64)),
         now=clock(cluster, node),
@@ -183,7 +185,7 @@
 
 
 def make_machine(node: Node) -> Machine:
-    """Return a machine whose state is the list of commands applied."""
+    """Return a state machine whose state is the list of applied commands."""
 
     def apply(index: int, command: bytes) -> bytes:
         node.applied.append((index, command))
@@ -199,55 +201,57 @@
 
 
 def clock(cluster: Cluster, node: Node) -> float:
-    """Return a member's own monotonic clock."""
+    """Return the time of a member's own monotonic clock."""
     return cluster.now * node.clock_rate + node.clock_offset
 
 
-def post(cluster: Cluster, sender: str, target: str, message: ConsensusMessage) -> None:
-    """Put a message on its way, or lose or double it."""
+def send_packet(
+    cluster: Cluster, sender: str, target: str, message: ConsensusMessage
+) -> None:
+    """Queue a message for delivery, or lose or duplicate it."""
     if cluster.watch_message is not None:
         cluster.watch_message(cluster, message)
 
-    copies = 2 if cluster.random.random() < cluster.doubling else 1
+    copies = 2 if cluster.random.random() < cluster.duplication else 1
     for _ in range(copies):
         if cluster.random.random() < cluster.loss:
             continue
 
         cluster.sent += 1
         due = cluster.now + cluster.random.uniform(*cluster.delay)
-        due += cluster.far.get(target, 0.0)
+        due += cluster.extra_delay.get(target, 0.0)
         packet = Packet(due, cluster.sent, sender, target, message)
         heapq.heappush(cluster.packets, packet)
 
 
 def crash(cluster: Cluster, name: str) -> None:
-    """End a member's process; what it had not synced is gone."""
+    """Crash a member's process; unsynced state is lost."""
     cluster.nodes[name].group = None
 
 
 def lose_disk(cluster: Cluster, name: str) -> None:
-    """End a member's process and empty its disk."""
+    """Crash a member's process and erase its disk."""
     crash(cluster, name)
     cluster.nodes[name].disk = Disk()
 
 
 def partition(cluster: Cluster, *sides: tuple[str, ...]) -> None:
-    """Let only members of the same side reach each other."""
-    cluster.cut.clear()
+    """Cut the links between members of different sides."""
+    cluster.cut_links.clear()
     for side in sides:
         for name in side:
             others = [other for other in cluster.names if other not in side]
-            cluster.cut.update((name, other) for other in others)
-            cluster.cut.update((other, name) for other in others)
+            cluster.cut_links.update((name, other) for other in others)
+            cluster.cut_links.update((other, name) for other in others)
 
 
 def heal(cluster: Cluster) -> None:
-    """Let all members reach each other."""
-    cluster.cut.clear()
+    """Restore all links."""
+    cluster.cut_links.clear()
 
 
-def step(cluster: Cluster, seconds: float = STEP) -> None:
-    """Move the time, deliver what is due, tick and flush."""
+def step(cluster: Cluster, seconds: float = STEP_SECONDS) -> None:
+    """Advance the time, deliver packets that are due, tick and flush."""
     end = cluster.now + seconds
     while cluster.packets and cluster.packets[0].due <= end:
         packet = heapq.heappop(cluster.packets)
@@ -256,17 +260,17 @@
 
     cluster.now = end
     for node in cluster.nodes.values():
-        turn(cluster, node)
+        tick_node(cluster, node)
 
 
 def deliver(cluster: Cluster, packet: Packet) -> None:
-    """Give a message to its target, or keep it for one that is frozen."""
+    """Deliver a message, or delay it while its target is frozen."""
     node = cluster.nodes[packet.target]
-    if (packet.sender, packet.target) in cluster.cut or node.group is None:
+    if (packet.sender, packet.target) in cluster.cut_links or node.group is None:
         return
 
     if node.frozen:
-        packet.due = cluster.now + STEP
+        packet.due = cluster.now + STEP_SECONDS
         heapq.heappush(cluster.packets, packet)
         return
 
@@ -274,8 +278,8 @@
     flush(cluster, node)
 
 
-def turn(cluster: Cluster, node: Node) -> None:
-    """Let one member's timers run."""
+def tick_node(cluster: Cluster, node: Node) -> None:
+    """Run one member's timers."""
     if node.group is None or node.frozen:
         return
 
@@ -284,7 +288,7 @@
 
 
 def flush(cluster: Cluster, node: Node) -> None:
-    """Make a member's changes durable and send; the process may end amid that."""
+    """Sync a member's changes and send its messages; the process may crash."""
     if node.group is None:
         return
 
@@ -298,7 +302,7 @@
 
 
 def run_for(cluster: Cluster, seconds: float) -> None:
-    """Let the cluster run."""
+    """Run the cluster for ``seconds`` of simulated time."""
     end = cluster.now + seconds
     while cluster.now < end:
         step(cluster)
@@ -307,11 +311,11 @@
 def run_until(
     cluster: Cluster, holds: Callable[[], bool], *, limit: float = 10.0
 ) -> float:
-    """Run until ``holds``; return the seconds it took, or raise."""
+    """Run until ``holds`` is true; return the seconds taken, or raise at ``limit``."""
     start = cluster.now
     while not holds():
         if cluster.now > start + limit:
-            raise AssertionError(f"not reached in {limit} s")
+            raise AssertionError(f"condition not reached within {limit} s")
 
         step(cluster)
 
@@ -319,7 +323,7 @@
 
 
 def lease_holders(cluster: Cluster) -> list[str]:
-    """Return the members that would act as leader at this instant."""
+    """Return the names of the members that hold a leader lease now."""
     return [
         node.name
         for node in cluster.nodes.values()
@@ -328,13 +332,13 @@
 
 
 def await_leader(cluster: Cluster, *, limit: float = 10.0) -> str:
-    """Run until a member leads; return its name."""
+    """Run until a member holds the leader lease; return its name."""
     run_until(cluster, lambda: bool(lease_holders(cluster)), limit=limit)
     return lease_holders(cluster)[0]
 
 
 def await_voters(cluster: Cluster, *, limit: float = 10.0) -> None:
-    """Run until every running member votes by the leader's membership."""
+    """Run until the voters of the leader's membership are the running members."""
 
     def all_vote() -> bool:
         running = [node.group for node in cluster.nodes.values() if node.group]
@@ -358,7 +362,7 @@
 
 
 def put(cluster: Cluster, name: str, command: bytes) -> list[ProposalOutcome]:
-    """Propose a command at a member; the outcome appears in the list returned."""
+    """Propose a command at a member; its outcome is appended to the returned list."""
     outcomes: list[ProposalOutcome] = []
     node = cluster.nodes[name]
     propose(group_of(cluster, name), command, outcomes.append, clock(cluster, node))
@@ -366,5 +370,5 @@
 
 
 def commands(cluster: Cluster, name: str) -> list[bytes]:
-    """Return the commands that a member has applied, in order."""
+    """Return the commands that a member has applied, in log order."""
     return [command for _, command in cluster.nodes[name].applied]
--- a/tests/state/consensus/properties.py
+++ b/tests/state/consensus/properties.py
@@ -1,4 +1,4 @@
-"""What must hold across all members, checked at every instant of a run."""
+"""Raft safety properties across all members, checked after every event of a run."""
 
 from __future__ import annotations
 
@@ -33,95 +33,97 @@
 
 
 @dataclass(slots=True)
-class Record:
-    """What was seen in a run so far."""
+class RunHistory:
+    """Elections, votes, commits and applied commands observed so far in a run."""
 
     leaders: dict[int, str] = field(default_factory=dict)
-    """By term: the id that led it."""
+    """By term: the id of its leader."""
     votes: dict[tuple[str, int], str] = field(default_factory=dict)
-    """By voter's id and term: whom it voted for."""
+    """By voter's id and term: the candidate that it voted for."""
     applied: dict[int, bytes] = field(default_factory=dict)
     committed: dict[int, Entry] = field(default_factory=dict)
     committed_in: dict[int, int] = field(default_factory=dict)
     """By index: the term of the leader that committed it."""
     seen: dict[tuple[int, int], tuple[int | None, Entry]] = field(default_factory=dict)
-    """By index and term: the term before it, and the entry."""
+    """By index and term: the term of the previous entry, and the entry."""
     commits: dict[str, int] = field(default_factory=dict)
     checked: dict[str, int] = field(default_factory=dict)
 
 
-def watch_node(record: Record, cluster: Cluster, node: Node) -> None:
-    """Raise ``AssertionError`` if ``node``, which has just acted, breaks a property.
+def watch_node(history: RunHistory, cluster: Cluster, node: Node) -> None:
+    """Raise ``AssertionError`` if ``node``, which has just acted, violates a property.
 
-    Nobody else can have come to break one: the others' state is as it was, and by
-    time alone a lease can only end.
+    No other member needs a check: the others' state is unchanged, and the passage of
+    time alone can only end a lease.
     """
     if node.group is None:
         return
 
-    check_applied(record, node)
-    check_committed(record, node.group.replica)
-    check_leader(record, node.group.replica)
+    check_applied(history, node)
+    check_committed(history, node.group.replica)
+    check_leader(history, node.group.replica)
     if not leads(node.group, clock(cluster, node)):
         return
 
     holders = lease_holders(cluster)
     assert len(holders) == 1, f"two lease holders: {holders}"
-    check_newest(record, node)
+    check_leader_has_applied(history, node)
 
 
-def check_newest(record: Record, node: Node) -> None:
-    """Whoever holds the lease has applied all that was ever committed."""
+def check_leader_has_applied(history: RunHistory, node: Node) -> None:
+    """Check that the lease holder has applied every committed entry."""
     assert node.group is not None
     replica = node.group.replica
-    newest = max(record.committed, default=0)
-    assert replica.applied >= newest, f"{node.name} leads and lacks entry {newest}"
+    newest = max(history.committed, default=0)
+    assert replica.applied >= newest, (
+        f"{node.name} holds the lease but has not applied entry {newest}"
+    )
 
 
-def check_applied(record: Record, node: Node) -> None:
-    """State machine safety: every member applies the same command at an index."""
-    done = record.checked.get(node.name, 0)
+def check_applied(history: RunHistory, node: Node) -> None:
+    """Check state machine safety: members apply the same command at an index."""
+    done = history.checked.get(node.name, 0)
     start = done if done <= len(node.applied) else 0
     for index, command in node.applied[start:]:
-        known = record.applied.setdefault(index, command)
-        assert known == command, f"{node.name} applied another command at {index}"
+        known = history.applied.setdefault(index, command)
+        assert known == command, f"{node.name} applied a different command at {index}"
 
-    record.checked[node.name] = len(node.applied)
+    history.checked[node.name] = len(node.applied)
 
 
-def check_committed(record: Record, replica: Replica) -> None:
-    """State machine safety for entries that no command is in, too."""
+def check_committed(history: RunHistory, replica: Replica) -> None:
+    """Check state machine safety of all entries, also those without a command."""
     key = replica.member
-    start = max(record.commits.get(key, 0), replica.log.base_index)
+    start = max(history.commits.get(key, 0), replica.log.base_index)
     for index in range(start + 1, replica.commit + 1):
         entry = entry_at(replica.log, index)
-        known = record.committed.setdefault(index, entry)
-        assert known == entry, f"{key} committed another entry at {index}"
-        record.committed_in.setdefault(index, replica.term)
+        known = history.committed.setdefault(index, entry)
+        assert known == entry, f"{key} committed a different entry at {index}"
+        history.committed_in.setdefault(index, replica.term)
 
-    record.commits[key] = replica.commit
+    history.commits[key] = replica.commit
 
 
-def check_leader(record: Record, replica: Replica) -> None:
-    """One leader a term, and leader completeness.
+def check_leader(history: RunHistory, replica: Replica) -> None:
+    """Check election safety (one leader per term) and leader completeness.
 
-    A late vote may let a leader of a former term win after its successor has
-    committed; it need not hold that, and can commit nothing.
+    A delayed vote may elect a leader of an earlier term after a later term's leader
+    has committed. It need not hold those entries, as it can commit nothing.
     """
     if replica.role is not Role.LEADER:
         return
 
-    known = record.leaders.get(replica.term)
+    known = history.leaders.get(replica.term)
     if known is not None:
         assert known == replica.member, f"two leaders of term {replica.term}"
         return
 
-    record.leaders[replica.term] = replica.member
-    for index, entry in record.committed.items():
+    history.leaders[replica.term] = replica.member
+    for index, entry in history.committed.items():
         if index <= replica.log.base_index:
             continue
 
-        if record.committed_in[index] >= replica.term:
+        if history.committed_in[index] >= replica.term:
             continue
 
         held = term_at(replica.log, index)
@@ -130,8 +132,8 @@
         )
 
 
-def check_logs(record: Record, cluster: Cluster) -> None:
-    """Log matching: same index and term, same entry and same term before it."""
+def check_logs(history: RunHistory, cluster: Cluster) -> None:
+    """Check log matching: index and term determine entry and previous term."""
     for node in cluster.nodes.values():
         if node.group is None:
             continue
@@ -140,40 +142,48 @@
         for index in range(log.base_index + 1, last_index(log) + 1):
             entry = entry_at(log, index)
             value = (term_at(log, index - 1), entry)
-            known = record.seen.setdefault((index, entry.term), value)
-            assert known == value, f"{node.name} has another log at {index}"
+            known = history.seen.setdefault((index, entry.term), value)
+            assert known == value, (
+                f"{node.name} has a different entry or previous term at {index}"
+            )
 
         check_memberships(node.name, [e for e in log.entries if is_membership(e)])
 
 
 def is_membership(entry: Entry) -> bool:
-    """Return whether an entry sets the members."""
+    """Return whether an entry changes the membership."""
     return entry.kind is EntryKind.MEMBERSHIP
 
 
 def check_memberships(name: str, entries: list[Entry]) -> None:
-    """Check that one voter at most comes or goes at a time."""
+    """Check that each change adds or removes at most one voter."""
     decode = msgspec.msgpack.Decoder(Membership).decode
     voters = [set(decode(entry.data).voters) for entry in entries]
     for before, after in pairwise(voters):
-        assert len(before ^ after) <= 1, f"{name} changed two voters at once"
+        assert len(before ^ after) <= 1, f"{name} changed more than one voter at once"
 
 
-def watch_message(record: Record, cluster: Cluster, message: ConsensusMessage) -> None:
-    """No message promises more than its sender has synced."""
+def watch_message(
+    history: RunHistory, cluster: Cluster, message: ConsensusMessage
+) -> None:
+    """Check that no message relies on state that its sender has not synced."""
     disk = cluster.nodes[name_of(message.sender)].disk.loaded
     if isinstance(message, RequestVote) and not message.pre:
-        check_vote(record, message.sender, message.term, message.sender)
-        assert disk.hard_state.term >= message.term, "stood before the term was synced"
+        check_vote(history, message.sender, message.term, message.sender)
+        assert disk.hard_state.term >= message.term, (
+            "requested votes before the term was synced"
+        )
     elif isinstance(message, VoteAnswer) and message.granted and not message.pre:
-        check_vote(record, message.sender, message.term, message.target)
-        assert disk.hard_state.term >= message.term, "voted before it was synced"
+        check_vote(history, message.sender, message.term, message.target)
+        assert disk.hard_state.term >= message.term, (
+            "granted a vote before the term was synced"
+        )
     elif isinstance(message, AppendAnswer) and message.success:
         held = disk.base_index + len(disk.entries)
-        assert held >= message.match, "acknowledged before it was synced"
+        assert held >= message.match, "acknowledged entries before they were synced"
 
 
-def check_vote(record: Record, voter: str, term: int, candidate: str) -> None:
-    """One vote a term, whatever was lost in between."""
-    known = record.votes.setdefault((voter, term), candidate)
+def check_vote(history: RunHistory, voter: str, term: int, candidate: str) -> None:
+    """Check that a voter grants one vote per term, also across restarts."""
+    known = history.votes.setdefault((voter, term), candidate)
     assert known == candidate, f"{voter} voted twice in term {term}"
--- a/tests/state/consensus/soak.py
+++ b/tests/state/consensus/soak.py
@@ -1,4 +1,4 @@
-"""Random runs for as long as asked, each from a seed that is printed."""
+"""Randomised runs for a given time, each from a printed seed."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from tests.state.consensus.randomised import FiveMembers
 
 
-ROUND = settings(
+ROUND_SETTINGS = settings(
     derandomize=False,
     database=None,
     deadline=None,
@@ -28,9 +28,9 @@
 
 
 def run(seconds: float, seed: int | None = None) -> int:
-    """Run rounds until the time is over; return the steps taken.
+    """Run rounds until ``seconds`` have passed; return the number of steps.
 
-    Prints the seed first; the same seed gives the same rounds.
+    Prints the seed first; the same seed reproduces the same rounds.
     """
     seed = secrets.randbits(32) if seed is None else seed
     print(f"consensus: seed {seed}")
@@ -46,9 +46,11 @@
 
 
 def run_round(seed: int) -> None:
-    """Run both sizes once; raise with a minimal example if a property breaks."""
+    """Run both cluster sizes once; raise with a minimal example on a violation."""
     for machine in (ConsensusRun, FiveMembers):
-        run_state_machine_as_test(hypothesis.seed(seed)(machine), settings=ROUND)
+        run_state_machine_as_test(
+            hypothesis.seed(seed)(machine), settings=ROUND_SETTINGS
+        )
 
 
 if __name__ == "__main__":
--- a/tests/state/consensus/test_exchange.py
+++ b/tests/state/consensus/test_exchange.py
@@ -1,4 +1,4 @@
-"""Members that are exchanged: spare ones wait, then take the place of a lost one."""
+"""Replacement of voters: spare members wait as learners until a voter is lost."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from waxwingwell.state.consensus.records import name_of
 from waxwingwell.state.group import members_of
 
-from .fakes import FAST
+from .fakes import FAST_TIMING
 from .fakes import Cluster
 from .fakes import Node
 from .fakes import await_leader
@@ -24,15 +24,15 @@
 from .fakes import start_node
 
 
-OPEN = replace(FAST, open_to_all=True, most_voters=5, absent=1.5)
+OPEN_TIMING = replace(FAST_TIMING, open_to_all=True, most_voters=5, absent=1.5)
 SEEDS = (1, 2, 3, 4, 5, 6, 7, 8)
 
-CATCH_UP = 4.0
-"""Seconds after its start from which a new control counts for the one it replaces."""
+CATCH_UP_SECONDS = 4.0
+"""Seconds after its start within which a new control must replace a voter."""
 
 
 def add_spare(cluster: Cluster, name: str) -> None:
-    """Start an empty member that no other one's settings name."""
+    """Start an empty member that is not named in the others' settings."""
     cluster.nodes[name] = Node(name)
     names, cluster.names = cluster.names, (*cluster.names[:3], name)
     start_node(cluster, name)
@@ -40,7 +40,7 @@
 
 
 def find_membership(cluster: Cluster) -> Membership:
-    """Return the membership that the leader holds."""
+    """Return the leader's membership."""
     leader = cluster.nodes[await_leader(cluster)].group
     assert leader is not None
     return members_of(leader)
@@ -52,7 +52,7 @@
 
 
 def restart_all(cluster: Cluster, *, emptied: tuple[str, ...]) -> None:
-    """End all members at once, empty some disks, and start all again."""
+    """Crash all members at once, erase some disks, and start all again."""
     for name in cluster.names:
         if name in emptied:
             lose_disk(cluster, name)
@@ -65,10 +65,10 @@
 
 
 class ExchangeTest(unittest.TestCase):
-    """Five voters and a spare."""
+    """Replacement of voters in a group of five voters and a spare."""
 
-    def test_a_spare_waits_while_all_voters_answer(self) -> None:
-        cluster = make_cluster(5, timing=OPEN)
+    def test_a_spare_waits_while_all_voters_respond(self) -> None:
+        cluster = make_cluster(5, timing=OPEN_TIMING)
         before = list_voters(cluster)
         add_spare(cluster, "control-6")
         run_for(cluster, 4.0)
@@ -77,13 +77,13 @@
         learners = [name_of(one) for one in membership.learners]
         self.assertEqual(learners, ["control-6"])
 
-    def test_a_spare_takes_the_place_of_a_member_that_is_gone(self) -> None:
-        """A VM is gone for good, and another starts at a new address.
+    def test_a_spare_replaces_a_failed_voter(self) -> None:
+        """A VM is lost for good, and another starts at a new address.
 
-        Were the dead voter kept beside it, each such exchange would leave one dead
-        voter more, until two further losses end service for good.
+        If the dead voter were kept as well, each replacement would add one dead
+        voter, until two further losses end service for good.
         """
-        cluster = make_cluster(5, timing=OPEN)
+        cluster = make_cluster(5, timing=OPEN_TIMING)
         await_leader(cluster)
         crash(cluster, "control-2")
         add_spare(cluster, "control-6")
@@ -91,28 +91,28 @@
         expected = {"control-1", "control-3", "control-4", "control-5", "control-6"}
         self.assertEqual(list_voters(cluster), expected)
 
-    def test_a_short_silence_costs_no_voter_its_place(self) -> None:
-        cluster = make_cluster(5, timing=OPEN)
+    def test_a_briefly_unresponsive_voter_is_not_replaced(self) -> None:
+        cluster = make_cluster(5, timing=OPEN_TIMING)
         leader = await_leader(cluster)
         add_spare(cluster, "control-6")
         run_for(cluster, 1.0)
-        silent = next(name for name in cluster.names if name != leader)
-        cluster.nodes[silent].frozen = True
+        unresponsive = next(name for name in cluster.names if name != leader)
+        cluster.nodes[unresponsive].frozen = True
         run_for(cluster, 1.0)
-        cluster.nodes[silent].frozen = False
+        cluster.nodes[unresponsive].frozen = False
         run_for(cluster, 1.0)
-        self.assertIn(silent, list_voters(cluster))
+        self.assertIn(unresponsive, list_voters(cluster))
 
-    def test_two_disks_are_lost_after_a_third_has_come_back(self) -> None:
-        """Three disks in turn.
+    def test_two_disks_are_lost_after_a_third_member_has_recovered(self) -> None:
+        """Two disks are lost shortly after a member recovered from losing its own.
 
-        One member's disk is lost and it comes back. A few seconds later all power
-        fails, and two other members lose their disks. The three that are left must
-        lead again, and take the two in.
+        A few seconds after that member is back, power fails everywhere, and two other
+        members lose their disks. The remaining three must elect a leader and add the
+        two again.
         """
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                cluster = make_cluster(5, seed=seed, timing=OPEN)
+                cluster = make_cluster(5, seed=seed, timing=OPEN_TIMING)
                 await_leader(cluster)
                 lose_disk(cluster, "control-2")
                 run_for(cluster, 1.2)
@@ -122,14 +122,12 @@
                 await_voters(cluster)
                 self.assertEqual(list_voters(cluster), set(cluster.names))
 
-    def test_an_exchanged_control_counts_as_soon_as_its_successor_has_caught_up(
-        self,
-    ) -> None:
-        """A VM is exchanged, and then two others lose their disks.
+    def test_a_replacement_control_becomes_a_voter_once_caught_up(self) -> None:
+        """A VM is replaced, and four seconds later two other members lose their disks.
 
-        Its successor had four seconds to catch up. While the voter that is gone stood
-        for it, only two of five voters were left, nobody led any more, and a document
-        that had been accepted was never in force.
+        If the lost voter had not been replaced by then, only two of five voters would
+        be left. No leader could be elected, and a document that had been accepted
+        would never take effect.
         """
         timing = replace(TIMING, most_voters=LEAST_VOTERS)
         for seed in SEEDS:
@@ -137,11 +135,11 @@
                 cluster = make_cluster(5, seed=seed, timing=timing)
                 leader = await_leader(cluster)
                 run_for(cluster, 1.0)
-                gone, *rest = [name for name in cluster.names if name != leader]
-                crash(cluster, gone)
+                replaced, *rest = [name for name in cluster.names if name != leader]
+                crash(cluster, replaced)
                 run_for(cluster, 1.0)
                 add_spare(cluster, "control-6")
-                run_for(cluster, CATCH_UP)
+                run_for(cluster, CATCH_UP_SECONDS)
                 for name in (leader, rest[0]):
                     lose_disk(cluster, name)
 
--- a/tests/state/consensus/test_failures.py
+++ b/tests/state/consensus/test_failures.py
@@ -1,10 +1,10 @@
-"""Named failures of members, disks and links."""
+"""Failure scenarios of members, disks and links."""
 
 from __future__ import annotations
 
 import unittest
 
-from tests.state.consensus.fakes import STEP
+from tests.state.consensus.fakes import STEP_SECONDS
 from tests.state.consensus.fakes import Cluster
 from tests.state.consensus.fakes import Node
 from tests.state.consensus.fakes import Packet
@@ -45,8 +45,8 @@
 from waxwingwell.state.group import transfer_leadership
 
 
-def make_settled(size: int = 3) -> tuple[Cluster, str, list[str]]:
-    """Return a cluster whose members all vote, its leader, and the others."""
+def make_stable_cluster(size: int = 3) -> tuple[Cluster, str, list[str]]:
+    """Return a cluster whose members are all voters, its leader, and the others."""
     cluster = make_cluster(size)
     await_voters(cluster)
     run_for(cluster, 0.5)
@@ -54,26 +54,26 @@
     return cluster, leader, [name for name in cluster.names if name != leader]
 
 
-def accept(cluster: Cluster, name: str, command: bytes) -> None:
-    """Put a command and run until it is accepted."""
+def commit_command(cluster: Cluster, name: str, command: bytes) -> None:
+    """Propose a command and run until it is committed."""
     outcomes = put(cluster, name, command)
     run_until(cluster, lambda: bool(outcomes))
     assert isinstance(outcomes[0], Committed), outcomes
 
 
 class LostDiskTest(unittest.TestCase):
-    """Disks that are emptied, together with other losses."""
+    """Lost disks, alone and combined with other failures."""
 
-    def test_a_lost_disk_gives_no_vote_under_its_former_id(self) -> None:
-        """A change is accepted by two of three members, then one loses its disk.
+    def test_a_member_with_a_lost_disk_cannot_vote_under_its_former_id(self) -> None:
+        """A change is committed by two of three members, then one loses its disk.
 
-        It comes back empty while the other is cut off. With its former vote, it and
-        the third member, which missed the change, would elect a leader without the
-        change, and an accepted configuration would revert.
+        It comes back empty while the other is partitioned. If it could vote under its
+        former id, it and the third member, which missed the change, would elect a
+        leader without the change, and a committed configuration would revert.
         """
-        cluster, leader, (second, third) = make_settled()
+        cluster, leader, (second, third) = make_stable_cluster()
         partition(cluster, (leader, second), (third,))
-        accept(cluster, leader, b"change")
+        commit_command(cluster, leader, b"change")
         lose_disk(cluster, second)
         partition(cluster, (leader,), (second, third))
         start_node(cluster, second)
@@ -85,17 +85,17 @@
         for name in cluster.names:
             self.assertEqual(commands(cluster, name), [b"change"])
 
-    def test_an_emptied_member_returns_as_voter_under_a_fresh_id(self) -> None:
-        """A VM's disk is replaced and its process started on the empty folder.
+    def test_a_member_with_a_lost_disk_becomes_a_voter_under_a_new_id(self) -> None:
+        """A VM's disk is replaced, and its process starts with an empty data folder.
 
-        Operators see it come back without doing anything: it joins as a learner,
-        its former id is removed, and it votes.
+        It must rejoin without any action of an operator: it joins as a learner, its
+        former id is removed, and it becomes a voter.
         """
-        cluster, leader, (second, _) = make_settled()
-        accept(cluster, leader, b"a")
+        cluster, leader, (second, _) = make_stable_cluster()
+        commit_command(cluster, leader, b"a")
         former = group_of(cluster, second).replica.member
         lose_disk(cluster, second)
-        accept(cluster, leader, b"b")
+        commit_command(cluster, leader, b"b")
         start_node(cluster, second)
         await_voters(cluster)
         group = group_of(cluster, second)
@@ -105,33 +105,33 @@
         self.assertEqual(len(membership.voters), 3)
         self.assertEqual(commands(cluster, second), [b"a", b"b"])
 
-    def test_an_emptied_member_votes_only_with_all_but_a_batch_of_the_log(self) -> None:
-        """A VM comes back empty while the group holds hundreds of changes.
+    def test_a_learner_is_promoted_only_within_one_batch_of_the_log(self) -> None:
+        """A VM comes back with an empty disk while the log has hundreds of entries.
 
-        If it voted at once, the next loss would stop progress until it has caught
-        up, and a majority of nearly empty disks would be one loss away.
+        If it became a voter at once, the next loss would stop progress until it has
+        caught up, and a majority of nearly empty disks would be one loss away.
         """
-        cluster, leader, (second, _) = make_settled()
+        cluster, leader, (second, _) = make_stable_cluster()
         for number in range(300):
             put(cluster, leader, b"%d" % number)
 
         run_for(cluster, 1.0)
-        cluster.far[second] = 0.2
+        cluster.extra_delay[second] = 0.2
         lose_disk(cluster, second)
         start_node(cluster, second)
         member = group_of(cluster, second).replica.member
-        run_until(cluster, lambda: votes_somewhere(cluster, member))
+        run_until(cluster, lambda: is_voter_at_leader(cluster, member))
         batch = cluster.timing.batch_entries
         self.assertGreaterEqual(len(commands(cluster, second)), 300 - batch)
 
-    def test_a_far_member_returns_while_writes_go_on(self) -> None:
-        """A VM in the farthest data centre comes back empty under steady load.
+    def test_a_distant_learner_is_promoted_under_steady_writes(self) -> None:
+        """A VM in the farthest data centre comes back with an empty disk under load.
 
-        The group commits without it, so that it is always some entries behind; it
-        must vote all the same, or one more loss stops the group.
+        The group commits without it, so it always lags by some entries. It must be
+        promoted to voter nevertheless, or one more loss stops the group.
         """
-        cluster, leader, (second, _) = make_settled()
-        cluster.far[second] = 0.015
+        cluster, leader, (second, _) = make_stable_cluster()
+        cluster.extra_delay[second] = 0.015
         lose_disk(cluster, second)
         start_node(cluster, second)
         member = group_of(cluster, second).replica.member
@@ -139,15 +139,15 @@
             put(cluster, leader, b"%d" % number)
             step(cluster, 0.005)
 
-        self.assertTrue(votes_somewhere(cluster, member))
+        self.assertTrue(is_voter_at_leader(cluster, member))
 
-    def test_a_late_request_to_join_brings_no_lost_disk_back(self) -> None:
-        """A replaced disk is lost again; its first request to join arrives late.
+    def test_a_delayed_join_request_of_a_removed_id_is_ignored(self) -> None:
+        """A join request of an id whose disk was lost since arrives late.
 
-        Taken in, an id that nobody has would stand among the members, and would put
-        out the one that its VM joined with since.
+        If that id were added, the membership would hold an id that no process has,
+        and it would displace the id under which the VM has joined since.
         """
-        cluster, leader, (second, _) = make_settled()
+        cluster, leader, (second, _) = make_stable_cluster()
         lost = group_of(cluster, second).replica.member
         lose_disk(cluster, second)
         start_node(cluster, second)
@@ -160,13 +160,14 @@
         run_for(cluster, 0.5)
         self.assertEqual(group.replica.membership, before)
 
-    def test_a_member_left_behind_learns_the_members_by_snapshot(self) -> None:
-        """A VM is cut off while another's disk is replaced and the log compacted.
+    def test_a_lagging_member_receives_the_membership_by_snapshot(self) -> None:
+        """A VM is partitioned while another's disk is replaced and the log compacted.
 
-        The entry that changed the members is gone when it is back. With the former
-        members it would ask a dead id for its vote, and count it in its majority.
+        The entry that changed the membership is compacted away when it is back. With
+        the former membership it would request a dead id's vote and count that id in
+        its majority.
         """
-        cluster, leader, (second, third, *rest) = make_settled(5)
+        cluster, leader, (second, third, *rest) = make_stable_cluster(5)
         lose_disk(cluster, second)
         start_node(cluster, second)
         member = group_of(cluster, second).replica.member
@@ -183,36 +184,36 @@
         )
         heal(cluster)
         run_for(cluster, 2.0)
-        wanted = replica.membership
-        self.assertEqual(group_of(cluster, third).replica.membership, wanted)
+        expected = replica.membership
+        self.assertEqual(group_of(cluster, third).replica.membership, expected)
 
     def test_a_second_disk_is_lost_right_after_a_repair(self) -> None:
-        """One disk is lost and repaired; at once another VM loses its own.
+        """One member is repaired after losing its disk; at once another loses its own.
 
-        Callers see a fail-over at most: the repaired member votes, so that it and
-        the one that never failed go on, and nothing accepted is lost.
+        Callers must see a fail-over at most: the repaired member is a voter, so it
+        and the member that never failed continue, and no committed command is lost.
         """
-        cluster, leader, (second, third) = make_settled()
+        cluster, leader, (second, third) = make_stable_cluster()
         for lost in (second, third, leader):
-            accept(cluster, await_leader(cluster), b"before " + lost.encode())
+            commit_command(cluster, await_leader(cluster), b"before " + lost.encode())
             lose_disk(cluster, lost)
             run_for(cluster, 0.1)
             start_node(cluster, lost)
             await_voters(cluster)
 
         run_for(cluster, 0.5)
-        wanted = [b"before " + name.encode() for name in (second, third, leader)]
+        expected = [b"before " + name.encode() for name in (second, third, leader)]
         for name in cluster.names:
-            self.assertEqual(commands(cluster, name), wanted)
+            self.assertEqual(commands(cluster, name), expected)
 
-    def test_a_second_member_fails_amid_a_repair(self) -> None:
+    def test_a_second_member_fails_during_a_repair(self) -> None:
         """One disk is lost; before its member has caught up, another VM stops.
 
-        Progress stops, as two of three were lost, and nothing is accepted by the
-        one that is left. Once the stopped VM is back, with its disk, all goes on.
+        Two of three voters are down, so the remaining one must commit nothing. Once
+        the stopped VM is back, with its disk, the group must continue.
         """
-        cluster, leader, (second, third) = make_settled()
-        accept(cluster, leader, b"a")
+        cluster, leader, (second, third) = make_stable_cluster()
+        commit_command(cluster, leader, b"a")
         lose_disk(cluster, second)
         crash(cluster, third)
         start_node(cluster, second)
@@ -226,14 +227,14 @@
         for name in cluster.names:
             self.assertEqual(commands(cluster, name)[:1], [b"a"])
 
-    def test_an_emptied_founder_founds_no_second_group(self) -> None:
+    def test_a_member_with_a_lost_disk_bootstraps_no_second_group(self) -> None:
         """The first VM's disk is lost, and its settings still say ``bootstrap``.
 
-        It starts while the others can't be reached. If it founded a group of its
-        own it would answer operators with an empty configuration.
+        It starts while the others can't be reached. If it bootstrapped a group of its
+        own, it would serve operators an empty configuration.
         """
-        cluster, leader, _ = make_settled()
-        accept(cluster, leader, b"a")
+        cluster, leader, _ = make_stable_cluster()
+        commit_command(cluster, leader, b"a")
         founder = cluster.names[0]
         lose_disk(cluster, founder)
         partition(cluster, (founder,), cluster.names[1:])
@@ -246,14 +247,14 @@
         run_for(cluster, 0.5)
         self.assertEqual(commands(cluster, founder), [b"a"])
 
-    def test_a_founder_that_was_told_of_a_group_joins_it(self) -> None:
+    def test_a_bootstrapping_member_that_finds_a_group_waits_to_join(self) -> None:
         """The first VM's disk is lost while the group has no leader.
 
-        One of the others answers that it belongs to a group, one is down. Nobody may
-        be asked to found anew.
+        One other member responds that it belongs to a group, and one is down and then
+        loses its disk. The first must not bootstrap a second group with it.
         """
-        cluster, leader, _ = make_settled()
-        accept(cluster, leader, b"a")
+        cluster, leader, _ = make_stable_cluster()
+        commit_command(cluster, leader, b"a")
         founder, second, third = cluster.names
         lose_disk(cluster, founder)
         crash(cluster, third)
@@ -264,15 +265,15 @@
         run_for(cluster, 5.0)
         self.assertEqual(lease_holders(cluster), [])
         self.assertEqual(commands(cluster, founder), [])
-        self.assertIn(b"a", held(cluster, second))
+        self.assertIn(b"a", stored_commands(cluster, second))
 
-    def test_a_learner_forgotten_by_the_next_leader_asks_again(self) -> None:
-        """A replaced disk's member is taken in, and the leader dies at once.
+    def test_a_learner_unknown_to_the_next_leader_requests_to_join_again(self) -> None:
+        """A member with a replaced disk is added, and the leader crashes at once.
 
-        Its successor never heard of the learner. Without asking again the VM would
-        stay out for ever while its process looks healthy.
+        The next leader doesn't know the learner. Without another join request the VM
+        would stay out of the group forever while its process looks healthy.
         """
-        cluster, leader, (second, *rest) = make_settled(5)
+        cluster, leader, (second, *rest) = make_stable_cluster(5)
         lose_disk(cluster, second)
         run_for(cluster, 0.1)
         partition(cluster, (leader, second), tuple(rest))
@@ -282,19 +283,20 @@
         crash(cluster, leader)
         heal(cluster)
         member = group.replica.member
-        run_until(cluster, lambda: votes_somewhere(cluster, member))
+        run_until(cluster, lambda: is_voter_at_leader(cluster, member))
 
 
 class LeaderTest(unittest.TestCase):
-    """Leaders that are cut off, frozen, stopped or handed over."""
+    """Leaders that are partitioned, suspended or stopped, and leadership transfers."""
 
-    def test_a_leader_cut_off_stops_leading_before_another_starts(self) -> None:
-        """The leader's VM sits on the far side of a partition and believes on.
+    def test_a_partitioned_leader_loses_its_lease_before_the_election(self) -> None:
+        """The leader is partitioned from all others and doesn't know it.
 
-        Orders to engines from two leaders would fight. Its lease ends before the
-        others may vote; later it takes no proposals, and those it took are lost.
+        Two leaders would send conflicting orders to engines. So its lease must expire
+        before the others may vote; later it must reject proposals, and those that it
+        accepted are reported as lost.
         """
-        cluster, leader, others = make_settled()
+        cluster, leader, others = make_stable_cluster()
         old = group_of(cluster, leader)
         partition(cluster, (leader,), tuple(others))
         cut_at = cluster.now
@@ -302,42 +304,43 @@
         run_until(cluster, lambda: not leads(old, cluster.now))
         self.assertLess(cluster.now - cut_at, cluster.timing.election_min)
         self.assertEqual(lease_holders(cluster), [])
-        fresh = await_leader(cluster)
+        new_leader = await_leader(cluster)
         self.assertGreaterEqual(
             cluster.now - cut_at, cluster.timing.election_min - cluster.timing.heartbeat
         )
         run_for(cluster, 1.0)
         self.assertEqual(outcomes, [ProposalLost()])
         self.assertEqual(put(cluster, leader, b"refused"), [NotLeading("")])
-        accept(cluster, fresh, b"kept")
+        commit_command(cluster, new_leader, b"kept")
         heal(cluster)
         run_for(cluster, 1.0)
         for name in cluster.names:
             self.assertEqual(commands(cluster, name), [b"kept"])
 
-    def test_a_frozen_leader_knows_when_it_wakes(self) -> None:
-        """The leader's process is stopped for long and goes on where it was.
+    def test_a_resumed_leader_finds_its_lease_expired(self) -> None:
+        """The leader's process is suspended for long and then resumed.
 
-        Before it has read any message it would still act as leader; the clock alone
-        must tell it that its lease is over, and its fencing number is the lower.
+        Before it reads any message it would still act as leader. The clock alone must
+        show that its lease has expired, and its term, which serves as fencing token,
+        must be lower than the new leader's.
         """
-        cluster, leader, _ = make_settled()
+        cluster, leader, _ = make_stable_cluster()
         old = group_of(cluster, leader)
         cluster.nodes[leader].frozen = True
         run_for(cluster, cluster.timing.election_min)
-        fresh = await_leader(cluster)
+        new_leader = await_leader(cluster)
         cluster.nodes[leader].frozen = False
         self.assertFalse(leads(old, cluster.now))
-        self.assertLess(term_of(old), term_of(group_of(cluster, fresh)))
+        self.assertLess(term_of(old), term_of(group_of(cluster, new_leader)))
         run_for(cluster, 1.0)
         self.assertIs(old.replica.role, Role.FOLLOWER)
 
-    def test_a_member_back_from_a_partition_unseats_nobody(self) -> None:
-        """A VM was cut off for long and its timer ran out many times.
+    def test_a_member_back_from_a_partition_does_not_disrupt_the_leader(self) -> None:
+        """A VM is partitioned for long, and its election timer expires many times.
 
-        Callers would see a fail-over when it is back, if its term had grown.
+        If its term had grown, its return would force a fail-over.
         """
-        cluster, leader, (second, third) = make_settled()
+        cluster, leader, (second, third) = make_stable_cluster()
         term = term_of(group_of(cluster, leader))
         partition(cluster, (leader, third), (second,))
         run_for(cluster, 20.0)
@@ -346,47 +349,47 @@
         self.assertEqual(lease_holders(cluster), [leader])
         self.assertEqual(term_of(group_of(cluster, leader)), term)
 
-    def test_a_member_that_hears_nobody_unseats_nobody(self) -> None:
-        """Messages to one VM vanish, while its own still reach the others.
+    def test_a_member_that_receives_nothing_does_not_disrupt_the_leader(self) -> None:
+        """Messages to one VM are lost, while its own still reach the others.
 
-        It can't hear the leader and asks for votes for ever. The others, who hear
-        the leader, must not follow it into an election.
+        It can't hear the leader and requests votes again and again. The others hear
+        the leader and must not grant them.
         """
-        cluster, leader, (second, third) = make_settled()
+        cluster, leader, (second, third) = make_stable_cluster()
         term = term_of(group_of(cluster, leader))
-        cluster.cut.update({(leader, second), (third, second)})
+        cluster.cut_links.update({(leader, second), (third, second)})
         run_for(cluster, 10.0)
         self.assertEqual(lease_holders(cluster), [leader])
         self.assertEqual(term_of(group_of(cluster, leader)), term)
 
-    def test_a_leader_that_hears_nobody_gives_way(self) -> None:
-        """Messages to the leader vanish, while its heartbeats still arrive.
+    def test_a_leader_that_receives_nothing_steps_down(self) -> None:
+        """Messages to the leader are lost, while its heartbeats still arrive.
 
-        Followers are content and nothing commits: callers wait for ever unless the
-        leader notices that no majority answers it.
+        The followers start no election and nothing commits, so callers wait forever
+        unless the leader detects that no majority responds.
         """
-        cluster, leader, others = make_settled()
-        cluster.cut.update((name, leader) for name in others)
+        cluster, leader, others = make_stable_cluster()
+        cluster.cut_links.update((name, leader) for name in others)
         run_until(
             cluster, lambda: any(name in others for name in lease_holders(cluster))
         )
 
-    def test_a_restarted_member_keeps_the_promise_it_forgot(self) -> None:
-        """A follower answers a heartbeat, restarts at once, and is asked for a vote.
+    def test_a_restarted_follower_withholds_its_vote(self) -> None:
+        """A follower acknowledges a heartbeat, restarts, and receives a vote request.
 
-        If it voted, a second leader would hold a lease while the first, paused by
-        then, still holds its own.
+        If it voted at once, a second leader could hold a lease while the first one's,
+        which counts on that acknowledgement, is still valid.
         """
-        for name, loading in (("at once", None), ("after loading its code", 0.1)):
+        for name, load_seconds in (("at once", None), ("after loading its code", 0.1)):
             with self.subTest(name):
-                cluster, leader, (second, third) = make_settled()
+                cluster, leader, (second, third) = make_stable_cluster()
                 partition(cluster, (leader,), (second, third))
                 crash(cluster, second)
-                began_at = cluster.now
-                if loading is not None:
-                    run_for(cluster, loading)
+                started_at = cluster.now
+                if load_seconds is not None:
+                    run_for(cluster, load_seconds)
 
-                start_node(cluster, second, began_at)
+                start_node(cluster, second, started_at)
                 old = group_of(cluster, leader)
                 self.assertTrue(leads(old, cluster.now))
                 replica = group_of(cluster, third).replica
@@ -402,32 +405,33 @@
                 receive_message(asked, third, request, cluster.now)
                 self.assertNotEqual(asked.replica.voted_for, replica.member)
 
-    def test_members_that_know_when_they_began_lead_sooner(self) -> None:
-        """All processes are killed; each needs longer to load than a lease lasts.
+    def test_members_that_know_their_start_time_elect_a_leader_sooner(self) -> None:
+        """All processes are killed; each takes longer to load than a lease lasts.
 
-        They would wait the lease out once more, and callers with them.
+        Without their start time, members would wait for the lease to expire once
+        more, and callers with them.
         """
-        cluster, _, _ = make_settled(5)
+        cluster, _, _ = make_stable_cluster(5)
         for name in cluster.names:
             crash(cluster, name)
 
         cluster.packets.clear()
-        began_at = cluster.now
+        started_at = cluster.now
         run_for(cluster, cluster.timing.election_max)
         for name in cluster.names:
-            start_node(cluster, name, began_at)
+            start_node(cluster, name, started_at)
 
         opened_at = cluster.now
         await_leader(cluster)
         self.assertLess(cluster.now - opened_at, cluster.timing.election_min)
 
-    def test_a_late_hand_over_makes_no_second_leader(self) -> None:
-        """A planned stop hands leadership over, but the message is late.
+    def test_a_delayed_leadership_transfer_makes_no_second_leader(self) -> None:
+        """A planned stop transfers leadership, but the ``TimeoutNow`` message is late.
 
-        The old leader must not take its lease up again meanwhile: the message may
-        still arrive and the others vote within the lease.
+        The old leader must not regain its lease meanwhile: the message may still
+        arrive, and the others would then vote within the lease.
         """
-        cluster, leader, (second, third) = make_settled()
+        cluster, leader, (second, third) = make_stable_cluster()
         old = group_of(cluster, leader)
         self.assertTrue(transfer_leadership(old, second, cluster.now))
         partition(cluster, (leader, third), (second,))
@@ -438,15 +442,15 @@
         heal(cluster)
         self.assertGreater(term_of(group_of(cluster, await_leader(cluster))), 1)
 
-    def test_a_hand_over_leaves_no_order_unanswered(self) -> None:
-        """A leader is stopped as planned while an order is on its way to the others.
+    def test_a_leadership_transfer_waits_for_pending_proposals(self) -> None:
+        """A leader is stopped as planned while a command is being replicated.
 
-        The one that is to lead has it first, a majority a moment later. Told to stand
-        before that, it ends the old leader's term, and the operator hears that nobody
-        knows what became of an order that is then carried out.
+        The target of the transfer holds the command before a majority does. If it
+        started an election then, it would end the old leader's term, and the operator
+        would be notified of an unknown outcome of a command that is then applied.
         """
-        cluster, leader, (second, *others) = make_settled(5)
-        cluster.far.update(dict.fromkeys(others, 5 * STEP))
+        cluster, leader, (second, *others) = make_stable_cluster(5)
+        cluster.extra_delay.update(dict.fromkeys(others, 5 * STEP_SECONDS))
         outcomes = put(cluster, leader, b"a")
         old = group_of(cluster, leader)
         self.assertTrue(transfer_leadership(old, second, cluster.now))
@@ -455,17 +459,18 @@
         run_until(cluster, lambda: lease_holders(cluster) == [second])
         self.assertEqual(commands(cluster, second), [b"a"])
 
-    def test_the_lease_counts_from_the_sending(self) -> None:
-        """The followers' answers are late, and the leader is cut off meanwhile.
+    def test_the_lease_counts_from_the_send_time(self) -> None:
+        """The followers' responses are late, and the leader is partitioned meanwhile.
 
-        The followers' promise runs from when they heard the leader. Counting from
-        the late answer, the leader would act on after another was elected.
+        Followers withhold their votes from when they heard the leader. If the lease
+        counted from the late response, the leader would continue to act after another
+        was elected.
         """
-        cluster, leader, others = make_settled()
+        cluster, leader, others = make_stable_cluster()
         group = group_of(cluster, leader)
-        cluster.delay = (2 * STEP, 2 * STEP)
-        run_until(cluster, lambda: bool(answers_to(cluster, leader)))
-        late = answers_to(cluster, leader)
+        cluster.delay = (2 * STEP_SECONDS, 2 * STEP_SECONDS)
+        run_until(cluster, lambda: bool(responses_to(cluster, leader)))
+        late = responses_to(cluster, leader)
         partition(cluster, (leader,), tuple(others))
         run_for(cluster, cluster.timing.election_min)
         for packet in late:
@@ -473,13 +478,13 @@
 
         self.assertFalse(leads(group, cluster.now))
 
-    def test_an_entry_of_a_former_term_is_not_committed_by_count(self) -> None:
-        """A change reaches a majority only under the next leader.
+    def test_an_entry_of_an_earlier_term_is_not_committed_by_count(self) -> None:
+        """An entry reaches a majority only under a leader of a later term.
 
-        A member with a later term's entry could still win and overwrite it, so that
-        it may count as accepted only with an entry of the leader's own term.
+        A member with an entry of a later term could still be elected and overwrite
+        it, so it may be committed only with an entry of the leader's own term.
         """
-        cluster, leader, _others = make_settled()
+        cluster, leader, _others = make_stable_cluster()
         replica = group_of(cluster, leader).replica
         commit = replica.commit
         append_entry(replica, EntryKind.COMMAND, b"old")
@@ -499,12 +504,12 @@
         advance_commit(replica)
         self.assertEqual(replica.commit, old + 1)
 
-    def test_a_removed_member_is_told_and_stops(self) -> None:
-        """An operator removes a member whose process is down; it starts again.
+    def test_a_removed_member_is_notified_and_stops(self) -> None:
+        """An operator removes a member whose process is down, and it starts again.
 
-        It must neither vote nor ask for votes, and say in its log what to do.
+        It must neither vote nor request votes, and log what the operator must do.
         """
-        cluster, leader, (second, _) = make_settled()
+        cluster, leader, (second, _) = make_stable_cluster()
         crash(cluster, second)
         group = group_of(cluster, leader)
         outcomes: list[object] = []
@@ -517,17 +522,20 @@
         run_for(cluster, 3.0)
         self.assertTrue(group_of(cluster, second).replica.expelled)
         self.assertEqual(len(group.replica.membership.voters), 2)
-        said: list[object] = []
-        group_of(cluster, second).send = lambda target, message: said.append(message)
+        sent_messages: list[object] = []
+        group_of(cluster, second).send = lambda target, message: sent_messages.append(
+            message
+        )
         run_for(cluster, 3.0)
-        self.assertEqual(said, [])
+        self.assertEqual(sent_messages, [])
 
-    def test_a_member_of_a_new_name_joins_once_it_is_allowed(self) -> None:
-        """Operators add a VM; its process starts before they told the group.
+    def test_a_member_with_a_new_name_joins_once_it_is_allowed(self) -> None:
+        """Operators add a VM; its process starts before its name is allowed.
 
-        It must wait outside, as anyone with an address could ask, and then vote.
+        It must not join until then, as anyone with the address could request it, and
+        afterwards become a voter.
         """
-        cluster, leader, _ = make_settled()
+        cluster, leader, _ = make_stable_cluster()
         old = cluster.names
         cluster.names = (*old, "control-0")
         cluster.nodes["control-0"] = Node("control-0")
@@ -551,12 +559,12 @@
         run_for(cluster, 3.0)
         self.assertEqual(len(group.replica.membership.voters), 3)
 
-    def test_a_removed_member_that_runs_stays_out(self) -> None:
+    def test_a_running_member_that_is_removed_does_not_rejoin(self) -> None:
         """An operator removes a member that is running and healthy.
 
-        It must not ask its way back in, as an emptied one does.
+        It must not rejoin as a member with an empty disk does.
         """
-        cluster, leader, (second, _) = make_settled()
+        cluster, leader, (second, _) = make_stable_cluster()
         group = group_of(cluster, leader)
         former = group_of(cluster, second).replica.member
         remove_member(group, former, lambda outcome: None, cluster.now)
@@ -565,45 +573,48 @@
         self.assertNotIn(former, group.replica.membership.voters)
         self.assertNotIn(former, group.replica.membership.learners)
 
-    def test_a_new_leader_changes_no_members_before_its_own_entry(self) -> None:
+    def test_a_new_leader_rejects_changes_before_its_first_commit(self) -> None:
         """An operator removes a member just as leadership changes.
 
-        A change begun before the term's first entry is committed may meet one of the
-        former leader's, and two majorities without a common member decide apart.
+        A membership change started before the term's first entry is committed may
+        overlap with one of the former leader, and then two majorities without a
+        common member could decide independently.
         """
-        cluster, leader, others = make_settled()
+        cluster, leader, others = make_stable_cluster()
         crash(cluster, leader)
-        cluster.delay = (2 * STEP, 2 * STEP)
-        run_until(cluster, lambda: any(elected(cluster, name) for name in others))
-        fresh = next(name for name in others if elected(cluster, name))
-        group = group_of(cluster, fresh)
+        cluster.delay = (2 * STEP_SECONDS, 2 * STEP_SECONDS)
+        run_until(
+            cluster, lambda: any(has_leader_role(cluster, name) for name in others)
+        )
+        new_leader = next(name for name in others if has_leader_role(cluster, name))
+        group = group_of(cluster, new_leader)
         self.assertLess(group.replica.commit, group.replica.first_of_term)
         outcomes: list[object] = []
         member = group_of(cluster, others[0]).replica.member
         remove_member(group, member, outcomes.append, cluster.now)
-        self.assertEqual(outcomes, [NotLeading(fresh)])
+        self.assertEqual(outcomes, [NotLeading(new_leader)])
 
 
 class StorageFailureTest(unittest.TestCase):
-    """Disks that refuse."""
+    """Disks that fail or stall."""
 
     def test_a_full_disk_of_the_leader_loses_no_change(self) -> None:
         """The leader's disk is full: a write fails while callers wait.
 
-        It must answer that the outcome is unknown, send nothing that rests on the
-        failed write, and give way; the others go on without it.
+        It must report that the outcome is unknown, send nothing that relies on the
+        failed write, and stop leading; the others must continue without it.
         """
-        cluster, leader, _others = make_settled()
-        accept(cluster, leader, b"a")
+        cluster, leader, _others = make_stable_cluster()
+        commit_command(cluster, leader, b"a")
         cluster.nodes[leader].disk.full = True
         outcomes = put(cluster, leader, b"b")
-        run_for(cluster, STEP)
+        run_for(cluster, STEP_SECONDS)
         group = group_of(cluster, leader)
         self.assertEqual(outcomes, [ProposalLost()])
         self.assertIn("full", group.halted)
         self.assertFalse(leads(group, cluster.now))
-        fresh = await_leader(cluster)
-        accept(cluster, fresh, b"c")
+        new_leader = await_leader(cluster)
+        commit_command(cluster, new_leader, b"c")
         self.assertEqual(put(cluster, leader, b"d"), [NotLeading("")])
         cluster.nodes[leader].disk.full = False
         start_node(cluster, leader)
@@ -612,56 +623,56 @@
             self.assertEqual(commands(cluster, name), [b"a", b"c"])
 
     def test_a_full_disk_of_a_follower_acknowledges_nothing(self) -> None:
-        """A follower's disk is full, the other follower is down.
+        """One follower's disk is full, and the other follower is down.
 
-        An acknowledgement from memory would let the leader accept a change that one
-        disk alone holds.
+        An acknowledgement of an unsynced entry would let the leader commit a change
+        that is on a single disk.
         """
-        cluster, leader, (second, third) = make_settled()
+        cluster, leader, (second, third) = make_stable_cluster()
         crash(cluster, third)
         cluster.nodes[second].disk.full = True
         outcomes = put(cluster, leader, b"a")
         run_for(cluster, 3.0)
         self.assertEqual(outcomes, [ProposalLost()])
 
-    def test_a_slow_sync_is_no_longer_lease(self) -> None:
-        """The leader's disk takes seconds for one sync; the process waits for it.
+    def test_a_slow_sync_does_not_extend_the_lease(self) -> None:
+        """One sync of the leader's disk takes seconds, and blocks the process.
 
-        What it sends afterwards was due before. The lease must not count from then,
-        since the others have elected a leader meanwhile.
+        Messages queued before the sync are sent after it. They must not extend the
+        lease, since the others have elected a leader meanwhile.
         """
-        cluster, leader, _ = make_settled()
+        cluster, leader, _ = make_stable_cluster()
         group = group_of(cluster, leader)
         outcomes = put(cluster, leader, b"a")
-        began = cluster.now
+        flush_started_at = cluster.now
         cluster.nodes[leader].frozen = True
         run_for(cluster, 2.0)
-        fresh = await_leader(cluster)
-        flush_group(group, began)
+        new_leader = await_leader(cluster)
+        flush_group(group, flush_started_at)
         cluster.nodes[leader].frozen = False
         self.assertFalse(leads(group, cluster.now))
         for _ in range(50):
             step(cluster)
-            self.assertEqual(lease_holders(cluster), [fresh])
+            self.assertEqual(lease_holders(cluster), [new_leader])
 
         self.assertEqual(outcomes, [ProposalLost()])
 
 
-def votes_somewhere(cluster: Cluster, member: str) -> bool:
-    """Return whether a leader counts ``member`` among the voters."""
+def is_voter_at_leader(cluster: Cluster, member: str) -> bool:
+    """Return whether a lease holder's membership has ``member`` as a voter."""
     return any(
         member in group_of(cluster, name).replica.membership.voters
         for name in lease_holders(cluster)
     )
 
 
-def elected(cluster: Cluster, name: str) -> bool:
-    """Return whether a member leads a term, with or without the lease."""
+def has_leader_role(cluster: Cluster, name: str) -> bool:
+    """Return whether a member is in the leader role, with or without the lease."""
     return group_of(cluster, name).replica.role is Role.LEADER
 
 
-def answers_to(cluster: Cluster, leader: str) -> list[Packet]:
-    """Return the followers' answers that are on their way."""
+def responses_to(cluster: Cluster, leader: str) -> list[Packet]:
+    """Return the followers' responses to ``leader`` that are in flight."""
     return [
         packet
         for packet in cluster.packets
@@ -669,6 +680,6 @@
     ]
 
 
-def held(cluster: Cluster, name: str) -> list[bytes]:
-    """Return what the entries on a member's disk hold."""
+def stored_commands(cluster: Cluster, name: str) -> list[bytes]:
+    """Return the data of the entries on a member's disk."""
     return [entry.data for entry in cluster.nodes[name].disk.loaded.entries]
--- a/tests/state/consensus/test_power.py
+++ b/tests/state/consensus/test_power.py
@@ -1,4 +1,4 @@
-"""Power that fails for all members while one of them is being replaced."""
+"""Power failures of all members while one of them is being replaced."""
 
 from __future__ import annotations
 
@@ -24,39 +24,42 @@
     from waxwingwell.state.consensus.records import Timing
 
 
-QUICK = replace(TIMING, most_voters=LEAST_VOTERS)
-SLOW = replace(QUICK, heartbeat=0.15, election_min=0.6, election_max=1.2, absent=6.0)
-MOMENTS = (0.0, 0.1, 0.2, 0.3, 0.5, 0.8, 1.3, 2.1)
-"""Seconds from the return of an emptied member until all power fails: before it is
-taken in, while it learns, between the two changes that exchange it, and afterwards."""
+QUICK_TIMING = replace(TIMING, most_voters=LEAST_VOTERS)
+SLOW_TIMING = replace(
+    QUICK_TIMING, heartbeat=0.15, election_min=0.6, election_max=1.2, absent=6.0
+)
+POWER_LOSS_DELAYS = (0.0, 0.1, 0.2, 0.3, 0.5, 0.8, 1.3, 2.1)
+"""Seconds from the return of a member with a lost disk until power fails everywhere:
+before it is added, while it is a learner, between the two membership changes that
+replace its former id, and afterwards."""
 
 
 class PowerTest(unittest.TestCase):
-    """Five voters of which two lose their disks."""
+    """Power failures in a group of five voters of which two lose their disks."""
 
-    def test_power_fails_while_an_emptied_member_is_taken_in(self) -> None:
-        """One disk is lost twice, and then all power fails.
+    def test_power_fails_while_a_member_with_a_lost_disk_rejoins(self) -> None:
+        """One disk is lost twice, and then power fails everywhere.
 
-        The member that came back empty loses its disk again, and another one does, too.
-        The three that are left must lead, at whatever moment of the exchange it was,
-        and take both in.
+        The member that rejoined with an empty disk loses it again, and so does
+        another. The remaining three must elect a leader and add both again, whenever
+        during the replacement the power failed.
         """
-        for timing in (QUICK, SLOW):
-            for moment in MOMENTS:
-                with self.subTest(moment=moment, slow=timing is SLOW):
-                    cluster = self.play(timing, moment)
+        for timing in (QUICK_TIMING, SLOW_TIMING):
+            for delay in POWER_LOSS_DELAYS:
+                with self.subTest(delay=delay, slow=timing is SLOW_TIMING):
+                    cluster = self.lose_power(timing, delay)
                     await_voters(cluster)
                     leader = cluster.nodes[await_leader(cluster)].group
                     assert leader is not None
                     voters = members_of(leader).voters
                     self.assertEqual(len(voters), LEAST_VOTERS)
 
-    def play(self, timing: Timing, moment: float) -> Cluster:
-        """Lose a disk twice, and all power ``moment`` seconds after its return."""
-        cluster = make_cluster(5, seed=round(moment * 10) + 1, timing=timing)
+    def lose_power(self, timing: Timing, delay: float) -> Cluster:
+        """Lose a disk twice, then all power ``delay`` seconds after its return."""
+        cluster = make_cluster(5, seed=round(delay * 10) + 1, timing=timing)
         leader = await_leader(cluster)
         emptied, other, *_ = [name for name in cluster.names if name != leader]
-        for pause in (3.0, moment):
+        for pause in (3.0, delay):
             lose_disk(cluster, emptied)
             run_for(cluster, 0.8)
             start_node(cluster, emptied)
--- a/tests/state/consensus/test_randomised.py
+++ b/tests/state/consensus/test_randomised.py
@@ -1,4 +1,4 @@
-"""Random runs with a fixed budget and fixed seeds."""
+"""Randomised runs with fixed seeds and a fixed number of examples."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from tests.state.consensus.randomised import FiveMembers
 
 
-BUDGET = settings(
+RUN_SETTINGS = settings(
     derandomize=True,
     database=None,
     deadline=None,
@@ -19,6 +19,6 @@
 )
 
 ThreeMembersTest = ConsensusRun.TestCase
-ThreeMembersTest.settings = BUDGET
+ThreeMembersTest.settings = RUN_SETTINGS
 FiveMembersTest = FiveMembers.TestCase
-FiveMembersTest.settings = BUDGET
+FiveMembersTest.settings = RUN_SETTINGS
