--- a/src/waxwingwell/state/consensus/membership.py
+++ b/src/waxwingwell/state/consensus/membership.py
@@ -120,8 +120,8 @@
 
 def is_at_capacity(replica: Replica) -> bool:
     """Return whether the group has ``most_voters`` voters, if that is bounded."""
-    max_voters = replica.timing.most_voters
-    return max_voters > 0 and len(replica.membership.voters) >= max_voters
+    limit = replica.timing.most_voters
+    return limit > 0 and len(replica.membership.voters) >= limit
 
 
 def find_unresponsive_voter(replica: Replica, now: float) -> str:
--- a/tests/state/consensus/fakes.py
+++ b/tests/state/consensus/fakes.py
@@ -81,10 +81,10 @@
     entries = dict(enumerate(old.entries, start=base + 1))
     if batch.snapshot is not None:
         base, base_term = batch.base_index, batch.base_term
-        entries = {place: one for place, one in entries.items() if place > base}
+        entries = {index: one for index, one in entries.items() if index > base}
 
     if batch.first is not None:
-        entries = {place: e for place, e in entries.items() if place < batch.first}
+        entries = {index: e for index, e in entries.items() if index < batch.first}
         entries.update(enumerate(batch.entries, start=batch.first))
 
     return Loaded(
@@ -93,7 +93,7 @@
         snapshot=batch.snapshot or old.snapshot,
         base_index=base,
         base_term=base_term,
-        entries=tuple(entries[place] for place in sorted(entries)),
+        entries=tuple(entries[index] for index in sorted(entries)),
     )
 
 
--- a/tests/state/consensus/randomised.py
+++ b/tests/state/consensus/randomised.py
@@ -247,7 +247,7 @@
     def split(self, mask: int) -> None:
         """Partition the members into two sides."""
         names = self.live_cluster().names
-        one = tuple(name for place, name in enumerate(names) if mask >> place & 1)
+        one = tuple(name for position, name in enumerate(names) if mask >> position & 1)
         other = tuple(name for name in names if name not in one)
         partition(self.live_cluster(), one, other)
         self.check_run()
