--- a/src/waxwingwell/state/consensus/messages.py
+++ b/src/waxwingwell/state/consensus/messages.py
@@ -74,11 +74,11 @@
 
 
 class TimeoutNow(ConsensusMessage, frozen=True, kw_only=True):
-    """Order to start an election at once; the sender has released its lease."""
+    """Request to start an election at once; the sender has released its lease."""
 
 
 class Probe(ConsensusMessage, frozen=True, kw_only=True):
-    """Question of a bootstrapping member whether the target is empty.
+    """Query of a bootstrapping member whether the target is empty.
 
     The target is a name, as its id is not known yet.
     """
