--- a/src/waxwingwell/decisions/accounts.py
+++ b/src/waxwingwell/decisions/accounts.py
@@ -1,12 +1,12 @@
-"""Accounts of served quality, and opinions that forget what was before a change."""
+"""Quality accounts, and rating statistics with change detection."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
 from .quality import ESCALATED_SUFFIX
-from .tables import Opinion
 from .tables import QualityAccount
+from .tables import RatingStats
 
 
 if TYPE_CHECKING:
@@ -18,18 +18,21 @@
     Key = tuple[WorkspaceId, str, VersionId]
 
 CREDIT_CAP = 10.0
-"""Most rating points of credit, so that old merit does not pay for a bad turn."""
+"""Maximum credit in rating points, so that old surplus can't offset a regression."""
 DEBT_CAP = 50.0
-RECENT_MEMORY = 24.0
-"""Ratings that ``Opinion.recent_*`` remember, in the mean."""
-RECENT_LEAST = 12.0
-CHANGE_DEVIATIONS = 4.0
-"""Distance, in standard errors, at which the recent mean tells of a change."""
-LEAST_DEVIATION = 0.1
+"""Maximum debt in rating points."""
+RECENT_WINDOW_RATINGS = 24.0
+"""Mean age, in ratings, over which ``RatingStats.recent_*`` decay exponentially."""
+MIN_RECENT_RATINGS = 12.0
+"""Decayed number of recent ratings below which no change is detected."""
+CHANGE_STANDARD_ERRORS = 4.0
+"""Standard errors by which the recent mean must fall to count as a change."""
+MIN_DEVIATION = 0.1
+"""Lower bound of a rating's standard deviation in change detection."""
 
 
 def get_account(tables: Tables, workspace: WorkspaceId, kind: str) -> QualityAccount:
-    """Return the account of a workspace and kind, opened when missing."""
+    """Return the account of a workspace and kind; create it if it is missing."""
     account = tables.accounts.get((workspace, kind))
     if account is None:
         account = tables.accounts[workspace, kind] = QualityAccount()
@@ -38,36 +41,36 @@
 
 
 def add_credit(account: QualityAccount, surplus: float) -> None:
-    """Add rating points above the target, or below it, within the caps."""
+    """Add the surplus over the target, negative if below it, within the caps."""
     account.credit = min(CREDIT_CAP, max(-DEBT_CAP, account.credit + surplus))
 
 
-def note_opinion(tables: Tables, key: Key, row: Evidence) -> None:
-    """Take in the ratings of a row, and see whether they tell of a change."""
+def update_rating_stats(tables: Tables, key: Key, row: Evidence) -> None:
+    """Add a row's ratings to the statistics and react to a detected fall in quality."""
     if row.rated <= 0:
         return
 
-    opinion = tables.opinions.get(key)
-    if opinion is None:
-        opinion = tables.opinions[key] = Opinion()
-
-    kept = (1.0 - 1.0 / RECENT_MEMORY) ** row.rated
-    opinion.rated += row.rated
-    opinion.total += row.total
-    opinion.squares += row.squares
-    opinion.recent_rated = opinion.recent_rated * kept + row.rated
-    opinion.recent_total = opinion.recent_total * kept + row.total
-    drop = _forget_before_change(opinion)
+    stats = tables.rating_stats.get(key)
+    if stats is None:
+        stats = tables.rating_stats[key] = RatingStats()
+
+    kept = (1.0 - 1.0 / RECENT_WINDOW_RATINGS) ** row.rated
+    stats.rated += row.rated
+    stats.total += row.total
+    stats.squares += row.squares
+    stats.recent_rated = stats.recent_rated * kept + row.rated
+    stats.recent_total = stats.recent_total * kept + row.total
+    drop = _discard_before_drop(stats)
     if drop > 0.0:
         _charge_unrated(tables, key, drop)
 
 
 def _charge_unrated(tables: Tables, key: Key, drop: float) -> None:
-    """Take back what unrated answers were credited since a version turned bad.
+    """Revoke the credit of unrated responses served since a version's quality fell.
 
-    Failure: between the turn and its discovery unrated answers count as good, and
-    the account stays rich while the target is missed. ``RECENT_MEMORY`` times the
-    drop is the loss of the rated ones; the unrated ones lost in proportion.
+    Until the fall is detected, unrated responses are credited at the old mean, and
+    the account would keep its credit while the target is missed. The rated responses
+    lost about ``RECENT_WINDOW_RATINGS`` times the drop, the unrated ones in proportion.
     """
     row = tables.evidence.get(key)
     kind = key[1].removesuffix(ESCALATED_SUFFIX)
@@ -76,27 +79,27 @@
         return
 
     unrated = max(0.0, row.sent / row.to_rate - 1.0) / max(1, tables.entries)
-    add_credit(account, -drop * RECENT_MEMORY * unrated)
+    add_credit(account, -drop * RECENT_WINDOW_RATINGS * unrated)
 
 
-def _forget_before_change(opinion: Opinion) -> float:
-    """Drop ratings from before a change for the worse; return the mean's fall.
+def _discard_before_drop(stats: RatingStats) -> float:
+    """Discard ratings from before a fall in quality; return the fall of the mean.
 
-    Failure: a version turns bad after thousands of good ratings, and their mean
-    hides it. The recent mean falls within a dozen ratings. Idea: adaptive
-    windowing, Bifet and Gavalda, "Learning from time-changing data", SDM 2007.
+    If a version regresses after thousands of good ratings, their mean hides it for
+    long; the recent mean falls within a dozen ratings. After adaptive windowing: Bifet
+    and Gavalda, "Learning from time-changing data", SDM 2007.
     """
-    if opinion.recent_rated < RECENT_LEAST or opinion.rated < 2 * RECENT_LEAST:
+    if stats.recent_rated < MIN_RECENT_RATINGS or stats.rated < 2 * MIN_RECENT_RATINGS:
         return 0.0
 
-    mean = opinion.total / opinion.rated
-    variance = max(0.0, opinion.squares / opinion.rated - mean * mean)
-    deviation = max(LEAST_DEVIATION, variance**0.5)
-    recent = opinion.recent_total / opinion.recent_rated
-    if mean - recent < CHANGE_DEVIATIONS * deviation / opinion.recent_rated**0.5:
+    mean = stats.total / stats.rated
+    variance = max(0.0, stats.squares / stats.rated - mean * mean)
+    deviation = max(MIN_DEVIATION, variance**0.5)
+    recent = stats.recent_total / stats.recent_rated
+    if mean - recent < CHANGE_STANDARD_ERRORS * deviation / stats.recent_rated**0.5:
         return 0.0
 
-    opinion.rated = opinion.recent_rated
-    opinion.total = opinion.recent_total
-    opinion.squares = opinion.recent_rated * (recent * recent + deviation * deviation)
+    stats.rated = stats.recent_rated
+    stats.total = stats.recent_total
+    stats.squares = stats.recent_rated * (recent * recent + deviation * deviation)
     return mean - recent
--- a/src/waxwingwell/decisions/candidates.py
+++ b/src/waxwingwell/decisions/candidates.py
@@ -1,9 +1,10 @@
-"""Find the upstreams that may take a request.
+"""Find the upstreams that are eligible for a request.
 
-Small fleets are looked through whole. In large ones a sample of the holders and the
-probable homes of the prompt's prefixes are looked at, so that one decision's time
-does not grow with the fleet. The index is a hint: each candidate is checked against
-its own row, and where the sample finds none the whole table is looked through.
+Small fleets are scanned in full. In large fleets only a sample of the holders and the
+upstreams that recently received the prompt's prefixes are examined, so that the time
+of a decision does not grow with the fleet. The index is only a hint: each candidate
+is checked against its own row, and if the sample yields none, the whole table is
+scanned.
 """
 
 from __future__ import annotations
@@ -26,21 +27,21 @@
     from .tables import Work
 
 
-SAMPLE = 16
-"""Holders looked at in a large fleet, besides the homes of prefixes."""
-WHOLE_UP_TO = 32
-"""Fleets of this size are looked through whole."""
-STRIDE = 7919
-"""A prime, so that the steps of a sample meet different upstreams."""
+SAMPLE_SIZE = 16
+"""Holders examined in a large fleet, besides recent upstreams of the prefixes."""
+FULL_SCAN_LIMIT = 32
+"""Largest number of upstreams that is scanned in full."""
+SAMPLE_STRIDE = 7919
+"""Step between sampled holders; a prime, so that they differ."""
 
 
 @dataclass(slots=True)
 class Candidates:
-    """Upstreams that may take a request, and one that could after a trial."""
+    """Eligible upstreams, and an ejected one to fall back on."""
 
     rows: list[UpstreamRow] = field(default_factory=list)
     ejected: UpstreamRow | None = None
-    """The ejected one that comes back first, if it alone stands in the way."""
+    """The upstream excluded only by its ejection whose ejection ends first."""
 
 
 def find_candidates(
@@ -52,17 +53,17 @@
     now: float,
     draw: float,
 ) -> Candidates:
-    """Return the upstreams that may take the work."""
-    if len(tables.upstreams) > WHOLE_UP_TO:
+    """Return the upstreams that are eligible for the work."""
+    if len(tables.upstreams) > FULL_SCAN_LIMIT:
         sample = sample_holders(tables, work, version, draw)
-        found = check_rows(tables, work, version, exclude, sample, now=now)
+        found = filter_rows(tables, work, version, exclude, sample, now=now)
         if found.rows:
             return found
 
-    return check_rows(tables, work, version, exclude, tables.upstreams, now=now)
+    return filter_rows(tables, work, version, exclude, tables.upstreams, now=now)
 
 
-def check_rows(
+def filter_rows(
     tables: Tables,
     work: Work,
     version: VersionId,
@@ -71,7 +72,7 @@
     *,
     now: float,
 ) -> Candidates:
-    """Return those of ``upstreams`` that may take the work."""
+    """Return those of ``upstreams`` that are eligible for the work."""
     config = tables.workspaces.get(work.workspace)
     allowed = config.data_centres if config else ()
     found = Candidates()
@@ -83,7 +84,7 @@
         if allowed and row.announcement.data_centre not in allowed:
             continue
 
-        if not serves(row, work, version):
+        if not can_serve(row, work, version):
             continue
 
         if row.ejected_until <= now:
@@ -94,8 +95,8 @@
     return found
 
 
-def serves(row: UpstreamRow, work: Work, version: VersionId) -> bool:
-    """Return whether the upstream has said that it serves what the work needs."""
+def can_serve(row: UpstreamRow, work: Work, version: VersionId) -> bool:
+    """Return whether the upstream announces the version or service of the work."""
     announcement = row.announcement
     if announcement.leaving:
         return False
@@ -110,25 +111,25 @@
 def sample_holders(
     tables: Tables, work: Work, version: VersionId, draw: float
 ) -> dict[UpstreamId, None]:
-    """Return some holders by the index, without repeats."""
-    picked: dict[UpstreamId, None] = {}
+    """Return a sample of holders from the index, without duplicates."""
+    sampled: dict[UpstreamId, None] = {}
     for digest in work.prefixes[:2]:
-        for upstream in list(tables.homes.get(digest, ()))[-4:]:
-            picked[upstream] = None
+        for upstream in list(tables.recent_upstreams.get(digest, ()))[-4:]:
+            sampled[upstream] = None
 
     holders = tables.holders.get(work.service or version, [])
     if not holders:
-        return picked
+        return sampled
 
     start = int(draw * 1_000_003)
-    for step in range(min(SAMPLE, len(holders))):
-        picked[holders[(start + step * STRIDE) % len(holders)]] = None
+    for step in range(min(SAMPLE_SIZE, len(holders))):
+        sampled[holders[(start + step * SAMPLE_STRIDE) % len(holders)]] = None
 
-    return picked
+    return sampled
 
 
 def index_upstreams(tables: Tables, now: float) -> None:
-    """Rebuild the index of holders; run it each tick and on each announcement."""
+    """Rebuild the index of holders; call it on each tick and each announcement."""
     holders: dict[str, list[UpstreamId]] = {}
     for upstream, row in tables.upstreams.items():
         if row.left or row.expires_at <= now:
--- a/src/waxwingwell/decisions/claims.py
+++ b/src/waxwingwell/decisions/claims.py
@@ -1,8 +1,8 @@
-"""Claims on places at upstreams, between a choice and its dispatch.
+"""Reservations of upstream capacity between the choice and the dispatch.
 
-Failure guarded against: an order waits for its ledger row between the two, a few
-milliseconds in which its place would look free. A queue that is handed out in that
-time would send all its orders to the same place, over the upstream's bound.
+An order waits a few milliseconds for its ledger row between the two. If its slot
+looked free in that time, draining the queue would send all queued orders to the same
+upstream and exceed its limit.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
     from .tables import Tables
 
 
-def claim_place(tables: Tables, request: str, upstream: UpstreamId) -> None:
-    """Count a place as taken for a request that is about to be dispatched."""
-    drop_claim(tables, request)
+def claim_slot(tables: Tables, request: str, upstream: UpstreamId) -> None:
+    """Reserve a slot at an upstream for a request that is about to be dispatched."""
+    release_claim(tables, request)
     row = tables.upstreams.get(upstream)
     if row is None:
         return
@@ -26,8 +26,8 @@
     row.claimed += 1
 
 
-def drop_claim(tables: Tables, request: str) -> None:
-    """Give a claimed place back; a request without a claim changes nothing."""
+def release_claim(tables: Tables, request: str) -> None:
+    """Release the slot claimed for a request; do nothing if there is none."""
     upstream = tables.claims.pop(request, None)
     row = tables.upstreams.get(upstream) if upstream is not None else None
     if row is not None:
--- a/src/waxwingwell/decisions/comparisons.py
+++ b/src/waxwingwell/decisions/comparisons.py
@@ -1,6 +1,6 @@
-"""Evidence of a candidate against its incumbent, like work against like.
+"""Stratified comparison of a candidate's ratings with its incumbent's.
 
-A cell is a workspace and a kind of work.
+The strata are cells: a cell is a workspace and a kind of work.
 """
 
 from __future__ import annotations
@@ -9,11 +9,11 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from .bets import LEAST_BASELINE
-from .bets import LOW_STAKES
-from .bets import Sums
+from .bets import BET_STAKES
+from .bets import MIN_BASELINE
+from .bets import RatingSums
 from .bets import bound_log_wealth
-from .bets import mix_log
+from .bets import log_mean_exp
 
 
 if TYPE_CHECKING:
@@ -26,125 +26,134 @@
 
     Cell = tuple[WorkspaceId, str]
 
-MIXTURE = 8.0
-LEAST_BASE = 20
-"""Ratings of the incumbent that make a workspace and kind comparable."""
+MIXTURE_SCALE = 8.0
+"""Scale of the mixture in the confidence sequence of the incumbent's mean."""
+MIN_INCUMBENT_RATINGS = 20
+"""Minimum number of the incumbent's ratings for a cell to be compared."""
 
 
 @dataclass(frozen=True, slots=True)
 class Comparison:
-    """Candidate against incumbent over the cells where both were rated."""
+    """Comparison with the incumbent over the cells where both versions were rated."""
 
     rated: int
     loss: float
     error: float
 
 
-def weigh_evidence(
+def compute_log_evidence(
     rollout: Rollout,
-    mine: dict[Cell, Sums],
-    fresh: dict[Cell, Sums],
-    theirs: dict[Cell, Sums],
+    candidate_sums: dict[Cell, RatingSums],
+    stage_sums: dict[Cell, RatingSums],
+    incumbent_sums: dict[Cell, RatingSums],
 ) -> float:
     """Return the log evidence that the candidate is worse in any cell.
 
-    Half of the false alarms allowed goes to the baselines, half to the bets. The
-    wealth is shared between a bet from the beginning and one from each stage's
-    beginning; a weighted sum of wealths is a wealth.
+    Half of the false-alarm probability is spent on the baselines, half on the bets.
+    The wealth is divided between a bet since the start of the roll-out and one since
+    the start of each stage; a weighted sum of wealths is itself a valid wealth.
     """
-    since = subtract_base(theirs, rollout, rollout.incumbent)
+    incumbent_recent = subtract_base(incumbent_sums, rollout, rollout.incumbent)
     usable = {
         cell: sums
-        for cell, sums in theirs.items()
-        if cell in mine and sums.rated >= LEAST_BASE
+        for cell, sums in incumbent_sums.items()
+        if cell in candidate_sums and sums.rated >= MIN_INCUMBENT_RATINGS
     }
     means = {
-        cell: _find_baseline(sums, since.get(cell)) for cell, sums in usable.items()
+        cell: _find_baseline(sums, incumbent_recent.get(cell))
+        for cell, sums in usable.items()
     }
     deviations = get_baseline_deviations(rollout.pace.false_alarm / 2.0)
-    whole = _bet(mine, usable, means, deviations)
+    log_since_start = _compute_log_wealth(candidate_sums, usable, means, deviations)
     if rollout.stage == 0 or not rollout.base:
-        return whole
+        return log_since_start
 
-    late = _bet(fresh, usable, means, deviations)
+    log_since_stage = _compute_log_wealth(stage_sums, usable, means, deviations)
     stages = max(1, len(rollout.pace.stages) - 1)
-    top = max(whole, late)
-    share = 0.5 * math.exp(whole - top) + 0.5 / stages * math.exp(late - top)
-    return top + math.log(share)
+    largest = max(log_since_start, log_since_stage)
+    share = 0.5 * math.exp(log_since_start - largest) + 0.5 / stages * math.exp(
+        log_since_stage - largest
+    )
+    return largest + math.log(share)
 
 
 def get_baseline_deviations(alpha: float) -> float:
     """Return how many standard errors cover the incumbent's mean at all times.
 
-    Over all cells together, weighed as the candidate's ratings are, and but for
-    chance ``alpha``. Source: Waudby-Smith, Arbour, Sinha, Kennedy and Ramdas,
-    "Time-uniform central limit theory and asymptotic confidence sequences", Annals
-    of Statistics 52 (2024), with the mixture at ``MIXTURE`` times its scale.
+    The coverage holds for all cells together, weighted by the candidate's ratings,
+    except with probability ``alpha``. Source: Waudby-Smith, Arbour, Sinha, Kennedy and
+    Ramdas, "Time-uniform central limit theory and asymptotic confidence sequences",
+    Annals of Statistics 52 (2024), with the mixture at ``MIXTURE_SCALE`` times its
+    scale.
     """
-    spread = math.log(math.sqrt(MIXTURE + 1.0) / alpha)
-    return math.sqrt(2.0 * (1.0 + 1.0 / MIXTURE) * spread)
+    spread = math.log(math.sqrt(MIXTURE_SCALE + 1.0) / alpha)
+    return math.sqrt(2.0 * (1.0 + 1.0 / MIXTURE_SCALE) * spread)
 
 
-def _find_baseline(sums: Sums, since: Sums | None) -> float:
-    """Return the incumbent's mean in a cell.
+def _find_baseline(sums: RatingSums, incumbent_recent: RatingSums | None) -> float:
+    """Return the incumbent's mean in a cell, bounded by its recent mean.
 
-    Failure: the work itself becomes harder, both versions fall, and the candidate
-    is blamed against old ratings. The incumbent's recent mean bounds it too.
+    If the work becomes harder, both versions' ratings fall, and a candidate compared
+    with old ratings would be rolled back without being worse.
     """
     mean = sums.total / sums.rated
-    if since is None or since.rated < LEAST_BASE:
+    if incumbent_recent is None or incumbent_recent.rated < MIN_INCUMBENT_RATINGS:
         return mean
 
-    recent = since.total / since.rated
-    spread = max(0.0, since.squares / since.rated - recent * recent)
-    return min(mean, recent + math.sqrt(spread / since.rated))
+    recent = incumbent_recent.total / incumbent_recent.rated
+    spread = max(
+        0.0, incumbent_recent.squares / incumbent_recent.rated - recent * recent
+    )
+    return min(mean, recent + math.sqrt(spread / incumbent_recent.rated))
 
 
-def _bet(
-    cells: dict[Cell, Sums],
-    theirs: dict[Cell, Sums],
+def _compute_log_wealth(
+    cells: dict[Cell, RatingSums],
+    incumbent_sums: dict[Cell, RatingSums],
     means: dict[Cell, float],
     deviations: float,
 ) -> float:
-    """Return the log wealth of betting against the candidate in ``cells``.
+    """Return the log wealth of the bets against the candidate in ``cells``.
 
-    All baselines are lowered alike, so that their weighed sum lies below the truth.
-    A bet's expected gain is linear in its baseline: errors that cancel in the sum
-    cancel in the wealth.
+    All baselines are lowered by the same margin, so that their weighted sum is below
+    the true value. The expected gain of a bet is linear in its baseline: errors that
+    cancel in the sum cancel in the wealth.
     """
     rated = 0.0
     variance = 0.0
     for cell in means:
         sums = cells.get(cell)
         if sums is not None:
-            base = theirs[cell]
+            base = incumbent_sums[cell]
             rated += sums.rated
             variance += sums.rated**2 * _sum_variance(base) / base.rated**2
 
     if not rated:
         return 0.0
 
-    shift = deviations * math.sqrt(variance) / rated
-    logs = [0.0] * len(LOW_STAKES)
+    margin = deviations * math.sqrt(variance) / rated
+    logs = [0.0] * len(BET_STAKES)
     for cell, mean in means.items():
         sums = cells.get(cell)
-        if sums is None or mean - shift < LEAST_BASELINE:
+        if sums is None or mean - margin < MIN_BASELINE:
             continue
 
-        for place, stake in enumerate(LOW_STAKES):
-            logs[place] += bound_log_wealth(sums, mean - shift, stake)
+        for index, stake in enumerate(BET_STAKES):
+            logs[index] += bound_log_wealth(sums, mean - margin, stake)
 
-    return mix_log(tuple(logs))
+    return log_mean_exp(tuple(logs))
 
 
-def compare(mine: dict[Cell, Sums], theirs: dict[Cell, Sums]) -> Comparison:
-    """Compare like with like: each cell weighs as the candidate's ratings there."""
+def compare(
+    candidate_sums: dict[Cell, RatingSums], incumbent_sums: dict[Cell, RatingSums]
+) -> Comparison:
+    """Compare cell by cell, weighted by the number of the candidate's ratings."""
     rated = 0.0
     loss = 0.0
     variance = 0.0
-    for cell, sums in mine.items():
-        base = theirs.get(cell)
-        if base is None or base.rated < LEAST_BASE or sums.rated <= 0:
+    for cell, sums in candidate_sums.items():
+        base = incumbent_sums.get(cell)
+        if base is None or base.rated < MIN_INCUMBENT_RATINGS or sums.rated <= 0:
             continue
 
         mean = base.total / base.rated
@@ -159,23 +168,26 @@
     return Comparison(int(rated), loss / rated, variance**0.5 / rated)
 
 
-def _sum_variance(sums: Sums) -> float:
-    """Return the variance of a sum of ratings; a few assumed ones guard small cells."""
+def _sum_variance(sums: RatingSums) -> float:
+    """Return the variance of a sum of ratings.
+
+    Four pseudo-ratings with a variance of 0.04 regularise small cells.
+    """
     mean = sums.total / sums.rated
     spread = max(0.0, sums.squares - sums.rated * mean * mean)
     return sums.rated * (spread + 0.04 * 4.0) / (sums.rated + 4.0)
 
 
 def subtract_base(
-    cells: dict[Cell, Sums], rollout: Rollout, version: VersionId
-) -> dict[Cell, Sums]:
-    """Return what came since the present stage began."""
+    cells: dict[Cell, RatingSums], rollout: Rollout, version: VersionId
+) -> dict[Cell, RatingSums]:
+    """Return the rating sums since the start of the current stage."""
     base = index_rows(row for row in rollout.base if row.version == version)
-    found: dict[Cell, Sums] = {}
+    found: dict[Cell, RatingSums] = {}
     for cell, sums in cells.items():
-        before = base.get(cell, Sums(0.0, 0.0, 0.0))
+        before = base.get(cell, RatingSums(0.0, 0.0, 0.0))
         if sums.rated > before.rated:
-            found[cell] = Sums(
+            found[cell] = RatingSums(
                 sums.rated - before.rated,
                 sums.total - before.total,
                 sums.squares - before.squares,
@@ -184,10 +196,10 @@
     return found
 
 
-def index_rows(rows: Iterable[Evidence]) -> dict[Cell, Sums]:
-    """Return the sums of each workspace and kind that was rated."""
+def index_rows(rows: Iterable[Evidence]) -> dict[Cell, RatingSums]:
+    """Return the rating sums by cell, without unrated cells."""
     return {
-        (row.workspace, row.kind): Sums(row.rated, row.total, row.squares)
+        (row.workspace, row.kind): RatingSums(row.rated, row.total, row.squares)
         for row in rows
         if row.rated > 0
     }
--- a/src/waxwingwell/decisions/evidence.py
+++ b/src/waxwingwell/decisions/evidence.py
@@ -1,7 +1,7 @@
-"""Evidence: what was sent and rated, kept in the tables and flushed to the leader.
+"""Evidence: counts of requests and ratings, kept in tables and flushed to the leader.
 
-``note_sent`` and ``note_rating`` change this entry's tables at once and collect
-increments. The leader adds the increments of all entries and sends the sums back.
+``note_sent`` and ``note_rating`` update this entry's tables at once and accumulate
+increments. The leader adds up the increments of all entries and sends the totals back.
 """
 
 from __future__ import annotations
@@ -12,10 +12,10 @@
 from ..records import Evidence
 from .accounts import add_credit
 from .accounts import get_account
-from .accounts import note_opinion
+from .accounts import update_rating_stats
 from .quality import estimate_escalated
 from .quality import estimate_quality
-from .quality import name_escalated
+from .quality import get_escalated_kind
 
 
 if TYPE_CHECKING:
@@ -29,14 +29,14 @@
 
     Key = tuple[WorkspaceId, str, VersionId]
 
-FLATTERY = 2.0
-"""Standard errors by which an unrated answer's credit is reduced."""
-OUTSTANDING_LIFE = 600.0
-"""Seconds after which a rating that never came stops counting as outstanding."""
+SELECTION_BIAS_ERRORS = 2.0
+"""Standard errors by which the credit of an unrated response is reduced."""
+OUTSTANDING_TIMEOUT = 600.0
+"""Seconds after which a missing rating no longer counts as outstanding."""
 
 
 def add_evidence(left: Evidence, right: Evidence) -> Evidence:
-    """Return the sum of two rows of the same key."""
+    """Return the sum of two rows with the same key."""
     return replace(
         left,
         rated=left.rated + right.rated,
@@ -58,13 +58,13 @@
     served: bool = True,
     escalated: bool = False,
 ) -> None:
-    """Note that ``work`` was dispatched to ``version``, once per version tried.
+    """Record that ``work`` was dispatched to ``version``, once per version tried.
 
-    ``rate`` tells whether its answer goes to the rating service. ``served`` is
-    False for a step of a cascade before its last, ``escalated`` is True for a step
+    ``rate`` says whether the response goes to the rating service. ``served`` is False
+    for the steps of a cascade before its last, ``escalated`` is True for the steps
     after its first.
     """
-    kind = name_escalated(work.kind.name) if escalated else work.kind.name
+    kind = get_escalated_kind(work.kind.name) if escalated else work.kind.name
     key = (work.workspace, kind, version)
     row = Evidence(version, work.workspace, kind, sent=1, to_rate=int(rate))
     _add_row(tables, key, row)
@@ -86,8 +86,12 @@
                 tables, work.workspace, name, version, estimate
             )
 
-        # The cheapest that seems good enough is more often flattered than not.
-        surplus = estimate.mean - FLATTERY * estimate.error - work.kind.quality_target
+        # Choosing the cheapest version above the target favours overestimated means.
+        surplus = (
+            estimate.mean
+            - SELECTION_BIAS_ERRORS * estimate.error
+            - work.kind.quality_target
+        )
         add_credit(account, surplus)
 
 
@@ -102,16 +106,16 @@
     served: bool = True,
     escalated: bool = False,
 ) -> None:
-    """Take in one rating; ``served`` is False for an answer a cascade passed over.
+    """Record a rating; ``served`` is False for a response that a cascade discarded.
 
-    A rating outside 0 to 1 is clipped: the tests below rely on the bounds.
+    A rating outside 0 to 1 is clipped: the statistical tests rely on the bounds.
     """
     value = min(1.0, max(0.0, rating))
-    name = name_escalated(kind.name) if escalated else kind.name
+    name = get_escalated_kind(kind.name) if escalated else kind.name
     key = (workspace, name, version)
     row = Evidence(version, workspace, name, 1, value, value * value)
     _add_row(tables, key, row)
-    note_opinion(tables, key, row)
+    update_rating_stats(tables, key, row)
     _drop_outstanding(tables, key)
     tables.rating_heard_at = max(tables.rating_heard_at, now)
     if served:
@@ -127,28 +131,28 @@
     *,
     escalated: bool = False,
 ) -> None:
-    """Note that an answer handed to the rating service will get no rating."""
-    name = name_escalated(kind.name) if escalated else kind.name
+    """Record that a response sent to the rating service will get no rating."""
+    name = get_escalated_kind(kind.name) if escalated else kind.name
     key = (workspace, name, version)
     _add_row(tables, key, Evidence(version, workspace, name, to_rate=-1))
     _drop_outstanding(tables, key)
 
 
 def count_outstanding(tables: Tables, version: VersionId, now: float) -> int:
-    """Return the number of this entry's answers that still wait for a rating."""
-    return _count_fresh(tables.outstanding.get(version), now)
+    """Return the number of this entry's responses whose rating is outstanding."""
+    return _count_unexpired(tables.outstanding.get(version), now)
 
 
 def count_cell_outstanding(tables: Tables, key: Key, now: float) -> int:
-    """Return the same for one workspace and kind."""
-    return _count_fresh(tables.cell_outstanding.get(key), now)
+    """Return the number of outstanding ratings for one workspace, kind and version."""
+    return _count_unexpired(tables.cell_outstanding.get(key), now)
 
 
 def take_increments(tables: Tables) -> tuple[Evidence, ...]:
     """Return the rows to send as ``RecordEvidence`` under the next sequence.
 
-    Until ``confirm_increments`` the same rows come back, so that a resend under
-    the same sequence carries the same content.
+    Until ``confirm_increments`` is called, the same rows are returned, so that a retry
+    with the same sequence has the same content.
     """
     if not tables.flushing:
         tables.flushing = tables.increments
@@ -158,37 +162,37 @@
 
 
 def confirm_increments(tables: Tables) -> None:
-    """Forget the rows last taken: the leader has recorded them."""
+    """Drop the rows being flushed: the leader has recorded them."""
     tables.flushing = {}
 
 
 def merge_sums(tables: Tables, rows: Iterable[Evidence], now: float) -> None:
-    """Take the leader's sums over all entries, and add what it can't know yet.
+    """Apply the leader's totals over all entries, plus the increments it lacks.
 
-    Call ``confirm_increments`` first where the sums may hold the rows last taken.
+    Call ``confirm_increments`` first if the totals may include the rows being flushed.
     """
     for row in rows:
         key = (row.workspace, row.kind, row.version)
         merged = row
-        for mine in (tables.flushing.get(key), tables.increments.get(key)):
-            merged = merged if mine is None else add_evidence(merged, mine)
+        for own in (tables.flushing.get(key), tables.increments.get(key)):
+            merged = merged if own is None else add_evidence(merged, own)
 
         before = tables.evidence.get(key)
         tables.evidence[key] = merged
         change = _subtract(merged, before)
-        note_opinion(tables, key, change)
+        update_rating_stats(tables, key, change)
         if change.rated > 0:
             tables.rating_heard_at = max(tables.rating_heard_at, now)
 
 
-def _count_fresh(times: list[float] | None, now: float) -> int:
+def _count_unexpired(times: list[float] | None, now: float) -> int:
     if not times:
         return 0
 
-    if times[0] > now - OUTSTANDING_LIFE:
+    if times[0] > now - OUTSTANDING_TIMEOUT:
         return len(times)
 
-    return sum(at > now - OUTSTANDING_LIFE for at in times)
+    return sum(at > now - OUTSTANDING_TIMEOUT for at in times)
 
 
 def _add_row(tables: Tables, key: Key, row: Evidence) -> None:
--- a/src/waxwingwell/decisions/holders.py
+++ b/src/waxwingwell/decisions/holders.py
@@ -1,4 +1,4 @@
-"""How many upstreams should hold each version, one stage of its roll-out ahead."""
+"""How many upstreams should hold each version, planned one roll-out stage ahead."""
 
 from __future__ import annotations
 
@@ -22,20 +22,20 @@
 
 
 MIN_HOLDERS = 2
-"""Holders of each version that takes work, so that one may fail."""
+"""Minimum number of holders of a version, so that one may fail."""
 
 
 @dataclass(frozen=True, slots=True)
-class Need:
-    """Holders that a version should have, and those it has or will have."""
+class HolderTarget:
+    """Wanted number of holders of a version, and the present and ordered ones."""
 
     version: VersionId
     wanted: int
     held: int
 
 
-def list_live(tables: Tables, now: float) -> list[UpstreamRow]:
-    """Return the model engines that may be given orders."""
+def list_live_engines(tables: Tables, now: float) -> list[UpstreamRow]:
+    """Return the live model engines, which may receive load orders."""
     return [
         row
         for row in tables.upstreams.values()
@@ -46,27 +46,29 @@
     ]
 
 
-def list_needs(
+def list_holder_targets(
     tables: Tables,
-    coming: Collection[tuple[UpstreamId, VersionId]],
+    pending: Collection[tuple[UpstreamId, VersionId]],
     rows: list[UpstreamRow],
-) -> list[Need]:
-    """Return what each version of the catalogue that takes work should have."""
-    needs = []
+) -> list[HolderTarget]:
+    """Return the holder targets of the catalogue's versions that receive new work."""
+    targets = []
     for version, spec in tables.versions.items():
         if spec.status in (VersionStatus.ENDING, VersionStatus.WITHDRAWN):
             continue
 
         rollout = find_rollout(tables, version)
         wanted = min(count_wanted(rollout, rows), len(rows))
-        due = sum(1 for _, ordered in coming if ordered == version)
-        needs.append(Need(version, wanted, count_holders(rows, version) + due))
+        pending_count = sum(1 for _, ordered in pending if ordered == version)
+        targets.append(
+            HolderTarget(version, wanted, count_holders(rows, version) + pending_count)
+        )
 
-    return needs
+    return targets
 
 
 def find_rollout(tables: Tables, version: VersionId) -> Rollout | None:
-    """Return the roll-out that brings the version in, if there is one."""
+    """Return the roll-out whose candidate is the version, or None."""
     for rollout in tables.rollouts.values():
         if rollout.candidate == version:
             return rollout
@@ -75,7 +77,7 @@
 
 
 def count_wanted(rollout: Rollout | None, rows: list[UpstreamRow]) -> int:
-    """Return the holders a version should have, one stage of its roll-out ahead."""
+    """Return the wanted number of holders, one stage of the roll-out ahead."""
     if rollout is None:
         return MIN_HOLDERS
 
@@ -90,24 +92,26 @@
     else:
         share = stages[min(rollout.stage + 1, len(stages) - 1)]
 
-    return count_for_share(rollout, rows, share)
+    return count_holders_for_share(rollout, rows, share)
 
 
-def count_for_share(rollout: Rollout, rows: list[UpstreamRow], share: float) -> int:
-    """Return the holders that a share of the incumbent's sessions needs."""
+def count_holders_for_share(
+    rollout: Rollout, rows: list[UpstreamRow], share: float
+) -> int:
+    """Return the number of holders needed for a share of the incumbent's sessions."""
     serving = {rollout.incumbent, rollout.candidate}
     pool = sum(1 for row in rows if serving & set(row.announcement.versions))
     return max(ceil(share * pool), MIN_HOLDERS)
 
 
 def is_stage_loaded(tables: Tables, rollout: Rollout, stage: int, now: float) -> bool:
-    """Return whether enough upstreams report the candidate for a stage to begin."""
-    rows = list_live(tables, now)
+    """Return whether enough upstreams report the candidate to start a stage."""
+    rows = list_live_engines(tables, now)
     stages = rollout.pace.stages
-    wanted = count_for_share(rollout, rows, stages[min(stage, len(stages) - 1)])
+    wanted = count_holders_for_share(rollout, rows, stages[min(stage, len(stages) - 1)])
     return count_holders(rows, rollout.candidate) >= min(wanted, len(rows))
 
 
 def count_holders(rows: list[UpstreamRow], version: VersionId) -> int:
-    """Return how many upstreams report the version."""
+    """Return the number of upstreams that report the version."""
     return sum(1 for row in rows if version in row.announcement.versions)
--- a/src/waxwingwell/decisions/quality.py
+++ b/src/waxwingwell/decisions/quality.py
@@ -1,4 +1,4 @@
-"""Estimates of a version's quality for one workspace and kind of work."""
+"""Estimates of a version's quality by workspace and kind of work."""
 
 from __future__ import annotations
 
@@ -13,21 +13,23 @@
 
 
 PRIOR_WEIGHT = 1.0
-"""Ratings that ``VersionSpec.quality_prior`` is worth."""
+"""Weight of ``VersionSpec.quality_prior``, in ratings."""
 POOL_WEIGHT = 2.0
-"""Most ratings that the workspace's other kinds together are worth."""
+"""Maximum weight of the workspace's other kinds together, in ratings."""
 PRIOR_VARIANCE = 0.04
-"""Variance of a single rating before any was seen."""
+"""Prior variance of a single rating."""
 VARIANCE_WEIGHT = 8.0
+"""Weight of ``PRIOR_VARIANCE``, in ratings."""
 ESCALATED_LOSS = 0.05
-"""Loss of a version on escalated requests, which are the hard ones, before any."""
+"""Prior loss of quality on escalated requests, which are the hard ones."""
 ESCALATED_WEIGHT = 4.0
+"""Weight of the prior for escalated requests, in ratings."""
 ESCALATED_SUFFIX = "+escalated"
 
 
 @dataclass(frozen=True, slots=True)
 class Estimate:
-    """Mean rating of a version, with its standard error and a rating's deviation."""
+    """Mean rating of a version, its standard error and the ratings' deviation."""
 
     mean: float
     error: float
@@ -40,16 +42,16 @@
 ) -> Estimate:
     """Estimate quality from own ratings, other kinds' ratings and the prior.
 
-    The other kinds and the prior weigh as a few ratings do, so that they count
-    where ratings are sparse and vanish where there are many.
+    The other kinds and the prior have the weight of a few ratings, so that they matter
+    where ratings are sparse and are negligible where there are many.
     """
     spec = tables.versions[version]
     weight = PRIOR_WEIGHT
     total = PRIOR_WEIGHT * spec.quality_prior
-    own = tables.opinions.get((workspace, kind, version))
+    own = tables.rating_stats.get((workspace, kind, version))
     rated = own.rated if own else 0.0
     if rated < PRIOR_VARIANCE / 0.0001:
-        pooled, pooled_total = _pool_kinds(tables, workspace, kind, version)
+        pooled, pooled_total = _pool_other_kinds(tables, workspace, kind, version)
         if pooled:
             share = min(POOL_WEIGHT, pooled)
             weight += share
@@ -71,11 +73,11 @@
     return Estimate(mean, deviation / weight**0.5, deviation, own.rated)
 
 
-def name_escalated(kind: str) -> str:
-    """Return the kind under which escalated answers are rated.
+def get_escalated_kind(kind: str) -> str:
+    """Return the name of the kind under which escalated responses are rated.
 
-    Failure: escalated requests are the hard ones, so their ratings would make a
-    strong version look worse for all requests than it is. They are kept apart.
+    Escalated requests are the hard ones. Counted with the others, their ratings would
+    underestimate a strong version's quality over all requests.
     """
     return kind + ESCALATED_SUFFIX
 
@@ -85,20 +87,21 @@
     workspace: WorkspaceId,
     kind: str,
     version: VersionId,
-    whole: Estimate,
+    overall: Estimate,
 ) -> Estimate:
-    """Estimate the quality of ``version`` on escalated requests alone."""
-    own = tables.opinions.get((workspace, name_escalated(kind), version))
+    """Estimate the quality of ``version`` on escalated requests only."""
+    own = tables.rating_stats.get((workspace, get_escalated_kind(kind), version))
     rated = own.rated if own else 0.0
     total = own.total if own else 0.0
     weight = ESCALATED_WEIGHT + rated
-    mean = (ESCALATED_WEIGHT * (whole.mean - ESCALATED_LOSS) + total) / weight
-    return Estimate(mean, whole.deviation / weight**0.5, whole.deviation, rated)
+    mean = (ESCALATED_WEIGHT * (overall.mean - ESCALATED_LOSS) + total) / weight
+    return Estimate(mean, overall.deviation / weight**0.5, overall.deviation, rated)
 
 
-def _pool_kinds(
+def _pool_other_kinds(
     tables: Tables, workspace: WorkspaceId, kind: str, version: VersionId
 ) -> tuple[float, float]:
+    """Return the number and the total of the ratings of the workspace's other kinds."""
     config = tables.workspaces.get(workspace)
     if config is None:
         return 0.0, 0.0
@@ -109,9 +112,9 @@
         if other.name == kind:
             continue
 
-        opinion = tables.opinions.get((workspace, other.name, version))
-        if opinion is not None:
-            rated += opinion.rated
-            total += opinion.total
+        stats = tables.rating_stats.get((workspace, other.name, version))
+        if stats is not None:
+            rated += stats.rated
+            total += stats.total
 
     return rated, total
--- a/src/waxwingwell/decisions/queue.py
+++ b/src/waxwingwell/decisions/queue.py
@@ -1,8 +1,8 @@
-"""The waiting queue of an entry: a table, and systems that run over it.
+"""The waiting queue of an entry, and the functions that operate on it.
 
-Higher priorities go first, and among equals the workspace that holds least. The
-queue is bounded by the wait it implies, not by a count: places in it mean nothing
-to a caller, seconds do.
+Higher priorities go first, and within a priority the workspace with the fewest
+requests in flight. The queue is bounded by the expected wait, not by its length,
+since a caller notices only the time.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING
 
 from ..records import Priority
-from .claims import claim_place
+from .claims import claim_slot
 from .shares import find_over_share
 from .tables import Refusal
 from .tables import Waiting
@@ -32,104 +32,104 @@
 
 
 SHED_MARGIN = 2.0
-"""Finishes may come this much faster than of late before work is shed early."""
+"""Factor on the recent completion rate, so that work is not shed too early."""
 
 
 @dataclass(frozen=True, slots=True)
-class Taken:
-    """A waiting request that has left the queue, and what becomes of it."""
+class Dequeued:
+    """A request that has left the waiting queue, and its outcome."""
 
     waiting: Waiting
     result: UpstreamChoice | Refusal
-    """Where to dispatch it now, or its final refusal."""
+    """The upstream to dispatch it to now, or its final refusal."""
 
 
 def place_work(
     tables: Tables, work: Work, version: VersionId, *, now: float, draw: float
 ) -> UpstreamChoice | Refusal | Waiting:
-    """Place admitted work: at an upstream now, in the queue, or refuse it.
+    """Choose an upstream for admitted work, or enqueue or refuse it.
 
-    Work never passes those that wait already; call ``take_next`` after it. A chosen
-    place stays claimed until ``note_dispatch`` or ``release``.
+    New work never overtakes requests that already wait; call ``take_next`` afterwards.
+    The slot at a chosen upstream stays reserved until ``note_dispatch`` or ``release``.
     """
     if tables.waiting:
-        return put_waiting(tables, work, version, now)
+        return enqueue(tables, work, version, now)
 
     result = choose_upstream(tables, work, version, now=now, draw=draw)
     if isinstance(result, Refusal) and result.code == BUSY:
-        return put_waiting(tables, work, version, now)
+        return enqueue(tables, work, version, now)
 
     if isinstance(result, UpstreamChoice):
-        claim_place(tables, work.request, result.upstream)
+        claim_slot(tables, work.request, result.upstream)
 
     return result
 
 
-def put_waiting(tables: Tables, work: Work, version: VersionId, now: float) -> Waiting:
-    """Let an admitted request wait; it leaves by ``take_next`` or ``shed_expired``."""
+def enqueue(tables: Tables, work: Work, version: VersionId, now: float) -> Waiting:
+    """Enqueue an admitted request; ``take_next`` or ``shed_expired`` removes it."""
     config = tables.workspaces.get(work.workspace)
     expires_at = now + (config.limits.max_wait if config else 0.0)
     if work.deadline:
         expires_at = min(expires_at, work.deadline)
 
-    tables.waited += 1
-    waiting = Waiting(work, version, now, expires_at, tables.waited)
+    tables.enqueued += 1
+    waiting = Waiting(work, version, now, expires_at, tables.enqueued)
     tables.waiting[work.request] = waiting
     return waiting
 
 
 def remove_waiting(tables: Tables, request: str) -> Waiting | None:
-    """Take out a request whose caller has gone; None if it had left already."""
+    """Remove and return a cancelled request; None if it is no longer queued."""
     return tables.waiting.pop(request, None)
 
 
-def take_next(tables: Tables, now: float, draw: float) -> Taken | None:
-    """Take the next request that has room somewhere; None if none has.
+def take_next(tables: Tables, now: float, draw: float) -> Dequeued | None:
+    """Dequeue the next request for which an upstream has capacity; None if none.
 
-    Run it each tick and after each finish until it gives None. Whatever changed
-    while the request waited (a withdrawal, say) must be checked after it.
+    Call it on each tick and after each completion until it returns None. The caller
+    must check what may have changed during the wait, such as a withdrawal.
     """
-    over = find_over_share(tables)
-    full: dict[tuple[str, tuple[str, ...]], int] = {}
-    for waiting in sort_waiting(tables, over):
+    over_share = find_over_share(tables)
+    saturated: dict[tuple[str, tuple[str, ...]], int] = {}
+    for waiting in sort_waiting(tables, over_share):
         work = waiting.work
-        if (work.workspace, work.priority) in over:
+        if (work.workspace, work.priority) in over_share:
             work = replace(work, priority=Priority.REPORT)
 
-        spot = (work.service or waiting.version, list_allowed(tables, work))
-        if full.get(spot, len(RANK)) <= RANK[work.priority]:
+        pool = (work.service or waiting.version, list_allowed(tables, work))
+        if saturated.get(pool, len(RANK)) <= RANK[work.priority]:
             continue
 
         result = choose_upstream(tables, work, waiting.version, now=now, draw=draw)
         if isinstance(result, Refusal) and result.code == BUSY:
-            full[spot] = RANK[work.priority]
+            saturated[pool] = RANK[work.priority]
             continue
 
         del tables.waiting[work.request]
         if isinstance(result, UpstreamChoice):
-            claim_place(tables, work.request, result.upstream)
+            claim_slot(tables, work.request, result.upstream)
 
-        return Taken(waiting, result)
+        return Dequeued(waiting, result)
 
     return None
 
 
 def list_allowed(tables: Tables, work: Work) -> tuple[str, ...]:
-    """Return the data centres where the work may run; empty allows all."""
+    """Return the data centres where the work may run; if empty, all are allowed."""
     config = tables.workspaces.get(work.workspace)
     return config.data_centres if config else ()
 
 
 def sort_waiting(
-    tables: Tables, over: set[tuple[WorkspaceId, Priority]]
+    tables: Tables, over_share: set[tuple[WorkspaceId, Priority]]
 ) -> list[Waiting]:
-    """Return the waiting requests in the order in which they are served."""
+    """Return the waiting requests in the order of service."""
     held = {name: demand.in_flight for name, demand in tables.demand.items()}
 
     def order(waiting: Waiting) -> tuple[bool, int, int, int]:
         work = waiting.work
         return (
-            (work.workspace, work.priority) in over,
+            (work.workspace, work.priority) in over_share,
             RANK[work.priority],
             held.get(work.workspace, 0),
             waiting.number,
@@ -138,10 +138,10 @@
     return sorted(tables.waiting.values(), key=order)
 
 
-def shed_expired(tables: Tables, now: float) -> list[Taken]:
-    """Take out those whose time is over or whose turn would come too late.
+def shed_expired(tables: Tables, now: float) -> list[Dequeued]:
+    """Dequeue the requests that have expired or can't be served in time.
 
-    Higher priorities that arrived later push waiting work back. What can no longer be
+    Later arrivals of higher priority delay waiting work. Work that can no longer be
     served in time is refused at once rather than at the end of its wait.
     """
     rate = estimate_finish_rate(tables, now) * SHED_MARGIN
@@ -155,13 +155,13 @@
             continue
 
         del tables.waiting[waiting.work.request]
-        shed.append(Taken(waiting, refuse_late(waiting, now)))
+        shed.append(Dequeued(waiting, refuse_expired(waiting, now)))
 
     return shed
 
 
-def refuse_late(waiting: Waiting, now: float) -> Refusal:
-    """Return the refusal of a request that waited in vain."""
+def refuse_expired(waiting: Waiting, now: float) -> Refusal:
+    """Return the refusal of a request that was not served in time."""
     waited = max(now - waiting.arrived_at, 0.0)
     return Refusal(
         "overloaded", "no upstream had room in time", 503, min(max(waited, 1.0), 30.0)
