--- a/src/waxwingwell/routing/__init__.py
+++ b/src/waxwingwell/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions of gateways: which upstream a request goes to, and whether it goes at all.
+"""Routing decisions of gateways: admission of requests and choice of the upstream.
 
-Pure code over tables: no I/O, no reactor, the present time is an argument.
+Pure functions over tables: no I/O, no reactor; the current time is an argument.
 """
--- a/src/waxwingwell/routing/admission.py
+++ b/src/waxwingwell/routing/admission.py
@@ -1,31 +1,32 @@
-"""Whether a request is worth sending at all, and when its caller may come back.
+"""Admission of requests by expected wait, and the retry delay of refused callers.
 
-Answers the load at which even the best upstream's queue outlasts the caller: a request
-sent into it takes an engine's time for an answer that nobody waits for, and its caller
-learns so only at the end.
+Under overload even the best upstream's queue may outlast the caller's timeout. Sending
+the request anyway would spend engine time on a response that nobody waits for, and the
+caller would learn of the failure only at the end.
 """
 
 from __future__ import annotations
 
 
-SHORTEST_PAUSE = 0.2
-"""Seconds; a caller that comes back sooner finds the same queue."""
+MIN_RETRY_AFTER_SECONDS = 0.2
+"""Shortest retry delay: a caller that retries sooner finds the same queue."""
 LONGEST_PART = 0.33
-"""Of the time that a caller has left: callers wait no longer before they come back."""
+"""Longest retry delay, as a part of the time that the caller has left."""
 
 
 def can_be_served(wait: float, remaining: float) -> bool:
-    """Tell whether a first event is expected before the caller leaves; in seconds.
+    """Return whether the first event is expected before the caller's timeout.
 
-    The whole of the remaining time is allowed: the estimate is rough, and a request
-    refused in vain costs its caller more than one that comes too late costs the others.
+    Both arguments are in seconds. All of the remaining time may be used: the estimate
+    is rough, and refusing a request that could have been served costs its caller more
+    than a response that comes too late costs the other callers.
     """
     return wait <= remaining
 
 
 def choose_pause(wait: float, remaining: float) -> float:
-    """Return the seconds after which a refused caller may come back.
+    """Return the seconds after which a refused caller may retry.
 
-    By then the queue that is in its way has drained, if it still has time for that.
+    By then the queue ahead of the request has drained, if the time left allows it.
     """
-    return max(min(wait, remaining * LONGEST_PART), SHORTEST_PAUSE)
+    return max(min(wait, remaining * LONGEST_PART), MIN_RETRY_AFTER_SECONDS)
--- a/src/waxwingwell/routing/fleet.py
+++ b/src/waxwingwell/routing/fleet.py
@@ -1,7 +1,7 @@
-"""The table of upstreams, as their announcements tell it.
+"""Table of upstreams, built from their announcements.
 
-News of an upstream is ordered by incarnation, then by sequence: a heartbeat that was
-held up by a partition may arrive after its sender has left or started anew.
+Announcements of an upstream are ordered by incarnation, then by sequence number: a
+heartbeat delayed by a partition may arrive after its sender has left or restarted.
 """
 
 from __future__ import annotations
@@ -19,15 +19,15 @@
 
 
 TOMBSTONE_SECONDS = 60.0
-"""How long an upstream that left is remembered, so that late news can't bring it back;
-held-up heartbeats were seen tens of seconds late."""
+"""Seconds for which an upstream that left is remembered, so that a late announcement
+does not restore it; heartbeats have arrived tens of seconds late."""
 MISSED_HEARTBEATS = 5.0
-"""Heartbeats an upstream may miss before it gets no new work: a heartbeat may be
-seconds late, and requests to a dead upstream fail fast by themselves."""
+"""Heartbeats that an upstream may miss before it gets no new work. A heartbeat may be
+seconds late, and requests to a dead upstream fail fast anyway."""
 
 
 class UpstreamState(StrEnum):
-    """What an upstream says of itself."""
+    """State that an upstream announces."""
 
     SERVING = "serving"
     LEAVING = "leaving"
@@ -35,7 +35,7 @@
 
 
 class Announcement(msgspec.Struct, frozen=True, kw_only=True):
-    """One piece of news about one upstream."""
+    """State and address of one upstream at one time."""
 
     upstream: str
     service: str
@@ -46,17 +46,17 @@
     slots: int
     state: UpstreamState
     incarnation: int
-    """Start of the upstream, in milliseconds since the epoch by its own clock."""
+    """Start time of the upstream by its own clock, in milliseconds since the epoch."""
     sequence: int
-    """Counts the announcements of one incarnation."""
+    """Number of the announcement within its incarnation."""
     models: tuple[str, ...] = ()
     warming: float = 0.0
-    """Seconds for which it will still be slow after its start."""
+    """Seconds of warm-up left, during which the upstream is slow."""
 
 
 @dataclass(slots=True)
 class Upstream:
-    """The latest announcement of an upstream, and when it came."""
+    """Latest announcement of an upstream, and when it or a heartbeat was received."""
 
     news: Announcement
     heard_at: float
@@ -69,50 +69,56 @@
     upstreams: dict[str, Upstream] = field(default_factory=dict)
 
 
-def is_newer(news: Announcement, held: Announcement) -> bool:
-    """Tell whether ``news`` comes after what is held; a leave ends an incarnation."""
-    if news.incarnation != held.incarnation:
-        return news.incarnation > held.incarnation
+def is_newer(announcement: Announcement, held: Announcement) -> bool:
+    """Return whether ``announcement`` is newer than the one held.
+
+    After ``GONE`` nothing of the same incarnation is newer.
+    """
+    if announcement.incarnation != held.incarnation:
+        return announcement.incarnation > held.incarnation
 
     if held.state is UpstreamState.GONE:
         return False
 
-    return news.state is UpstreamState.GONE or news.sequence > held.sequence
+    return (
+        announcement.state is UpstreamState.GONE
+        or announcement.sequence > held.sequence
+    )
 
 
-def take_news(table: FleetTable, news: Announcement, now: float) -> bool:
-    """Take news in; tell whether it changed what requests may use."""
-    held = table.upstreams.get(news.upstream)
+def take_news(table: FleetTable, announcement: Announcement, now: float) -> bool:
+    """Apply an announcement; return whether it changed what placement depends on."""
+    held = table.upstreams.get(announcement.upstream)
     if held is None:
-        table.upstreams[news.upstream] = Upstream(news, now)
+        table.upstreams[announcement.upstream] = Upstream(announcement, now)
         return True
 
-    if not is_newer(news, held.news):
+    if not is_newer(announcement, held.news):
         return False
 
-    changed = describe(held.news) != describe(news)
-    held.news = news
+    changed = list_placement_fields(held.news) != list_placement_fields(announcement)
+    held.news = announcement
     held.heard_at = now
     return changed
 
 
-def describe(news: Announcement) -> tuple[object, ...]:
-    """Return what placing depends on, without the counters."""
+def list_placement_fields(announcement: Announcement) -> tuple[object, ...]:
+    """Return the fields that placement depends on; not the sequence number."""
     return (
-        news.service,
-        news.host,
-        news.port,
-        news.version,
-        news.state,
-        news.incarnation,
-        news.models,
+        announcement.service,
+        announcement.host,
+        announcement.port,
+        announcement.version,
+        announcement.state,
+        announcement.incarnation,
+        announcement.models,
     )
 
 
 def refresh(
     table: FleetTable, heard: Iterable[tuple[str, int, int]], now: float
 ) -> None:
-    """Note that upstreams still sent heartbeats: id, incarnation, sequence."""
+    """Record heartbeats of upstreams: id, incarnation, sequence number."""
     for upstream, incarnation, sequence in heard:
         held = table.upstreams.get(upstream)
         if held is None or held.news.incarnation != incarnation:
@@ -124,7 +130,7 @@
 
 
 def drop_tombstones(table: FleetTable, now: float) -> None:
-    """Forget upstreams that left, or that nobody has heard of, long ago."""
+    """Remove upstreams without an announcement or heartbeat for a long time."""
     stale = [
         name
         for name, held in table.upstreams.items()
@@ -137,26 +143,26 @@
 def list_serving(
     table: FleetTable, service: str, *, heard_after: float
 ) -> list[Announcement]:
-    """Return the upstreams of a service that take work and were heard of lately.
+    """Return the serving upstreams of a service that were heard after a given time.
 
-    An address that two upstreams claim belongs to the one that started last: addresses
-    of upstreams that crashed are used again.
+    If two upstreams announce the same address, only the one that started last is
+    used: addresses of crashed upstreams are reused.
     """
     newest: dict[tuple[str, int], Announcement] = {}
     for held in table.upstreams.values():
-        news = held.news
-        if news.state is UpstreamState.GONE:
+        announcement = held.news
+        if announcement.state is UpstreamState.GONE:
             continue
 
-        place = (news.host, news.port)
-        known = newest.get(place)
-        if known is None or news.incarnation > known.incarnation:
-            newest[place] = news
+        address = (announcement.host, announcement.port)
+        known = newest.get(address)
+        if known is None or announcement.incarnation > known.incarnation:
+            newest[address] = announcement
 
     return [
-        news
-        for news in newest.values()
-        if news.service == service
-        and news.state is UpstreamState.SERVING
-        and table.upstreams[news.upstream].heard_at >= heard_after
+        announcement
+        for announcement in newest.values()
+        if announcement.service == service
+        and announcement.state is UpstreamState.SERVING
+        and table.upstreams[announcement.upstream].heard_at >= heard_after
     ]
--- a/src/waxwingwell/routing/health.py
+++ b/src/waxwingwell/routing/health.py
@@ -1,6 +1,7 @@
-"""Which upstreams a gateway avoids, from what its own requests met.
+"""Passive health tracking of upstreams, from the outcome of a gateway's own requests.
 
-Health checks are not asked: they cost upstreams' time, and may be wrong both ways.
+There are no active health checks: they cost upstreams' time, and may report a failing
+upstream as healthy or a healthy one as failing.
 """
 
 from __future__ import annotations
@@ -10,75 +11,77 @@
 from dataclasses import field
 
 
-FIRST_PAUSE = 1.0
-"""Seconds that an upstream gets no work after it could not be reached."""
-LONGEST_PAUSE = 8.0
-"""Bound of the pause, which doubles with each failure in a row; upstreams that crash
-are back within a few seconds, or gone for good."""
-MEMORY_SECONDS = 6.0
-"""Time constant in which failures are forgotten."""
-PRIOR_ANSWERS = 4.0
-"""Good answers assumed of an upstream of which little is known."""
+MIN_BACKOFF_SECONDS = 1.0
+"""Seconds for which an upstream gets no work after it could not be reached."""
+MAX_BACKOFF_SECONDS = 8.0
+"""Upper bound of the back-off, which doubles with each consecutive failure. Upstreams
+that crash are back within a few seconds, or gone for good."""
+DECAY_SECONDS = 6.0
+"""Time constant of the exponential decay of response and failure counts."""
+PRIOR_SUCCESSES = 4.0
+"""Successful responses assumed in advance, so that a first failure weighs little."""
 
 
 @dataclass(slots=True)
 class Health:
-    """What was met at one upstream, with the weight of the past falling."""
+    """Decayed counts of responses and failures of one upstream, and its back-off."""
 
-    answers: float = 0.0
+    responses: float = 0.0
     failures: float = 0.0
-    at: float = 0.0
-    pause: float = 0.0
-    paused_until: float = -math.inf
+    updated_at: float = 0.0
+    backoff: float = 0.0
+    backoff_until: float = -math.inf
 
 
 @dataclass(slots=True)
 class HealthTable:
-    """Health by upstream id."""
+    """Health of upstreams, by id."""
 
-    known: dict[str, Health] = field(default_factory=dict)
+    upstreams: dict[str, Health] = field(default_factory=dict)
 
 
 def note_answer(table: HealthTable, upstream: str, now: float, *, failed: bool) -> None:
-    """Count an answer, or the lack of one."""
-    health = table.known.setdefault(upstream, Health(at=now))
-    fade(health, now)
-    health.answers += 1.0
+    """Count a response, or the lack of one as a failure."""
+    health = table.upstreams.setdefault(upstream, Health(updated_at=now))
+    decay(health, now)
+    health.responses += 1.0
     if failed:
         health.failures += 1.0
     else:
-        health.pause = 0.0
+        health.backoff = 0.0
 
 
 def note_unreachable(table: HealthTable, upstream: str, now: float) -> None:
-    """Give an upstream no work for a while."""
-    health = table.known.setdefault(upstream, Health(at=now))
-    if now < health.paused_until:
+    """Start a back-off, twice as long as the last one if the upstream still fails."""
+    health = table.upstreams.setdefault(upstream, Health(updated_at=now))
+    if now < health.backoff_until:
         return
 
-    health.pause = min(max(health.pause * 2, FIRST_PAUSE), LONGEST_PAUSE)
-    health.paused_until = now + health.pause
+    health.backoff = min(
+        max(health.backoff * 2, MIN_BACKOFF_SECONDS), MAX_BACKOFF_SECONDS
+    )
+    health.backoff_until = now + health.backoff
 
 
-def fade(health: Health, now: float) -> None:
-    """Let the past count less."""
-    factor = math.exp(-(now - health.at) / MEMORY_SECONDS)
-    health.answers *= factor
+def decay(health: Health, now: float) -> None:
+    """Decay the counts to the present time."""
+    factor = math.exp(-(now - health.updated_at) / DECAY_SECONDS)
+    health.responses *= factor
     health.failures *= factor
-    health.at = now
+    health.updated_at = now
 
 
-def is_paused(table: HealthTable, upstream: str, now: float) -> bool:
-    """Tell whether an upstream gets no work at present."""
-    health = table.known.get(upstream)
-    return health is not None and now < health.paused_until
+def is_backing_off(table: HealthTable, upstream: str, now: float) -> bool:
+    """Return whether an upstream gets no work at present."""
+    health = table.upstreams.get(upstream)
+    return health is not None and now < health.backoff_until
 
 
-def failure_share(table: HealthTable, upstream: str, now: float) -> float:
-    """Return the share of lately failed answers, 0 to 1."""
-    health = table.known.get(upstream)
+def failure_rate(table: HealthTable, upstream: str, now: float) -> float:
+    """Return the share of recent requests that failed, from 0 to 1."""
+    health = table.upstreams.get(upstream)
     if health is None:
         return 0.0
 
-    fade(health, now)
-    return health.failures / (health.answers + PRIOR_ANSWERS)
+    decay(health, now)
+    return health.failures / (health.responses + PRIOR_SUCCESSES)
--- a/src/waxwingwell/routing/load.py
+++ b/src/waxwingwell/routing/load.py
@@ -1,7 +1,7 @@
-"""What is running where, as one gateway knows it.
+"""Load of the upstreams, as one gateway knows it.
 
-Its own requests it knows exactly; those of the others come in sums that are a fraction
-of a second old, and all gateways read the same ones.
+A gateway knows its own requests exactly. Those of the other gateways come as totals
+that are a fraction of a second old, the same for all gateways.
 """
 
 from __future__ import annotations
@@ -19,102 +19,106 @@
     from collections.abc import Iterable
 
 
-FRESH_SECONDS = 1.5
-"""Age up to which the others' sum is used; it comes four times a second."""
-MANY_GATEWAYS = 64
-"""Assumed by a gateway that has heard of no other yet; about the largest in use."""
-MOST_SECONDS = 60.0
-"""For which the largest number of gateways counts after it was heard last: longer than
-controls are cut off from each other."""
-USAGE_SECONDS = 3.0
-"""Time over which the usage of engines is taken; bursts last a few seconds."""
+MAX_TOTAL_AGE_SECONDS = 1.5
+"""Age up to which the other gateways' totals are used; they come four times a
+second."""
+ASSUMED_GATEWAYS = 64
+"""Gateways assumed before the first totals; about the largest number deployed."""
+PEAK_SECONDS = 60.0
+"""Seconds for which the largest reported number of gateways counts; longer than
+partitions between controls last."""
+USAGE_WINDOW_SECONDS = 3.0
+"""Window over which the usage of engines is measured; bursts last a few seconds."""
 
 
 @dataclass(slots=True)
-class Use:
-    """Requests under way at one upstream."""
+class UpstreamLoad:
+    """Requests in flight at one upstream."""
 
     running: int = 0
     backlog: float = 0.0
-    """Milliseconds of work for prompts whose first event has not come back."""
+    """Milliseconds of prefill for requests that have no first event yet."""
 
 
 @dataclass(slots=True)
 class LoadTable:
-    """Use of upstreams by id."""
+    """Load of upstreams by id: this gateway's own, and that of the others."""
 
-    own: dict[str, Use] = field(default_factory=dict)
-    others: dict[str, Use] = field(default_factory=dict)
-    others_work: float = 0.0
-    """Milliseconds of reading that the others asked for lately."""
+    own: dict[str, UpstreamLoad] = field(default_factory=dict)
+    others: dict[str, UpstreamLoad] = field(default_factory=dict)
+    others_prefill_ms: float = 0.0
+    """Milliseconds of prefill that the other gateways requested recently."""
     others_at: float = -math.inf
-    """When the sum of the others came."""
-    sent: deque[tuple[float, float]] = field(default_factory=deque)
-    """When we sent prompts lately, and the milliseconds of reading each asks for."""
+    """Time at which the totals of the other gateways were received."""
+    recent_prefills: deque[tuple[float, float]] = field(default_factory=deque)
+    """Times of this gateway's recent requests, each with its prefill milliseconds."""
     gateways: int = 1
-    """Gateways that share the upstreams, this one among them."""
-    most_gateways: int = 1
-    """The most that were heard of lately."""
-    most_at: float = -math.inf
-    """When they were heard of last."""
+    """Gateways that share the upstreams, including this one."""
+    peak_gateways: int = 1
+    """Largest number of gateways reported recently."""
+    peak_at: float = -math.inf
+    """Time at which that number was last reported."""
 
 
 def note_work(table: LoadTable, work: float, now: float) -> None:
-    """Remember the reading that a request asks for."""
-    table.sent.append((now, work))
-    while table.sent and table.sent[0][0] < now - USAGE_SECONDS:
-        table.sent.popleft()
+    """Record the prefill work of a request that is sent, in milliseconds."""
+    table.recent_prefills.append((now, work))
+    while (
+        table.recent_prefills
+        and table.recent_prefills[0][0] < now - USAGE_WINDOW_SECONDS
+    ):
+        table.recent_prefills.popleft()
 
 
 def count_gateways(table: LoadTable) -> int:
-    """Return how many gateways share a budget; many until a control has told.
+    """Return how many gateways share a budget; a large number before the first totals.
 
-    Failure: all gateways restart while controls are away, or controls are cut off from
-    each other and sum a part of the gateways. Each gateway would take too large a part
-    of the budget, and together they would send many times what is allowed.
+    After a restart without reachable controls, or while a partition between controls
+    hides some gateways, a low count would give each gateway too large a share of the
+    budget, and together they would send many times what is allowed.
     """
     if table.others_at == -math.inf:
-        return MANY_GATEWAYS
+        return ASSUMED_GATEWAYS
 
-    return max(table.most_gateways, table.gateways)
+    return max(table.peak_gateways, table.gateways)
 
 
 def estimate_usage(table: LoadTable, engines: int, now: float) -> float:
-    """Return the share of engines' time that reading takes.
+    """Return the share of the engines' time that prefill takes.
 
-    While controls are away, the others are taken to send as much as we do.
+    Without recent totals, each other gateway is assumed to send as much as this one.
     """
     work = read_work(table, now)
-    if now - table.others_at <= FRESH_SECONDS:
-        work += table.others_work
+    if now - table.others_at <= MAX_TOTAL_AGE_SECONDS:
+        work += table.others_prefill_ms
     else:
         work *= table.gateways
 
-    return work / (1000.0 * USAGE_SECONDS * max(engines, 1))
+    return work / (1000.0 * USAGE_WINDOW_SECONDS * max(engines, 1))
 
 
 def read_work(table: LoadTable, now: float) -> float:
-    """Return the milliseconds of reading that we asked for lately."""
-    since = now - USAGE_SECONDS
-    return sum(amount for at, amount in table.sent if at >= since)
+    """Return the milliseconds of prefill that this gateway requested recently."""
+    since = now - USAGE_WINDOW_SECONDS
+    return sum(amount for at, amount in table.recent_prefills if at >= since)
 
 
 def begin_use(table: LoadTable, upstream: str, work: float) -> None:
-    """Count a request that is sent."""
-    use = table.own.setdefault(upstream, Use())
+    """Count a request that is sent to an upstream."""
+    use = table.own.setdefault(upstream, UpstreamLoad())
     use.running += 1
     use.backlog += work
 
 
 def end_prefill(table: LoadTable, upstream: str, work: float) -> None:
-    """Count a request whose prompt has been read."""
+    """Remove the prefill of a request from the backlog."""
     use = table.own.get(upstream)
     if use is not None:
         use.backlog = max(use.backlog - work, 0.0)
 
 
 def end_use(table: LoadTable, upstream: str) -> None:
-    """Count a request that is over."""
+    """Stop counting a request that has ended."""
     use = table.own.get(upstream)
     if use is None:
         return
@@ -125,7 +129,7 @@
 
 
 def list_use(table: LoadTable) -> tuple[UpstreamUse, ...]:
-    """Return our own use, to be told to others."""
+    """Return this gateway's own load, to be reported to the others."""
     return tuple(
         UpstreamUse(upstream=name, running=use.running, backlog=round(use.backlog))
         for name, use in table.own.items()
@@ -141,29 +145,29 @@
     gateways: int,
     now: float,
 ) -> None:
-    """Take the sum over all gateways, less the share that we reported ourselves."""
-    ours = {use.upstream: use for use in reported}
+    """Store the totals over all gateways, less what this gateway reported itself."""
+    reported_uses = {use.upstream: use for use in reported}
     table.others = {}
     for use in total:
-        mine = ours.get(use.upstream)
-        running = use.running - (mine.running if mine else 0)
-        backlog = use.backlog - (mine.backlog if mine else 0.0)
+        reported_use = reported_uses.get(use.upstream)
+        running = use.running - (reported_use.running if reported_use else 0)
+        backlog = use.backlog - (reported_use.backlog if reported_use else 0.0)
         if running > 0:
-            table.others[use.upstream] = Use(running, max(backlog, 0.0))
+            table.others[use.upstream] = UpstreamLoad(running, max(backlog, 0.0))
 
-    table.others_work = max(work, 0.0)
+    table.others_prefill_ms = max(work, 0.0)
     table.others_at = now
     table.gateways = max(gateways, 1)
-    if gateways >= table.most_gateways or now - table.most_at > MOST_SECONDS:
-        table.most_gateways = table.gateways
-        table.most_at = now
+    if gateways >= table.peak_gateways or now - table.peak_at > PEAK_SECONDS:
+        table.peak_gateways = table.gateways
+        table.peak_at = now
 
 
-def read_use(table: LoadTable, upstream: str) -> Use:
-    """Return what all gateways have running at an upstream."""
+def read_use(table: LoadTable, upstream: str) -> UpstreamLoad:
+    """Return the load that all gateways together have at an upstream."""
     own = table.own.get(upstream)
     other = table.others.get(upstream)
-    return Use(
+    return UpstreamLoad(
         (own.running if own else 0) + (other.running if other else 0),
         (own.backlog if own else 0.0) + (other.backlog if other else 0.0),
     )
--- a/src/waxwingwell/routing/lookup.py
+++ b/src/waxwingwell/routing/lookup.py
@@ -1,4 +1,4 @@
-"""Finding the route and the workspace of a request."""
+"""Lookup of the route and the workspace of a request."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DocumentIndex:
-    """A document with its routes, keys and services by what they are asked for."""
+    """A document with indexes of its routes, workspaces and services."""
 
     document: Document
     routes: dict[str, dict[str, Route]] = field(default_factory=dict)
@@ -24,7 +24,7 @@
 
 
 def index_document(document: Document) -> DocumentIndex:
-    """Return the index of a document that has no faults."""
+    """Return the index of a document that has passed validation."""
     index = DocumentIndex(document)
     for route in document.routes:
         index.routes.setdefault(route.host, {})[route.prefix] = route
@@ -37,7 +37,7 @@
 
 
 def find_route(index: DocumentIndex, host: str, target: str) -> Route | None:
-    """Return the route of the longest prefix that begins the target's path."""
+    """Return the host's route with the longest prefix of the target's path."""
     routes = index.routes.get(host)
     if routes is None:
         return None
--- a/src/waxwingwell/routing/messages.py
+++ b/src/waxwingwell/routing/messages.py
@@ -1,6 +1,6 @@
 """Messages between gateways and the controls of a routing group.
 
-They travel on the same links as all our messages; see docs/PROTOCOL.md.
+They use the same links as all other messages; see docs/PROTOCOL.md.
 """
 
 from __future__ import annotations
@@ -13,26 +13,26 @@
 
 
 class Publish(Message, frozen=True, kw_only=True):
-    """Put a document into force, unless a version as high is held already."""
+    """Activate a document, unless an equal or higher version is active already."""
 
     document: Document
     source: bytes
-    """The document as the operator sent it, to be read back unchanged."""
+    """The document as the operator sent it, returned unchanged when it is read."""
 
 
 class BeginRollout(Message, frozen=True, kw_only=True):
-    """Move a service's traffic to upstreams of the version ``target``."""
+    """Start a roll-out of the version ``target`` of a service."""
 
     service: str
     target: str
     duration: float
-    """Seconds within which the move must be done."""
+    """Seconds within which the roll-out must finish."""
     ordered_at: float
-    """Wall clock of the member that took the order; identifies a resend."""
+    """Wall-clock time at which a member accepted the order; identifies duplicates."""
 
 
 class EndRollout(Message, frozen=True, kw_only=True):
-    """Finish a move: the target took over, or is taken back."""
+    """Finish a roll-out: the target is established, or rolled back."""
 
     service: str
     target: str
@@ -41,7 +41,7 @@
 
 
 class GrowRollout(Message, frozen=True, kw_only=True):
-    """Raise the share of sessions that a move has reached."""
+    """Raise the share of sessions that use the target of a roll-out."""
 
     service: str
     target: str
@@ -53,12 +53,12 @@
 
 
 class RolloutState(Message, frozen=True, kw_only=True):
-    """A move of a service's traffic as all members agree on it."""
+    """State of a service's roll-out, as agreed by the members."""
 
     service: str
     target: str
     former: str
-    """The version in use before; empty if none was agreed on."""
+    """Version in use before the roll-out; empty if none had been agreed on."""
     duration: float
     ordered_at: float
     share: float
@@ -67,13 +67,13 @@
 
 
 class SubmitRouting(Message, frozen=True, kw_only=True):
-    """Ask the leader to put a command through the log."""
+    """Ask the leader to append a command to the log."""
 
     command: RoutingCommand
 
 
 class Accepted(Message, frozen=True, kw_only=True):
-    """The command is durable on a majority."""
+    """The command has been stored durably on a majority of the members."""
 
 
 class NotAccepted(Message, frozen=True, kw_only=True):
@@ -83,11 +83,11 @@
 
 
 class ReadRouting(Message, frozen=True, kw_only=True):
-    """Ask the leader for the newest state."""
+    """Ask the leader for the latest state."""
 
 
 class RoutingNow(Message, frozen=True, kw_only=True):
-    """The newest state, proven by the leader's lease."""
+    """The latest state; the leader's lease guarantees that it is current."""
 
     version: int
     source: bytes
@@ -95,120 +95,120 @@
 
 
 class ShareRouting(Message, frozen=True, kw_only=True):
-    """State in force, from a control to its gateways.
+    """The active state, from a control to its gateways.
 
-    ``document`` is compressed msgpack, empty if the receiver has this version.
+    ``document`` is compressed msgpack; empty if the receiver has this version.
     """
 
     index: int
-    """Place in the log; a receiver never steps back."""
+    """Index in the log; a receiver ignores states of a lower index."""
     version: int
     document: bytes
     rollouts: tuple[RolloutState, ...]
 
 
 class ShareNews(Message, frozen=True, kw_only=True):
-    """News of upstreams that changed."""
+    """Announcements of upstreams whose state changed."""
 
     news: tuple[Announcement, ...]
 
 
 class ShareHeartbeats(Message, frozen=True, kw_only=True):
-    """Upstreams that still send heartbeats: id, incarnation, sequence."""
+    """Heartbeats received from upstreams: id, incarnation, sequence number."""
 
     heard: tuple[tuple[str, int, int], ...]
 
 
 class ShareMembers(Message, frozen=True, kw_only=True):
-    """Controls that a process may connect to, by name."""
+    """Names of the controls that a process may connect to."""
 
     controls: tuple[str, ...]
     data_centre: str = ""
-    """Of the control that tells this."""
+    """Data centre of the control that sends this."""
 
 
 class UpstreamUse(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """What gateways have running at an upstream."""
+    """Load that gateways have at an upstream."""
 
     upstream: str
     running: int
     backlog: int
-    """Milliseconds of work for prompts whose first event has not come back yet."""
+    """Milliseconds of prefill for requests that have no first event yet."""
 
 
 class ServiceRepeats(msgspec.Struct, frozen=True, array_like=True):
-    """Requests for a service within the window of the retry budget."""
+    """Requests and retries of a service within the window of the retry budget."""
 
     service: str
     requests: int
-    """Callers' requests."""
+    """Requests of callers."""
     repeats: int
-    """Sends beyond the first of a request."""
+    """Retries: attempts after the first one of a request."""
     drawn: float = 0.0
-    """Repeats that the gateways' own parts of the budget do not cover."""
+    """Retries that the gateways' own parts of the budget do not cover."""
     shares: int = 0
-    """Gateways whose share of the slack is counted in."""
+    """Gateways whose share of the slack is included."""
 
 
 class VersionEvidence(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """Answers of one version of a service since a gateway started."""
+    """Responses of one version of a service since a gateway started."""
 
     service: str
     version: str
     answers: int
     failures: int
     seconds: float
-    """Sum of the times to the first byte."""
+    """Total of the times to the first byte."""
 
 
 class GatewayReport(Message, frozen=True, kw_only=True):
-    """What one gateway tells the others, through a control."""
+    """Report of one gateway to the others, through a control."""
 
     gateway: str
     run: int = 0
-    """Tells a process of this gateway from the one before."""
+    """Distinguishes a process of this gateway from the previous one."""
     use: tuple[UpstreamUse, ...]
     evidence: tuple[VersionEvidence, ...]
     work: float = 0.0
-    """Milliseconds of reading asked of engines in the last seconds."""
+    """Milliseconds of prefill requested from engines in the last seconds."""
     held: int = -1
-    """Place in the controls' log of the state that the gateway holds."""
+    """Index in the controls' log of the state that the gateway has."""
     kept: tuple[int, ...] = ()
-    """Places of sessions under way that keep a former version in a move."""
+    """Hash positions of active sessions that keep a former version in a roll-out."""
     repeats: tuple[ServiceRepeats, ...] = ()
     read: tuple[int, ...] = ()
-    """Hashes of parts of prompts that engines have read since the last report."""
+    """Hashes of prompt blocks that engines have processed since the last report."""
 
 
 class FleetReport(Message, frozen=True, kw_only=True):
-    """Sum over all gateways but the receiver's own share, which it knows better."""
+    """Totals over all gateways; a receiver subtracts what it reported itself."""
 
     gateways: int
     use: tuple[UpstreamUse, ...]
     work: float = 0.0
     held: int = -1
-    """The oldest place in the controls' log among the gateways'."""
+    """Lowest index in the controls' log among the gateways' states."""
     kept: tuple[int, ...] = ()
     repeats: tuple[ServiceRepeats, ...] = ()
     read: tuple[int, ...] = ()
-    """Hashes of parts of prompts that engines have read since the last sum."""
+    """Hashes of prompt blocks that engines have processed since the last totals."""
 
 
 class GatewayEvidence(msgspec.Struct, frozen=True, array_like=True):
-    """What a gateway has seen of versions since it started."""
+    """Responses of versions that a gateway has counted since it started."""
 
     gateway: str
     versions: tuple[VersionEvidence, ...]
 
 
 class ControlReport(Message, frozen=True, kw_only=True):
-    """What one control tells the others of the gateways that report to it."""
+    """Report of one control to the others on the gateways attached to it."""
 
     total: FleetReport
     evidence: tuple[GatewayEvidence, ...] = ()
-    """Of gateways whose evidence changed, and now and then of each."""
+    """Evidence of gateways where it changed, and periodically of each gateway."""
     untold: tuple[str, ...] = ()
-    """Gateways that do not tell which state they hold."""
+    """Gateways that do not report which state they have."""
 
 
 RoutingBody = (
--- a/src/waxwingwell/routing/models.py
+++ b/src/waxwingwell/routing/models.py
@@ -1,9 +1,10 @@
-"""Which of a route's models a request is sent to, and when a larger one is asked.
+"""Choice of a route's model for a request, and escalation to a larger one.
 
-A request goes to the smallest model first; what that one is unsure of goes on to the
-largest where a better answer gains more than it costs: the price of the model, and the
-time for which it holds up others on its engine. The smallest model's opinion of its
-answer is a sharp sign.
+A request goes to the smallest model first. If that model has little confidence in its
+response, the request is escalated to the largest model, provided that the expected gain
+exceeds the cost: the price of the model, and the time for which the prefill delays
+other requests on its engine. The smallest model's confidence separates good responses
+from poor ones sharply.
 """
 
 from __future__ import annotations
@@ -20,72 +21,74 @@
 
 
 ANY_MODEL = "*"
-"""What a caller names who leaves the choice to us."""
-DOUBT_MIDDLE = 0.5
-"""Confidence at which an answer is as likely poor as good."""
-DOUBT_WIDTH = 0.05
-"""Confidence over which the chance of a poor answer falls to a quarter."""
-TOKEN_WORTH = 0.006
-"""Worth of an answer for each token that its caller allows, in the unit of the models'
-prices for a token in a thousand: a caller allows more where it expects more."""
-LEAST_PRICE = 0.03
-"""Price of any answer, as a part of what it is worth: it is asked for once more."""
-USUAL_PART = 0.3
-"""Part of the tokens allowed that an answer usually has."""
-READ_PART = 0.25
-"""Price of a token read, as a part of that of one generated."""
-LEAST_WEIGHT = 0.3
-"""Worth of a request of no size, as a part of a usual one's."""
-OUTPUT_FACTOR = 10.0
-"""What a generated token counts in a request's size, beside one that is read."""
-SIZE_LEARNING = 0.02
-"""Weight of a new request in its route's usual size."""
-LATE_WORTH = 0.3
-"""Worth of an answer that comes late, as a part of a timely one's."""
-EARLY_PRESSURE = 0.7
-"""Expected wait, as a share of the time in which the first event is due, up to which an
-answer is taken to be timely."""
+"""Model name by which a caller leaves the choice to the gateway."""
+DOUBT_MIDPOINT = 0.5
+"""Confidence at which a response is as likely poor as good."""
+DOUBT_SCALE = 0.05
+"""Scale of the logistic curve: one scale above the midpoint, about a quarter of the
+responses are poor."""
+TOKEN_VALUE = 0.006
+"""Value of a response per output token that the caller allows, in the unit of the
+models' prices per thousand tokens; callers allow more where they expect more."""
+MIN_PRICE = 0.03
+"""Least price of an escalation, as a part of the response's value, as the request is
+sent once more."""
+TYPICAL_OUTPUT_PART = 0.3
+"""Part of the allowed output tokens that a response usually has."""
+PREFILL_PRICE_PART = 0.25
+"""Price of a prompt token, as a part of that of a generated token."""
+MIN_WEIGHT = 0.3
+"""Weight of a request of size zero; one of typical size has a weight of 1."""
+OUTPUT_TOKEN_FACTOR = 10.0
+"""Size of a generated token in prompt tokens."""
+SIZE_SMOOTHING = 0.02
+"""Weight of a new request in the moving average of its route's request size."""
+LATE_VALUE = 0.3
+"""Value of a late response, as a part of the value of one in time."""
+ON_TIME_PRESSURE = 0.7
+"""Expected wait, as a share of the time in which the first event is due, up to which a
+response is assumed to be in time."""
 LATE_PRESSURE = 1.3
-"""Share from which it is taken to be late."""
-EASY_USAGE = 0.5
-"""Share of the larger model's engines' time that reading takes, up to which one more
-prompt holds nobody up."""
-CROWD_PRICE = 0.0026
-"""Price of a token read at a usage of one above the easy one; it grows with the square
-of the excess."""
+"""Share from which a response is assumed to be late."""
+UNCONTENDED_USAGE = 0.5
+"""Share of the larger model's engines' time spent on prefill, up to which one more
+prompt delays no other request."""
+CONTENTION_PRICE = 0.0026
+"""Price of an uncached prompt token at a usage of 1 above the uncontended one; it grows
+with the square of the excess."""
 
 
 @dataclass(frozen=True, slots=True)
 class Stake:
-    """What an answer of a larger model costs, and what it may bring."""
+    """Inputs of the decision on an escalation: its expected cost and gain."""
 
     output_tokens: int
-    """The most that the caller allows."""
+    """Output tokens that the caller allows at most."""
     prompt_tokens: int
     uncached: int
-    """Prompt tokens that an engine has to read."""
+    """Prompt tokens that need prefill."""
     weight: float
-    """Worth of the request beside that of its route's usual ones."""
+    """Value of the request relative to its route's typical request."""
     cost: float
     """Price of a thousand generated tokens."""
     pressure: float
     """Expected wait, as a share of the time in which the first event is due."""
     usage: float
-    """Share of the larger model's engines' time that reading takes."""
+    """Share of the larger model's engines' time spent on prefill."""
 
 
 def is_sized(route: Route, wanted: str) -> bool:
-    """Tell whether the choice of the model is ours."""
+    """Return whether the gateway chooses the model."""
     return len(route.models) > 0 and wanted == ANY_MODEL
 
 
 def first_model(route: Route) -> str:
-    """Return the model to ask first."""
+    """Return the model that a request is sent to first."""
     return route.models[0]
 
 
 def find_pool(route: Route, wanted: str, model: str) -> Pool:
-    """Return the pool of engines that a model of our choice belongs on."""
+    """Return the pool of engines for a model; any, unless the gateway chose it."""
     if not is_sized(route, wanted) or len(route.models) < 2:
         return Pool.ANY
 
@@ -93,46 +96,49 @@
 
 
 def wants_larger(confidence: float, stake: Stake) -> bool:
-    """Tell whether a larger model is to be asked after an answer of the smallest.
+    """Return whether to escalate to a larger model after the smallest one's response.
 
-    It is where the gain exceeds the price, both as parts of a good answer's worth. The
-    price rises as engines fill up, most for long prompts with short answers: while an
-    engine reads, all its streams wait.
+    The gain must exceed the price, both as parts of a good response's value. The price
+    rises with the usage of the engines, most for long prompts with short responses, as
+    a prefill stalls all streams of its engine.
     """
-    timely = find_timely(stake.pressure)
-    larger = LATE_WORTH + (1.0 - LATE_WORTH) * timely
-    gain = larger - (1.0 - find_doubt(confidence))
+    on_time = estimate_on_time_probability(stake.pressure)
+    larger = LATE_VALUE + (1.0 - LATE_VALUE) * on_time
+    gain = larger - (1.0 - estimate_poor_probability(confidence))
     return gain > find_price(stake)
 
 
 def weigh_size(
-    usual: dict[str, float], route: str, prompt_tokens: int, output_tokens: int
+    typical_sizes: dict[str, float], route: str, prompt_tokens: int, output_tokens: int
 ) -> float:
-    """Return a request's worth beside that of its route's usual ones; learn its size.
+    """Return a request's value relative to its route's typical request.
 
-    ``usual`` holds the usual size by route.
+    Also updates ``typical_sizes``, the moving average of request sizes by route.
     """
-    size = prompt_tokens + OUTPUT_FACTOR * output_tokens
-    mean = usual.setdefault(route, size)
-    usual[route] = mean + SIZE_LEARNING * (size - mean)
-    return LEAST_WEIGHT + (1.0 - LEAST_WEIGHT) * size / max(mean, 1.0)
+    size = prompt_tokens + OUTPUT_TOKEN_FACTOR * output_tokens
+    mean = typical_sizes.setdefault(route, size)
+    typical_sizes[route] = mean + SIZE_SMOOTHING * (size - mean)
+    return MIN_WEIGHT + (1.0 - MIN_WEIGHT) * size / max(mean, 1.0)
 
 
-def find_doubt(confidence: float) -> float:
-    """Return the chance that an answer is poor."""
-    return 1.0 / (1.0 + math.exp((confidence - DOUBT_MIDDLE) / DOUBT_WIDTH))
+def estimate_poor_probability(confidence: float) -> float:
+    """Return the probability that a response of this confidence is poor."""
+    return 1.0 / (1.0 + math.exp((confidence - DOUBT_MIDPOINT) / DOUBT_SCALE))
 
 
-def find_timely(pressure: float) -> float:
-    """Return the chance that an answer begins in time."""
-    spread = LATE_PRESSURE - EARLY_PRESSURE
-    return min(max((LATE_PRESSURE - pressure) / spread, 0.0), 1.0)
+def estimate_on_time_probability(pressure: float) -> float:
+    """Return the probability that a response starts in time."""
+    range_width = LATE_PRESSURE - ON_TIME_PRESSURE
+    return min(max((LATE_PRESSURE - pressure) / range_width, 0.0), 1.0)
 
 
 def find_price(stake: Stake) -> float:
-    """Return what an answer costs, as a part of what a good one is worth."""
-    worth = TOKEN_WORTH * max(stake.output_tokens, 1) * stake.weight
-    made = USUAL_PART * stake.output_tokens + READ_PART * stake.prompt_tokens
-    excess = max(stake.usage - EASY_USAGE, 0.0)
-    crowding = CROWD_PRICE * excess * excess * stake.uncached
-    return max((stake.cost * made / 1000.0 + crowding) / worth, LEAST_PRICE)
+    """Return the price of an escalation, as a part of a good response's value."""
+    value = TOKEN_VALUE * max(stake.output_tokens, 1) * stake.weight
+    billed_tokens = (
+        TYPICAL_OUTPUT_PART * stake.output_tokens
+        + PREFILL_PRICE_PART * stake.prompt_tokens
+    )
+    excess = max(stake.usage - UNCONTENDED_USAGE, 0.0)
+    contention = CONTENTION_PRICE * excess * excess * stake.uncached
+    return max((stake.cost * billed_tokens / 1000.0 + contention) / value, MIN_PRICE)
--- a/src/waxwingwell/routing/placement.py
+++ b/src/waxwingwell/routing/placement.py
@@ -1,6 +1,6 @@
-"""Choosing an upstream among those that may run a request.
+"""Choice of an upstream among those that may run a request.
 
-All costs are in milliseconds that the caller is expected to wait.
+All costs are expressed as milliseconds of expected wait.
 """
 
 from __future__ import annotations
@@ -10,13 +10,13 @@
 
 from .fleet import Announcement
 from .health import HealthTable
-from .health import failure_share
-from .health import is_paused
+from .health import failure_rate
+from .health import is_backing_off
 from .load import LoadTable
 from .load import read_use
 from .prefixes import Part
 from .prefixes import PrefixTable
-from .prefixes import expect_cached
+from .prefixes import estimate_cached_tokens
 from .prefixes import prefer_upstream
 from .records import Service
 
@@ -26,53 +26,54 @@
     from collections.abc import Collection
 
 
-RUNNING_MS = 3.0
-"""What each request already running at an engine adds to the wait for a first event."""
-FULL_MS = 2_000.0
-"""Added for each batch's worth of requests beyond the slots: they wait for a place."""
-SLOT_MS = 25.0
-"""About one call's work at a plain service. Comparing upstreams, each call beyond the
-slots counts whole: a full service soon refuses, which costs another try."""
-FAR_MS = 12.0
-"""A new connection and a request to another data centre, two round trips."""
-FAR_STREAM_MS = 60.0
-"""What a stream from another data centre may cost. On calm links it loses no more
-packets than one from here (0.7 and 2.0 pauses of 0.2 s in a thousand events); what is
-left is the time of a handshake and the chance that just such a link turns bad."""
+RUNNING_REQUEST_MS = 3.0
+"""Wait that each running request of an engine adds before a first event."""
+QUEUED_BATCH_MS = 2_000.0
+"""Wait per full batch of requests beyond the slots, which queue for a slot."""
+CALL_MS = 25.0
+"""Approximate duration of a call of a service that is no model engine. In the
+comparison of upstreams each call beyond the slots counts in full, as a service at
+capacity soon refuses calls, which costs another attempt."""
+REMOTE_MS = 12.0
+"""Cost of a new connection and a request to another data centre: two round trips."""
+REMOTE_STREAM_MS = 60.0
+"""Cost of a stream from another data centre. On stable links it stalls no more often
+from lost packets than a local one (0.7 and 2.0 pauses of 0.2 s per thousand events).
+The cost is the handshake, and the risk that this link degrades."""
 FAILURE_MS = 1_500.0
-"""Cost of a failed try, against which an upstream's share of failures is weighed."""
-SCATTER = 0.1
-"""Share by which costs are scattered."""
-FEW_UPSTREAMS = 4
-"""Up to which all are compared; of more, a sample is drawn."""
-REREAD_TOKEN_MS = 0.02
-"""Least cost of a token that is read again, however fast the model: it pushes other
-prompts' parts out of the engine's memory."""
-WARMING_MS = 400.0
-"""Added while an upstream that has just started is slow."""
-STRAY_MS = 500.0
-"""Cost of an engine that is kept for other models: streams there take a second or two
-longer, which few callers notice; a queue of half a second at the model's own engines
-means that they are full."""
+"""Cost of a failed attempt, multiplied by an upstream's failure rate."""
+JITTER = 0.1
+"""Largest relative random increase of a cost."""
+MAX_COMPARED_UPSTREAMS = 4
+"""Number of upstreams up to which all are compared; of more, a sample is drawn."""
+MIN_PREFILL_TOKEN_MS = 0.02
+"""Least cost of an uncached prompt token, however fast the model: it evicts blocks of
+other prompts from the engine's cache."""
+WARM_UP_MS = 400.0
+"""Cost of an upstream that is still slow after its start."""
+OTHER_POOL_MS = 500.0
+"""Cost of an engine in the pool for other models. Streams there take one or two seconds
+longer, which few callers notice, while a queue of half a second at the engines of the
+model's own pool means that these are at capacity."""
 
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """What a request needs of an upstream."""
+    """Requirements of a request that affect its placement."""
 
     service: Service
     model: str = ""
     prompt_tokens: int = 0
     parts: tuple[Part, ...] = ()
     token_ms: float = 0.02
-    """Milliseconds that reading a prompt token takes the model."""
+    """Milliseconds of prefill per prompt token of the model."""
     pool: frozenset[str] = frozenset()
-    """Engines kept for the model; empty: any."""
+    """Engines reserved for the model; any engine if empty."""
 
 
 @dataclass(frozen=True, slots=True)
 class Surroundings:
-    """What a gateway knows when it places a request."""
+    """State of a gateway that placement depends on."""
 
     data_centre: str
     load: LoadTable
@@ -82,53 +83,54 @@
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """The upstream chosen, and what spoke for it."""
+    """An upstream with the estimates by which it was compared."""
 
     upstream: Announcement
     cost: float
-    """By which upstreams were compared."""
+    """Expected wait plus penalties; the upstream with the lowest cost is chosen."""
     wait: float
-    """Milliseconds until the first event, as expected."""
+    """Expected milliseconds until the first event."""
     work: float
-    """Milliseconds of reading that the request adds."""
+    """Milliseconds of prefill that the request adds."""
     uncached: int
-    """Prompt tokens that it will probably have to read."""
+    """Prompt tokens that probably need prefill."""
     running: int
 
 
 def place_request(
     demand: Demand,
     candidates: Collection[Announcement],
-    surroundings: Surroundings,
+    context: Surroundings,
     now: float,
     draw: Callable[[], float],
 ) -> Placement | None:
-    """Return the best upstream, or None if there is none.
+    """Return the upstream with the lowest cost, or None if there is none.
 
-    Upstreams that could not be reached are used only where no other is left. ``draw``
-    returns a number from 0 to 1. Failure: all gateways read the same sums. If each took
-    the best of all upstreams, hundreds would send to the same one until the next sum.
+    Unreachable upstreams are used only if no other is left. ``draw`` returns a random
+    number from 0 to 1. Only a sample is compared, because all gateways have the same
+    totals: if each took the best of all upstreams, hundreds of gateways would send to
+    the same one until the next totals.
     """
-    sound = [
+    reachable = [
         one
         for one in candidates
-        if not is_paused(surroundings.health, one.upstream, now)
+        if not is_backing_off(context.health, one.upstream, now)
     ]
-    usable = sound or list(candidates)
+    usable = reachable or list(candidates)
     if not usable:
         return None
 
-    preferred = prefer_for(demand, usable, surroundings.data_centre)
+    preferred = prefer_for(demand, usable, context.data_centre)
     compared = usable
-    if len(usable) > FEW_UPSTREAMS:
-        compared = draw_sample(demand, usable, surroundings.data_centre, draw)
-        compared += find_holder(demand, usable, surroundings, now, preferred=preferred)
+    if len(usable) > MAX_COMPARED_UPSTREAMS:
+        compared = draw_sample(demand, usable, context.data_centre, draw)
+        compared += find_best_cached(demand, usable, context, now, preferred=preferred)
 
-    weighed = [
-        weigh_upstream(demand, one, surroundings, now, preferred=preferred)
+    placements = [
+        weigh_upstream(demand, one, context, now, preferred=preferred)
         for one in compared
     ]
-    return min(weighed, key=lambda placement: placement.cost * scatter(draw))
+    return min(placements, key=lambda placement: placement.cost * scatter(draw))
 
 
 def draw_sample(
@@ -137,33 +139,35 @@
     data_centre: str,
     draw: Callable[[], float],
 ) -> list[Announcement]:
-    """Return one upstream nearby, one of all, and one kept for other models.
+    """Return a random local upstream, one of the whole pool, and one of the other pool.
 
-    The better of a few drawn by lot spreads requests evenly, however many gateways
-    there are and however old the sums.
+    Choosing the best of a few random upstreams spreads requests evenly, regardless of
+    the number of gateways and the age of the totals.
     """
-    kept = list_kept(demand, usable)
-    near = [one for one in kept if one.data_centre == data_centre]
-    strays = [one for one in usable if demand.pool and one.upstream not in demand.pool]
-    groups = [group for group in (near, kept, strays) if group]
+    members = list_kept(demand, usable)
+    local = [one for one in members if one.data_centre == data_centre]
+    other_pool = [
+        one for one in usable if demand.pool and one.upstream not in demand.pool
+    ]
+    groups = [group for group in (local, members, other_pool) if group]
     return [group[min(int(draw() * len(group)), len(group) - 1)] for group in groups]
 
 
-def find_holder(
+def find_best_cached(
     demand: Demand,
     usable: list[Announcement],
-    surroundings: Surroundings,
+    context: Surroundings,
     now: float,
     *,
     preferred: str,
 ) -> list[Announcement]:
-    """Return the upstream that has probably cached most of the prompt, if any has."""
+    """Return the upstream with the most expected cached tokens, if any has some."""
     if not demand.parts:
         return []
 
     expected, best = max(
         (
-            (estimate_cached(demand, one, surroundings, now, preferred=preferred), one)
+            (estimate_cached(demand, one, context, now, preferred=preferred), one)
             for one in list_kept(demand, usable)
         ),
         key=lambda pair: pair[0],
@@ -174,14 +178,14 @@
 def estimate_cached(
     demand: Demand,
     upstream: Announcement,
-    surroundings: Surroundings,
+    context: Surroundings,
     now: float,
     *,
     preferred: str,
 ) -> float:
-    """Return the tokens of a request that an upstream probably need not read again."""
-    return expect_cached(
-        surroundings.prefixes,
+    """Return the expected number of a request's tokens that an upstream has cached."""
+    return estimate_cached_tokens(
+        context.prefixes,
         upstream.upstream,
         demand.model,
         demand.parts,
@@ -191,70 +195,70 @@
 
 
 def list_kept(demand: Demand, usable: list[Announcement]) -> list[Announcement]:
-    """Return the upstreams that are kept for a request's model; all, if none is."""
-    kept = [one for one in usable if one.upstream in demand.pool]
-    return kept or usable
+    """Return the upstreams in the pool of a request's model, or all if none is."""
+    members = [one for one in usable if one.upstream in demand.pool]
+    return members or usable
 
 
 def scatter(draw: Callable[[], float]) -> float:
-    """Return a factor by which one gateway's view differs from the others'."""
-    return 1.0 + SCATTER * draw()
+    """Return a random cost factor, so that gateways don't choose alike."""
+    return 1.0 + JITTER * draw()
 
 
 def prefer_for(demand: Demand, usable: list[Announcement], data_centre: str) -> str:
-    """Return the upstream that should hold the largest shared part of the prompt.
+    """Return the upstream that should cache the longest shared prefix of the prompt.
 
-    Each data centre has one of its own, if it has any upstream kept for the model.
+    Each data centre that has an upstream in the model's pool has one of its own.
     """
     shared = demand.parts[:-1]
     if not shared:
         return ""
 
     part = shared[-1][0]
-    kept = list_kept(demand, usable)
-    near = [one.upstream for one in kept if one.data_centre == data_centre]
-    names = near or [one.upstream for one in kept]
+    members = list_kept(demand, usable)
+    local = [one.upstream for one in members if one.data_centre == data_centre]
+    names = local or [one.upstream for one in members]
     return prefer_upstream(names, f"{demand.model}/{part}")
 
 
 def weigh_upstream(
     demand: Demand,
     upstream: Announcement,
-    surroundings: Surroundings,
+    context: Surroundings,
     now: float,
     *,
     preferred: str,
 ) -> Placement:
-    """Return an upstream with the wait that is expected there."""
-    use = read_use(surroundings.load, upstream.upstream)
+    """Return an upstream with its expected wait and cost for a request."""
+    use = read_use(context.load, upstream.upstream)
     wait = 1.0
-    if upstream.data_centre != surroundings.data_centre:
-        wait += FAR_STREAM_MS if demand.service.memory_tokens else FAR_MS
+    if upstream.data_centre != context.data_centre:
+        wait += REMOTE_STREAM_MS if demand.service.memory_tokens else REMOTE_MS
 
     if upstream.warming > 0:
-        wait += WARMING_MS
+        wait += WARM_UP_MS
 
     uncached = 0
-    crowding = 0.0
+    contention = 0.0
     slots = upstream.slots or demand.service.slots or 1
-    over = max(use.running + 1 - slots, 0)
+    excess = max(use.running + 1 - slots, 0)
     if demand.service.memory_tokens:
-        cached = estimate_cached(
-            demand, upstream, surroundings, now, preferred=preferred
-        )
+        cached = estimate_cached(demand, upstream, context, now, preferred=preferred)
         uncached = max(int(demand.prompt_tokens - cached), 0)
         wait += use.backlog + uncached * demand.token_ms
-        wait += RUNNING_MS * use.running + FULL_MS * over / slots
+        wait += RUNNING_REQUEST_MS * use.running + QUEUED_BATCH_MS * excess / slots
     else:
-        wait += SLOT_MS * (use.running + over) / slots
-        crowding = SLOT_MS * over
+        wait += CALL_MS * (use.running + excess) / slots
+        contention = CALL_MS * excess
 
-    stray = STRAY_MS if demand.pool and upstream.upstream not in demand.pool else 0.0
-    reread = uncached * max(REREAD_TOKEN_MS - demand.token_ms, 0.0)
-    failing = failure_share(surroundings.health, upstream.upstream, now)
+    other_pool_cost = (
+        OTHER_POOL_MS if demand.pool and upstream.upstream not in demand.pool else 0.0
+    )
+    recompute = uncached * max(MIN_PREFILL_TOKEN_MS - demand.token_ms, 0.0)
+    failures = failure_rate(context.health, upstream.upstream, now)
     return Placement(
         upstream=upstream,
-        cost=wait + crowding + reread + stray + FAILURE_MS * failing,
+        cost=wait + contention + recompute + other_pool_cost + FAILURE_MS * failures,
         wait=wait,
         work=uncached * demand.token_ms,
         uncached=uncached,
--- a/src/waxwingwell/routing/pools.py
+++ b/src/waxwingwell/routing/pools.py
@@ -1,9 +1,10 @@
-"""Which engines are kept for a route's smallest model, and which for larger ones.
+"""Assignment of engines to pools for a route's smallest model and its larger ones.
 
-An engine makes the tokens of all its streams in common steps, and a step takes the mean
-pace of the models in it. A small model's stream beside large ones is as slow as they
-are, and a large model's prompt stops it for 0.2 s at a time. Apart, the small model's
-streams take a fraction of that, and fewer of them are under way when something fails.
+An engine generates the tokens of all its streams in common steps, and the duration of
+a step is the mean over the models in it. A small model's stream that shares an engine
+with large models is as slow as they are, and the prefill of a large model's prompt
+stalls it for 0.2 s at a time. In a pool of their own the small model's streams take a
+fraction of that, so that fewer of them are in flight when something fails.
 """
 
 from __future__ import annotations
@@ -19,12 +20,12 @@
 
 
 SMALL_SHARE = 0.3
-"""Share of engines kept for the smallest model: it reads every prompt once, a tenth of
-the work that the larger models have with the half of the prompts that they read."""
+"""Share of engines reserved for the smallest model. It processes every prompt once,
+which is a tenth of the work of the larger models, which get half of the prompts."""
 
 
 class Pool(StrEnum):
-    """What an engine is kept for."""
+    """Models that an engine is reserved for."""
 
     ANY = "any"
     SMALL = "small"
@@ -34,8 +35,8 @@
 def list_pool(upstreams: Collection[str], pool: Pool) -> frozenset[str]:
     """Return the engines of a pool.
 
-    Gateways agree without asking, as each ranks the same engines by hash; one that
-    leaves moves at most one other to the other pool.
+    Gateways agree without communication, as each ranks the same engines by hash. An
+    engine that leaves moves at most one other engine to the other pool.
     """
     if pool is Pool.ANY or len(upstreams) < 2:
         return frozenset(upstreams)
--- a/src/waxwingwell/routing/prefixes.py
+++ b/src/waxwingwell/routing/prefixes.py
@@ -1,8 +1,8 @@
-"""Which parts of prompts upstreams have probably cached.
+"""Estimate of which prompt blocks upstreams have in their prefix caches.
 
-A gateway knows what it sent itself and, through the controls, what the others sent.
-While no control tells, it assumes of the rest that every gateway prefers the same
-upstream for the same part, chosen by hash.
+A gateway knows the blocks that it sent itself and, through the controls, those that the
+other gateways sent. Without reports from a control, it assumes that the others send the
+same block to the same preferred upstream, which is chosen by hash.
 """
 
 from __future__ import annotations
@@ -16,42 +16,44 @@
 
 from xxhash import xxh32_intdigest
 
-from .load import FRESH_SECONDS
+from .load import MAX_TOTAL_AGE_SECONDS
 
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
 
-MAX_PARTS = 10_000
-"""Parts remembered by one gateway, about 1.2 MB."""
-MAX_NEWS = 400
-"""Parts told at a time, 2 KB."""
-LIFE_SECONDS = 30.0
-"""After which a part is taken for evicted."""
-RENEW_SECONDS = 5.0
-"""After which a part that is read once more is told again."""
-HASH_TRUST = 0.7
-"""Probability that the upstream chosen by hash has a part that we did not send."""
-TOLD_TRUST = 0.2
-"""The same while others tell what they send: it may be on its way."""
-LEARNING_SECONDS = 10.0
-"""Time for which others must have told before their silence says anything."""
+MAX_BLOCKS = 10_000
+"""Blocks that one gateway remembers, about 1.2 MB."""
+MAX_REPORTED_BLOCKS = 400
+"""Blocks in one report, 2 KB."""
+BLOCK_TTL_SECONDS = 30.0
+"""Seconds after which a block is assumed to be evicted."""
+REPORT_AGAIN_SECONDS = 5.0
+"""Seconds after which a block that is sent again is reported again."""
+HIT_PROBABILITY_WITHOUT_REPORTS = 0.7
+"""Probability that the preferred upstream has cached a block that this gateway did not
+send, while the other gateways' blocks are not reported."""
+HIT_PROBABILITY_WITH_REPORTS = 0.2
+"""The same while they are reported; the block's report may be on its way."""
+MIN_REPORTING_SECONDS = 10.0
+"""Time for which reports must have come without a gap before a block's absence from
+them is taken into account."""
 
 Part = tuple[str, int]
-"""Id of a part of a prompt, and its tokens."""
+"""Id of a prompt block, and its number of tokens."""
 
 
 @dataclass(slots=True)
 class PrefixTable:
-    """When parts were read last, by the hash of upstream, model and part."""
+    """Times of the last prefill of blocks, by the hash of upstream, model and block."""
 
-    read: OrderedDict[int, float] = field(default_factory=OrderedDict)
-    news: dict[int, None] = field(default_factory=dict)
-    """What others should be told."""
-    told_since: float = math.inf
-    """Since when others have told without a gap."""
-    told_at: float = -math.inf
+    prefilled_at: OrderedDict[int, float] = field(default_factory=OrderedDict)
+    unreported: dict[int, None] = field(default_factory=dict)
+    """Blocks to be reported to the other gateways."""
+    reporting_since: float = math.inf
+    """Time since which reports have come without a gap."""
+    reported_at: float = -math.inf
 
 
 @lru_cache(maxsize=16_384)
@@ -60,104 +62,104 @@
     return xxh32_intdigest(text.encode())
 
 
-def hash_part(upstream: str, model: str, part: str) -> int:
-    """Return the key of a part that an upstream has read for a model."""
-    return hash_text(upstream) ^ hash_text(f"{model}/{part}")
+def hash_block(upstream: str, model: str, block: str) -> int:
+    """Return the key of a block that an upstream has processed for a model."""
+    return hash_text(upstream) ^ hash_text(f"{model}/{block}")
 
 
 def note_parts(
-    table: PrefixTable, upstream: str, model: str, parts: tuple[Part, ...], now: float
+    table: PrefixTable, upstream: str, model: str, blocks: tuple[Part, ...], now: float
 ) -> None:
-    """Remember that an upstream has read the parts of a prompt.
+    """Record that an upstream has processed the blocks of a prompt.
 
-    Others are told of the shared ones; the last belongs to the request or its session.
+    All but the last are to be reported; the last belongs to one request or session.
     """
-    keys = [hash_part(upstream, model, part) for part, _ in parts]
+    keys = [hash_block(upstream, model, block) for block, _ in blocks]
     for key in keys[:-1]:
-        if now - table.read.get(key, -math.inf) > RENEW_SECONDS:
-            table.news[key] = None
+        if now - table.prefilled_at.get(key, -math.inf) > REPORT_AGAIN_SECONDS:
+            table.unreported[key] = None
 
-    remember(table, keys, now)
+    store_blocks(table, keys, now)
 
 
-def remember(table: PrefixTable, keys: Iterable[int], now: float) -> None:
-    """Note that parts were read, and forget the oldest beyond the bound."""
+def store_blocks(table: PrefixTable, keys: Iterable[int], now: float) -> None:
+    """Store blocks, and evict the oldest ones above the limit."""
     for key in keys:
-        table.read[key] = now
-        table.read.move_to_end(key)
+        table.prefilled_at[key] = now
+        table.prefilled_at.move_to_end(key)
 
-    while len(table.read) > MAX_PARTS:
-        table.read.popitem(last=False)
+    while len(table.prefilled_at) > MAX_BLOCKS:
+        table.prefilled_at.popitem(last=False)
 
 
 def list_news(table: PrefixTable) -> tuple[int, ...]:
-    """Return what others should be told now."""
-    return tuple(table.news)[:MAX_NEWS]
+    """Return the blocks for the next report."""
+    return tuple(table.unreported)[:MAX_REPORTED_BLOCKS]
 
 
-def drop_news(table: PrefixTable, told: Iterable[int]) -> None:
-    """Note that others were told."""
-    for key in told:
-        table.news.pop(key, None)
+def drop_news(table: PrefixTable, reported: Iterable[int]) -> None:
+    """Remove blocks that have been reported."""
+    for key in reported:
+        table.unreported.pop(key, None)
 
 
-def take_told(table: PrefixTable, told: Iterable[int], now: float) -> None:
-    """Take what others have sent lately."""
-    if now - table.told_at > FRESH_SECONDS:
-        table.told_since = now
+def take_told(table: PrefixTable, reported: Iterable[int], now: float) -> None:
+    """Store blocks that the other gateways have reported."""
+    if now - table.reported_at > MAX_TOTAL_AGE_SECONDS:
+        table.reporting_since = now
 
-    table.told_at = now
-    remember(table, told, now)
+    table.reported_at = now
+    store_blocks(table, reported, now)
 
 
-def expect_cached(
+def estimate_cached_tokens(
     table: PrefixTable,
     upstream: str,
     model: str,
-    parts: tuple[Part, ...],
+    blocks: tuple[Part, ...],
     now: float,
     *,
     preferred: bool,
 ) -> float:
-    """Return the tokens of a prompt that an upstream probably need not read again.
+    """Return the expected number of a prompt's tokens that an upstream has cached.
 
-    A part is of use only where all parts before it are cached too.
+    A block can be reused only if all blocks before it are cached too.
     """
-    trust = find_trust(table, now) if preferred else 0.0
-    expected = 0.0
-    chance = 1.0
-    for part, tokens in parts[:-1]:
-        if not is_known(table, hash_part(upstream, model, part), now):
-            chance *= trust
-
-        if chance <= 0.0:
+    hit_probability = estimate_hit_probability(table, now) if preferred else 0.0
+    tokens_cached = 0.0
+    probability = 1.0
+    for block, tokens in blocks[:-1]:
+        if not is_recent(table, hash_block(upstream, model, block), now):
+            probability *= hit_probability
+
+        if probability <= 0.0:
             break
 
-        expected += chance * tokens
+        tokens_cached += probability * tokens
 
-    if not parts or chance < 1.0:
-        return expected
+    if not blocks or probability < 1.0:
+        return tokens_cached
 
-    last, tokens = parts[-1]
-    if is_known(table, hash_part(upstream, model, last), now):
-        expected += tokens
+    last, tokens = blocks[-1]
+    if is_recent(table, hash_block(upstream, model, last), now):
+        tokens_cached += tokens
 
-    return expected
+    return tokens_cached
 
 
-def find_trust(table: PrefixTable, now: float) -> float:
-    """Return the probability that the upstream chosen by hash has an unknown part."""
-    fresh = now - table.told_at <= FRESH_SECONDS
-    if fresh and now - table.told_since >= LEARNING_SECONDS:
-        return TOLD_TRUST
+def estimate_hit_probability(table: PrefixTable, now: float) -> float:
+    """Return the probability that the preferred upstream has an unknown block."""
+    fresh = now - table.reported_at <= MAX_TOTAL_AGE_SECONDS
+    if fresh and now - table.reporting_since >= MIN_REPORTING_SECONDS:
+        return HIT_PROBABILITY_WITH_REPORTS
 
-    return HASH_TRUST
+    return HIT_PROBABILITY_WITHOUT_REPORTS
 
 
-def is_known(table: PrefixTable, key: int, now: float) -> bool:
-    """Tell whether a part was read lately."""
-    at = table.read.get(key)
-    return at is not None and now - at <= LIFE_SECONDS
+def is_recent(table: PrefixTable, key: int, now: float) -> bool:
+    """Return whether a block was processed recently enough to be cached."""
+    last_at = table.prefilled_at.get(key)
+    return last_at is not None and now - last_at <= BLOCK_TTL_SECONDS
 
 
 def prefer_upstream(upstreams: Iterable[str], key: str) -> str:
--- a/src/waxwingwell/routing/records.py
+++ b/src/waxwingwell/routing/records.py
@@ -1,6 +1,7 @@
-"""The routing document that operators publish, as typed records.
+"""Typed records of the routing document that operators publish.
 
-A document is whole: each publication replaces the one before. Times are seconds.
+A document is complete: each publication replaces the previous one. Times are in
+seconds.
 """
 
 from __future__ import annotations
@@ -11,23 +12,23 @@
 
 
 class RouteKind(StrEnum):
-    """What may be repeated on a route."""
+    """How requests of a route may be retried."""
 
     IDEMPOTENT = "idempotent"
     ONCE = "once"
-    """May run once at most for each request of a caller."""
+    """Each request of a caller may run at most once."""
     STREAM = "stream"
 
 
 class Target(msgspec.Struct, frozen=True, array_like=True):
-    """A service that a route sends to, and its share of the route's requests."""
+    """A service of a route, and its weight among the route's services."""
 
     service: str
     weight: int
 
 
 class Route(msgspec.Struct, frozen=True, kw_only=True):
-    """Requests of one host whose path begins with ``prefix``."""
+    """Settings of the requests to one host whose path begins with ``prefix``."""
 
     name: str
     host: str
@@ -35,16 +36,16 @@
     kind: RouteKind
     targets: tuple[Target, ...]
     timeout: float
-    """Seconds after which a caller has its final answer."""
+    """Seconds within which a caller gets a final response."""
     objective: float
-    """Seconds within which an answer has its full worth."""
+    """Seconds within which a response has its full value."""
     priority: int = 0
-    """Rank among routes; 0 comes first."""
+    """Rank among routes; 0 is the highest priority."""
     max_attempts: int = 1
-    """Upstreams that one request may be sent to."""
+    """Largest number of upstreams that one request may be sent to."""
     anonymous: bool = False
     models: tuple[str, ...] = ()
-    """Models to choose from, smallest first; none: the caller names the model."""
+    """Models to choose from, smallest first; if empty, the caller names the model."""
     resumable: bool = False
 
 
@@ -53,23 +54,23 @@
 
     name: str
     cost: float
-    """Price of a thousand generated tokens."""
+    """Price per thousand generated tokens."""
 
 
 class Service(msgspec.Struct, frozen=True, kw_only=True):
-    """A service; ``memory_tokens`` is 0 where its upstreams are not model engines."""
+    """A service; ``memory_tokens`` is 0 if its upstreams are no model engines."""
 
     name: str
     health_path: str = ""
     max_connections: int = 0
-    """Connections that one upstream accepts from all callers together; 0: unknown."""
+    """Connections that one upstream accepts from all callers; 0 if unknown."""
     slots: int = 0
     memory_tokens: int = 0
     models: tuple[Model, ...] = ()
 
 
 class Workspace(msgspec.Struct, frozen=True, kw_only=True):
-    """A workspace and the keys that its callers present."""
+    """A workspace and its callers' API keys."""
 
     name: str
     keys: tuple[str, ...]
@@ -77,7 +78,7 @@
 
 
 class Limits(msgspec.Struct, frozen=True, kw_only=True):
-    """What a caller may send, and how long it may take."""
+    """Limits on the size and duration of callers' requests."""
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
@@ -86,7 +87,7 @@
 
 
 class Document(msgspec.Struct, frozen=True, kw_only=True):
-    """Everything that an operator publishes at one version."""
+    """The complete routing configuration at one version."""
 
     version: int
     routes: tuple[Route, ...] = ()
--- a/src/waxwingwell/routing/reports.py
+++ b/src/waxwingwell/routing/reports.py
@@ -1,7 +1,7 @@
-"""What gateways report to one control, and what controls tell each other of it.
+"""Reports of gateways to their control, and their aggregation between controls.
 
-A control keeps the reports of the gateways that are homed at it. Others get their sum:
-it is as large for one gateway as for hundreds.
+A control stores the reports of the gateways attached to it. The other controls get
+their totals, which are as large for one gateway as for hundreds.
 """
 
 from __future__ import annotations
@@ -20,172 +20,180 @@
 from .messages import ServiceRepeats
 from .messages import UpstreamUse
 from .messages import VersionEvidence
-from .retries import add_repeats
+from .retries import sum_retries
 
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
 
-USE_LIFE = 1.0
-"""Seconds for which what a gateway has running counts. One that has chosen another home
-is counted there as well for as long."""
+USE_TTL_SECONDS = 1.0
+"""Seconds for which a gateway's reported load counts. A gateway that has attached to
+another control is counted at both for as long."""
 REPORT_LIFE = 3.0
-"""Seconds after which a gateway that reports nothing counts as gone."""
-EVIDENCE_SECONDS = 2.0
-"""After which evidence is passed on again though nothing has changed: a link may have
-been down."""
-MAX_READ = 2_000
-"""Parts of prompts kept for one sum, 10 KB."""
-EVIDENCE_LIFE = 10.0
-"""Seconds after which evidence of a gateway that nobody hears of is dropped."""
+"""Seconds without a report after which a gateway is dropped."""
+EVIDENCE_RESEND_SECONDS = 2.0
+"""Seconds after which unchanged evidence is sent again, as a link may have been
+down."""
+MAX_TOTAL_BLOCKS = 2_000
+"""Prompt blocks stored for one message of totals, 10 KB."""
+EVIDENCE_TTL_SECONDS = 10.0
+"""Seconds without a report after which a gateway's evidence is dropped."""
 
 
 @dataclass(slots=True)
-class Reported:
-    """The latest report of one gateway."""
+class GatewayEntry:
+    """Latest report of one gateway, and the evidence sent to the other controls."""
 
     report: GatewayReport
-    at: float
-    passed: tuple[VersionEvidence, ...] = ()
-    """Evidence as it was passed on last."""
-    passed_at: float = -math.inf
+    received_at: float
+    sent_evidence: tuple[VersionEvidence, ...] = ()
+    """Evidence that was last sent to the other controls."""
+    sent_at: float = -math.inf
 
 
 @dataclass(slots=True)
-class Summed:
-    """The latest report of another control."""
+class ControlEntry:
+    """Latest report of another control."""
 
     report: ControlReport
-    at: float
+    received_at: float
 
 
 @dataclass(frozen=True, slots=True)
-class Departed:
-    """What a gateway had used of the budget of repeats when it was heard of last."""
+class DepartedGateway:
+    """Use of the retry budget by a gateway process that has ended."""
 
     repeats: tuple[ServiceRepeats, ...]
-    at: float
+    received_at: float
 
 
 @dataclass(slots=True)
-class Evident:
-    """The latest evidence of one gateway."""
+class EvidenceEntry:
+    """Latest evidence of one gateway."""
 
     versions: tuple[VersionEvidence, ...]
-    at: float
+    received_at: float
 
 
 @dataclass(slots=True)
 class ReportTable:
-    """Reports that a control holds."""
-
-    homed: dict[str, Reported] = field(default_factory=dict)
-    """By gateway."""
-    controls: dict[str, Summed] = field(default_factory=dict)
-    """By control."""
-    evidence: dict[str, Evident] = field(default_factory=dict)
-    """By gateway, wherever it reports."""
-    departed: list[Departed] = field(default_factory=list)
-    """Of gateways that were homed here and ended, within the window of the budget."""
+    """Reports that a control has received."""
+
+    homed: dict[str, GatewayEntry] = field(default_factory=dict)
+    """Reports of attached gateways, by gateway."""
+    controls: dict[str, ControlEntry] = field(default_factory=dict)
+    """Reports of other controls, by control."""
+    evidence: dict[str, EvidenceEntry] = field(default_factory=dict)
+    """Evidence by gateway, whichever control the gateway is attached to."""
+    departed: list[DepartedGateway] = field(default_factory=list)
+    """Gateway processes attached here that ended within the retry window."""
     retry_window: float = 10.0
-    """Seconds for which a repeat counts in the budget."""
-    read: dict[int, None] = field(default_factory=dict)
-    """Parts of prompts of which gateways homed here should be told."""
-    read_here: dict[int, None] = field(default_factory=dict)
-    """Those of which other controls should be told."""
+    """Seconds for which a retry counts in the budget."""
+    blocks_for_gateways: dict[int, None] = field(default_factory=dict)
+    """Hashes of prompt blocks for the next totals to the attached gateways."""
+    blocks_for_controls: dict[int, None] = field(default_factory=dict)
+    """Hashes of prompt blocks for the next report to the other controls."""
 
 
 def take_report(table: ReportTable, report: GatewayReport, now: float) -> None:
-    """Keep a report of a gateway that is homed here."""
+    """Store a report of an attached gateway."""
     held = table.homed.get(report.gateway)
     if held is None:
-        table.homed[report.gateway] = Reported(report, now)
+        table.homed[report.gateway] = GatewayEntry(report, now)
     else:
         if report.run != held.report.run:
-            note_departed(table, held)
+            record_departed(table, held)
 
         held.report = report
-        held.at = now
+        held.received_at = now
 
-    table.evidence[report.gateway] = Evident(report.evidence, now)
-    note_read(table.read, report.read)
-    note_read(table.read_here, report.read)
+    table.evidence[report.gateway] = EvidenceEntry(report.evidence, now)
+    queue_blocks(table.blocks_for_gateways, report.read)
+    queue_blocks(table.blocks_for_controls, report.read)
 
 
-def note_departed(table: ReportTable, held: Reported) -> None:
-    """Keep what a gateway that ended has used of the budget of repeats.
+def record_departed(table: ReportTable, held: GatewayEntry) -> None:
+    """Record the use of the retry budget by a gateway process that has ended.
 
-    Failure: gateways are killed when a service fails and its budget is used up. Started
-    anew they know of no repeat, and would use the budget again within its window.
+    Gateways that are killed while a service fails and its budget is used up know of no
+    retry after their restart, and would use the budget again within its window.
     """
-    used = keep_used(held.report.repeats)
+    used = drop_requests(held.report.repeats)
     if used:
-        table.departed.append(Departed(used, held.at))
+        table.departed.append(DepartedGateway(used, held.received_at))
 
 
 def take_control_report(
     table: ReportTable, control: str, report: ControlReport, now: float
 ) -> None:
-    """Keep what another control tells of the gateways homed at it."""
-    table.controls[control] = Summed(report, now)
+    """Store another control's report on the gateways attached to it."""
+    table.controls[control] = ControlEntry(report, now)
     for one in report.evidence:
-        table.evidence[one.gateway] = Evident(one.versions, now)
+        table.evidence[one.gateway] = EvidenceEntry(one.versions, now)
 
-    note_read(table.read, report.total.read)
+    queue_blocks(table.blocks_for_gateways, report.total.read)
 
 
-def note_read(held: dict[int, None], read: Iterable[int]) -> None:
-    """Keep parts until the next sum, within a bound."""
-    for key in read:
-        if len(held) < MAX_READ:
-            held[key] = None
+def queue_blocks(queue: dict[int, None], blocks: Iterable[int]) -> None:
+    """Queue prompt blocks for the next message, up to a limit."""
+    for key in blocks:
+        if len(queue) < MAX_TOTAL_BLOCKS:
+            queue[key] = None
 
 
 def drop_old(table: ReportTable, now: float) -> None:
-    """Forget gateways and controls that report no more."""
+    """Drop gateways, controls and evidence without recent reports."""
     for held in table.homed.values():
-        if now - held.at > REPORT_LIFE:
-            note_departed(table, held)
+        if now - held.received_at > REPORT_LIFE:
+            record_departed(table, held)
 
     table.departed = [
-        one for one in table.departed if now - one.at <= table.retry_window
+        one for one in table.departed if now - one.received_at <= table.retry_window
     ]
     table.homed = {
-        name: one for name, one in table.homed.items() if now - one.at <= REPORT_LIFE
+        name: one
+        for name, one in table.homed.items()
+        if now - one.received_at <= REPORT_LIFE
     }
     table.controls = {
-        name: one for name, one in table.controls.items() if now - one.at <= REPORT_LIFE
+        name: one
+        for name, one in table.controls.items()
+        if now - one.received_at <= REPORT_LIFE
     }
     table.evidence = {
         name: one
         for name, one in table.evidence.items()
-        if now - one.at <= EVIDENCE_LIFE
+        if now - one.received_at <= EVIDENCE_TTL_SECONDS
     }
 
 
 def make_control_report(
     table: ReportTable, now: float, *, urgent: bool
 ) -> ControlReport:
-    """Return what to tell the other controls, and note that it was told.
+    """Return the report to the other controls, and record what it includes as sent.
 
-    ``urgent``: a roll-out is under way, so evidence that changed is told at once.
+    If ``urgent``, a roll-out is in progress, and evidence that changed is included at
+    once.
     """
     evidence = []
     for name, held in table.homed.items():
         versions = held.report.evidence
-        # What has been passed on already may be older than what another home tells.
-        if held.at <= held.passed_at:
+        # Evidence that was sent already may be older than another control's, if the
+        # gateway has attached to that one since.
+        if held.received_at <= held.sent_at:
             continue
 
-        due = now - held.passed_at >= EVIDENCE_SECONDS
-        if due or (urgent and versions != held.passed):
+        due = now - held.sent_at >= EVIDENCE_RESEND_SECONDS
+        if due or (urgent and versions != held.sent_evidence):
             evidence.append(GatewayEvidence(name, versions))
-            held.passed = versions
-            held.passed_at = now
+            held.sent_evidence = versions
+            held.sent_at = now
 
-    total = msgspec.structs.replace(sum_homed(table, now), read=tuple(table.read_here))
-    table.read_here.clear()
+    total = msgspec.structs.replace(
+        sum_attached(table, now), read=tuple(table.blocks_for_controls)
+    )
+    table.blocks_for_controls.clear()
     return ControlReport(
         total=total,
         evidence=tuple(evidence),
@@ -195,31 +203,31 @@
     )
 
 
-def sum_homed(table: ReportTable, now: float) -> FleetReport:
-    """Return the sum over the gateways that are homed here."""
+def sum_attached(table: ReportTable, now: float) -> FleetReport:
+    """Return the totals over the attached gateways."""
     total = sum_totals(
-        total_of(held.report, fresh=now - held.at <= USE_LIFE)
+        make_total(held.report, fresh=now - held.received_at <= USE_TTL_SECONDS)
         for held in table.homed.values()
     )
     departed = (part for one in table.departed for part in one.repeats)
-    repeats = add_repeats([*total.repeats, *departed])
+    repeats = sum_retries([*total.repeats, *departed])
     return msgspec.structs.replace(total, repeats=repeats)
 
 
 def sum_fleet(table: ReportTable, now: float) -> FleetReport:
-    """Return the sum over all gateways; parts that were read are told once."""
+    """Return the totals over all gateways; includes each queued prompt block once."""
     others = [
-        cut_use(one.report.total, fresh=now - one.at <= USE_LIFE)
+        drop_stale_use(one.report.total, fresh=now - one.received_at <= USE_TTL_SECONDS)
         for one in table.controls.values()
     ]
-    total = sum_totals([sum_homed(table, now), *others])
-    total = msgspec.structs.replace(total, read=tuple(table.read))
-    table.read.clear()
+    total = sum_totals([sum_attached(table, now), *others])
+    total = msgspec.structs.replace(total, read=tuple(table.blocks_for_gateways))
+    table.blocks_for_gateways.clear()
     return total
 
 
-def total_of(report: GatewayReport, *, fresh: bool = True) -> FleetReport:
-    """Return the sum over one gateway."""
+def make_total(report: GatewayReport, *, fresh: bool = True) -> FleetReport:
+    """Return the totals of one gateway."""
     total = FleetReport(
         gateways=1,
         use=report.use,
@@ -228,14 +236,15 @@
         kept=report.kept,
         repeats=report.repeats,
     )
-    return cut_use(total, fresh=fresh)
+    return drop_stale_use(total, fresh=fresh)
 
 
-def cut_use(total: FleetReport, *, fresh: bool) -> FleetReport:
-    """Return a sum without what is running, unless it is fresh.
+def drop_stale_use(total: FleetReport, *, fresh: bool) -> FleetReport:
+    """Return totals without the load at upstreams, unless they are fresh.
 
-    What gateways know of a move counts longer: a gateway that is silent for a moment
-    still holds it up. So do repeats: they were sent, whatever became of the sender.
+    The state that gateways have of a roll-out counts longer, as a gateway that is
+    unresponsive for a moment still has to delay it. So do retries, which were sent
+    even if their sender has ended.
     """
     if fresh:
         return total
@@ -245,12 +254,12 @@
         use=(),
         held=total.held,
         kept=total.kept,
-        repeats=keep_used(total.repeats),
+        repeats=drop_requests(total.repeats),
     )
 
 
-def keep_used(parts: Iterable[ServiceRepeats]) -> tuple[ServiceRepeats, ...]:
-    """Return counts of repeats without the requests that allow more of them."""
+def drop_requests(parts: Iterable[ServiceRepeats]) -> tuple[ServiceRepeats, ...]:
+    """Return counts of retries without the requests, which would allow more of them."""
     return tuple(
         ServiceRepeats(one.service, 0, one.repeats, one.drawn)
         for one in parts
@@ -259,7 +268,7 @@
 
 
 def sum_totals(totals: Iterable[FleetReport]) -> FleetReport:
-    """Add sums up."""
+    """Return the sum of several totals."""
     counted = [one for one in totals if one.gateways or one.repeats]
     return FleetReport(
         gateways=sum(one.gateways for one in counted),
@@ -267,12 +276,12 @@
         work=sum(one.work for one in counted),
         held=min((one.held for one in counted if one.gateways), default=-1),
         kept=tuple({place for one in counted for place in one.kept}),
-        repeats=add_repeats(part for one in counted for part in one.repeats),
+        repeats=sum_retries(part for one in counted for part in one.repeats),
     )
 
 
 def add_use(parts: Iterable[UpstreamUse]) -> tuple[UpstreamUse, ...]:
-    """Add up what is running at each upstream."""
+    """Return the sum of the load at each upstream."""
     running: dict[str, tuple[int, int]] = {}
     for part in parts:
         count, backlog = running.get(part.upstream, (0, 0))
@@ -285,10 +294,10 @@
 
 
 def list_untold(table: ReportTable) -> list[str]:
-    """Return the gateways that do not tell which state they hold.
+    """Return the gateways that do not report which state they have.
 
-    Nothing moves in the first half of a move while there is one: older programs never
-    tell.
+    Older releases never report it. While such a gateway is connected, no session
+    changes its version in the first half of a roll-out.
     """
     names = {name for name, held in table.homed.items() if held.report.held < 0}
     for one in table.controls.values():
--- a/src/waxwingwell/routing/retries.py
+++ b/src/waxwingwell/routing/retries.py
@@ -1,11 +1,12 @@
-"""Whether a request may be sent to another upstream.
-
-All gateways share one budget: per service, repeats within a window may be a share of
-the requests, plus some slack. Half of what a gateway's own requests and its share of
-the slack allow is its own; it needs no news to be kept. The other half is shared: what
-is left of it is known from sums that are a fraction of a second old, and a gateway
-draws on it no faster than in proportion to its part, so that all together can't use
-the rest up before they hear of it. While no sum comes it keeps to its own part.
+"""Retry budget that all gateways share.
+
+For each service, the retries within a window are limited to a ratio of the requests,
+plus a slack. Half of the retries that a gateway's own requests and its share of the
+slack allow are its own part, which it may use without knowing of the others. The other
+half is shared. Its remainder is known from totals that are a fraction of a second old,
+so a gateway draws on it no faster than in proportion to its own requests and slack;
+otherwise all gateways together could overdraw it before the next totals. Without recent
+totals a gateway uses its own allowance only.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 from dataclasses import field
 from typing import TYPE_CHECKING
 
-from .load import FRESH_SECONDS
+from .load import MAX_TOTAL_AGE_SECONDS
 from .messages import ServiceRepeats
 
 
@@ -25,32 +26,35 @@
 
 
 FAILURE_PART = 0.9
-"""Part of the budget that repeats after failures may use; the rest covers gateways that
-count fewer gateways than there are, and traffic that moves to other gateways."""
+"""Part of the budget that retries after failures may use. The rest covers gateways that
+know of too few other gateways, and traffic that shifts between gateways."""
 CHOICE_PART = 0.6
-"""Part that we use of our own choice, as to ask a larger model. Failure: with one part
-for both, larger models used the budget up, and streams that broke were not resumed."""
+"""Part of the budget that optional retries may use, such as escalations to a larger
+model. With one part for both, escalations used up the budget, and broken streams were
+not resumed."""
 SHARED_PART = 0.5
-"""Part of the budget on which all gateways draw."""
-SUM_SECONDS = 0.5
-"""Time for which a sum may be drawn on; the next should come after half of it."""
+"""Part of the budget that all gateways share."""
+TOTAL_VALID_SECONDS = 0.5
+"""Seconds for which totals grant credit; the next ones should come after half of
+that."""
 DRAW_SECONDS = 1.5
-"""Time in which all gateways together may draw what is left of the shared part; sums
-lag by a fraction of it."""
+"""Seconds in which all gateways together may draw the remainder of the shared part;
+totals lag by a fraction of that."""
 
 
 @dataclass(frozen=True, slots=True)
 class RetryLimits:
-    """Budget over all gateways."""
+    """Limits of the retry budget over all gateways."""
 
     ratio: float = 0.9
-    """Repeats for each request within the window."""
+    """Retries per request within the window."""
     slack: float = 50.0
+    """Retries within the window in addition to the ratio."""
     window: float = 10.0
-    """Seconds."""
+    """Length of the window in seconds."""
 
     def __post_init__(self) -> None:
-        """Check the limits; raises ``ValueError`` that names the field."""
+        """Check the limits; raise ``ValueError`` with the field's name."""
         for name, valid, bound in (
             ("ratio", self.ratio >= 0.0, "not be negative"),
             ("slack", self.slack >= 0.0, "not be negative"),
@@ -63,42 +67,43 @@
 
 @dataclass(slots=True)
 class ServiceAccount:
-    """What one gateway has used of a service's budget."""
+    """One gateway's use of a service's budget."""
 
     credit: float
-    """Repeats that may be drawn from the shared part."""
+    """Retries that may be drawn from the shared part."""
     requests: deque[float] = field(default_factory=deque)
-    """When callers' requests came."""
-    repeats: deque[float] = field(default_factory=deque)
-    """When repeats were sent."""
+    """Times of callers' requests within the window."""
+    retries: deque[float] = field(default_factory=deque)
+    """Times of retries within the window."""
     credited_at: float = -math.inf
+    """Time of the last credit."""
 
 
 @dataclass(slots=True)
 class RetryTable:
-    """Accounts by service, and what the other gateways count."""
+    """This gateway's accounts by service, and the other gateways' counts."""
 
     accounts: dict[str, ServiceAccount] = field(default_factory=dict)
     others: dict[str, ServiceRepeats] = field(default_factory=dict)
-    """Counts of the other gateways."""
+    """Totals of the other gateways, by service."""
     others_at: float = -math.inf
-    """When they came."""
+    """Time at which the totals were received."""
     gateways: int = 1
     """Gateways that share the budget."""
     began_at: float = -math.inf
-    """When this gateway started."""
+    """Start time of this gateway."""
     phase: float = 0.5
-    """Credit to begin with, drawn at random below 1. Failure: all gateways would be
-    credited a whole repeat at the same moment, or none of them ever."""
+    """Initial credit, chosen at random below 1. With equal values all gateways would
+    reach the credit of a whole retry at the same time, or none of them ever."""
 
 
 def find_account(table: RetryTable, service: str, since: float) -> ServiceAccount:
-    """Return a service's account without what came before ``since``."""
+    """Return a service's account after removing entries older than ``since``."""
     account = table.accounts.get(service)
     if account is None:
         account = table.accounts[service] = ServiceAccount(credit=table.phase)
 
-    for times in (account.requests, account.repeats):
+    for times in (account.requests, account.retries):
         while times and times[0] < since:
             times.popleft()
 
@@ -108,17 +113,17 @@
 def note_request(
     table: RetryTable, service: str, now: float, limits: RetryLimits
 ) -> None:
-    """Count a caller's request."""
+    """Record a caller's request."""
     find_account(table, service, now - limits.window).requests.append(now)
 
 
 def note_repeat(
     table: RetryTable, service: str, now: float, limits: RetryLimits
 ) -> None:
-    """Count a send beyond the first of a request."""
+    """Record a retry, and charge it to the credit if the own part is used up."""
     account = find_account(table, service, now - limits.window)
     before = count_drawn(table, account, limits, now)
-    account.repeats.append(now)
+    account.retries.append(now)
     drawn = count_drawn(table, account, limits, now) - before
     account.credit = max(account.credit - drawn, 0.0)
 
@@ -126,7 +131,7 @@
 def list_repeats(
     table: RetryTable, limits: RetryLimits, now: float
 ) -> tuple[ServiceRepeats, ...]:
-    """Return our own counts by service, to be told to others."""
+    """Return this gateway's counts by service, to be reported to the others."""
     counts = (count_own(table, service, limits, now) for service in table.accounts)
     return tuple(one for one in counts if one.requests or one.repeats)
 
@@ -134,54 +139,54 @@
 def count_own(
     table: RetryTable, service: str, limits: RetryLimits, now: float
 ) -> ServiceRepeats:
-    """Return our own counts of a service within the window."""
+    """Return this gateway's counts of a service within the window."""
     account = find_account(table, service, now - limits.window)
     return ServiceRepeats(
         service,
         len(account.requests),
-        len(account.repeats),
+        len(account.retries),
         round(count_drawn(table, account, limits, now), 2),
-        count_shares(table, limits, now),
+        count_slack_shares(table, limits, now),
     )
 
 
-def count_shares(table: RetryTable, limits: RetryLimits, now: float) -> int:
-    """Return the shares of the slack that this gateway has: one, or none at first.
+def count_slack_shares(table: RetryTable, limits: RetryLimits, now: float) -> int:
+    """Return this gateway's shares of the slack: none in the first window, then one.
 
-    Failure: a gateway starts anew and forgets the repeats that it has sent. Its share
-    of the slack would be used twice within a window.
+    After a restart a gateway does not know the retries that it has sent, and would use
+    its share of the slack twice within a window.
     """
     return int(now - table.began_at >= limits.window)
 
 
-def count_earned(
+def count_allowance(
     table: RetryTable, account: ServiceAccount, limits: RetryLimits, now: float
 ) -> float:
-    """Return the repeats that our requests and our share of the slack allow."""
-    slack = limits.slack / table.gateways * count_shares(table, limits, now)
+    """Return the retries that this gateway's requests and share of the slack allow."""
+    slack = limits.slack / table.gateways * count_slack_shares(table, limits, now)
     return limits.ratio * len(account.requests) + slack
 
 
 def count_drawn(
     table: RetryTable, account: ServiceAccount, limits: RetryLimits, now: float
 ) -> float:
-    """Return the repeats in the window that our own part does not cover."""
+    """Return the retries in the window that this gateway's own part does not cover."""
     own_part = FAILURE_PART * (1.0 - SHARED_PART)
-    earned = count_earned(table, account, limits, now)
-    return max(len(account.repeats) - own_part * earned, 0.0)
+    earned = count_allowance(table, account, limits, now)
+    return max(len(account.retries) - own_part * earned, 0.0)
 
 
-def add_repeats(parts: Iterable[ServiceRepeats]) -> tuple[ServiceRepeats, ...]:
-    """Sum counts by service."""
+def sum_retries(parts: Iterable[ServiceRepeats]) -> tuple[ServiceRepeats, ...]:
+    """Return the sums of counts by service."""
     totals: dict[str, ServiceRepeats] = {}
     for part in parts:
-        held = totals.get(part.service, ServiceRepeats(part.service, 0, 0))
+        previous = totals.get(part.service, ServiceRepeats(part.service, 0, 0))
         totals[part.service] = ServiceRepeats(
             part.service,
-            held.requests + part.requests,
-            held.repeats + part.repeats,
-            held.drawn + part.drawn,
-            held.shares + part.shares,
+            previous.requests + part.requests,
+            previous.repeats + part.repeats,
+            previous.drawn + part.drawn,
+            previous.shares + part.shares,
         )
 
     return tuple(totals.values())
@@ -193,17 +198,17 @@
     reported: Iterable[ServiceRepeats],
     now: float,
 ) -> None:
-    """Take the counts of all gateways, less those that we reported ourselves."""
-    ours = {one.service: one for one in reported}
+    """Store the totals over all gateways, less what this gateway reported itself."""
+    own_counts = {one.service: one for one in reported}
     table.others = {}
     for one in total:
-        mine = ours.get(one.service, ServiceRepeats(one.service, 0, 0))
+        own_share = own_counts.get(one.service, ServiceRepeats(one.service, 0, 0))
         table.others[one.service] = ServiceRepeats(
             one.service,
-            max(one.requests - mine.requests, 0),
-            max(one.repeats - mine.repeats, 0),
-            max(one.drawn - mine.drawn, 0),
-            max(one.shares - mine.shares, 0),
+            max(one.requests - own_share.requests, 0),
+            max(one.repeats - own_share.repeats, 0),
+            max(one.drawn - own_share.drawn, 0),
+            max(one.shares - own_share.shares, 0),
         )
 
     table.others_at = now
@@ -218,41 +223,42 @@
     gateways: int,
     now: float,
 ) -> bool:
-    """Tell whether a part of the budget allows one more send."""
+    """Return whether a part of the budget allows one more retry."""
     table.gateways = max(gateways, 1)
     account = find_account(table, service, now - limits.window)
-    earned = count_earned(table, account, limits, now)
-    repeats = len(account.repeats) + 1
-    if now - table.others_at > FRESH_SECONDS:
-        return repeats <= part * earned
+    earned = count_allowance(table, account, limits, now)
+    retries = len(account.retries) + 1
+    if now - table.others_at > MAX_TOTAL_AGE_SECONDS:
+        return retries <= part * earned
 
     others = table.others.get(service, ServiceRepeats(service, 0, 0))
     requests = len(account.requests) + others.requests
     allowed = limits.ratio * requests + limits.slack
-    if repeats + others.repeats > part * allowed:
+    if retries + others.repeats > part * allowed:
         return False
 
     own_part = part * (1.0 - SHARED_PART) * earned
-    if repeats <= own_part:
+    if retries <= own_part:
         return True
 
-    add_credit(table, account, others, limits, now)
+    accrue_credit(table, account, others, limits, now)
     return account.credit >= 1.0
 
 
-def add_credit(
+def accrue_credit(
     table: RetryTable,
     account: ServiceAccount,
     others: ServiceRepeats,
     limits: RetryLimits,
     now: float,
 ) -> None:
-    """Credit our part of what may be drawn since the last time.
+    """Add this gateway's part of what may be drawn since the last credit.
 
-    Failure: a service fails at all gateways at once. Each would use up what the last
-    sum has left, and together they would send many times that.
+    If a service fails at all gateways at once and credit were not limited over time,
+    each gateway would use up what the last totals leave, and together they would send
+    many times that.
     """
-    earned = count_earned(table, account, limits, now)
+    earned = count_allowance(table, account, limits, now)
     slack = limits.slack * min(others.shares / table.gateways, 1.0)
     earned_by_all = earned + limits.ratio * others.requests + slack
     if earned_by_all <= 0.0:
@@ -261,8 +267,8 @@
     drawn = count_drawn(table, account, limits, now) + others.drawn
     left = max(FAILURE_PART * SHARED_PART * earned_by_all - drawn, 0.0)
     our_part = left * earned / earned_by_all
-    # Without a newer sum what is left is not known any more.
-    until = min(now, table.others_at + SUM_SECONDS)
-    waited = min(max(until - account.credited_at, 0.0) / DRAW_SECONDS, 1.0)
-    account.credit = min(account.credit + our_part * waited, max(our_part, 1.0))
+    # Without newer totals the remainder is not known any more.
+    valid_until = min(now, table.others_at + TOTAL_VALID_SECONDS)
+    elapsed_part = min(max(valid_until - account.credited_at, 0.0) / DRAW_SECONDS, 1.0)
+    account.credit = min(account.credit + our_part * elapsed_part, max(our_part, 1.0))
     account.credited_at = now
--- a/src/waxwingwell/routing/rollouts.py
+++ b/src/waxwingwell/routing/rollouts.py
@@ -1,7 +1,7 @@
-"""How a roll-out goes on: its share, its success, its end.
+"""Progress of a roll-out: its share of sessions, its evaluation, and its end.
 
-Bad versions are to be stopped while few requests have met them, good ones to be
-completed in time. Times are seconds on a steady clock.
+A bad version is to be rolled back after few requests, a good one to be established
+within the duration of the roll-out. Times are seconds of a monotonic clock.
 """
 
 from __future__ import annotations
@@ -21,36 +21,39 @@
     from .messages import VersionEvidence
 
 
-MAX_PLACE = 0xFFFFFFFF
+MAX_HASH = 0xFFFFFFFF
 FIRST_SHARE = 0.08
-"""Share of sessions in the first half, about half of the exposure usually allowed."""
+"""Share of sessions in the first half, about half of the usual exposure limit."""
 SECOND_SHARE = 0.3
-"""Share after the first half, while the version shows how it does under more load."""
-KEEPING_SHARE = 0.2
-"""Share from which on sessions under way move too: the second half of a move."""
+"""Share after the first half, to evaluate the version under more load."""
+MIGRATION_SHARE = 0.2
+"""Share from which active sessions change their version too; separates the first half
+of a roll-out from the second."""
 GROW_AT = 0.5
 """Part of the duration after which sessions may change their version."""
 FULL_AT = 0.6
-"""Part of the duration after which all sessions move, if the version does well."""
-END_AT = 0.85
-"""Part of the duration after which a move that does well is completed; streams that
-still run on the former version have had a quarter of the duration to end."""
-FEW_ANSWERS = 6
-"""Answers below which a version is not judged good."""
-FAILURES_STOP = 4
-"""Failures of the target after which it may be judged bad."""
+"""Part of the duration after which all sessions use the target, if it is good."""
+COMPLETE_AT = 0.85
+"""Part of the duration after which a successful roll-out is completed. Streams still
+running on the former version have had a quarter of the duration to end."""
+MIN_RESPONSES = 6
+"""Number of responses needed to evaluate a version as good."""
+MIN_FAILURES = 4
+"""Number of failures from which the target may be evaluated as bad."""
 FAILURE_MARGIN = 0.15
-"""By how much the target's share of failures may exceed the former version's: bad
-versions fail a third of their requests and more, and few answers scatter widely."""
+"""Excess of the target's failure rate over the former version's that is tolerated. Bad
+versions fail a third of their requests or more, and the rate of a few responses varies
+widely."""
 SLOW_FACTOR = 4.0
-"""Times the former version's mean time to the first byte that is judged bad."""
-SLOW_FLOOR = 0.3
-"""Seconds below which a mean time to the first byte is never judged bad."""
+"""Multiple of the former version's mean time to the first byte above which the target
+is bad."""
+SLOW_MIN_SECONDS = 0.3
+"""Mean time to the first byte, in seconds, up to which the target is never too slow."""
 
 
 @dataclass(frozen=True, slots=True)
 class Evidence:
-    """Answers of one version, summed over all gateways since the order."""
+    """Responses of one version over all gateways since the start of the roll-out."""
 
     answers: int = 0
     failures: int = 0
@@ -59,22 +62,22 @@
 
 @dataclass(slots=True)
 class EvidenceTable:
-    """Evidence on a service's versions since a move began.
+    """Evidence on a service's versions since the start of a roll-out.
 
-    Failure: a gateway restarts, and its counters begin anew. Were only the latest
-    counters summed, the failures that it has seen would be forgotten, and a bad version
-    would go on for as long as gateways restart.
+    A gateway's counters start from zero when it restarts. If only the latest counters
+    were summed, its former failures would be lost, and a bad version would continue for
+    as long as gateways restart.
     """
 
     counted: dict[tuple[str, str], Evidence] = field(default_factory=dict)
-    """Counters by gateway and version, as they were counted last."""
+    """Latest counters by gateway and version."""
     totals: dict[str, Evidence] = field(default_factory=dict)
-    """By version."""
+    """Totals over the gateways and their restarts, by version."""
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """What to do next with a move."""
+    """Next state of a roll-out."""
 
     share: float
     ended: bool = False
@@ -83,22 +86,22 @@
 
 
 def hash_share(key: str) -> float:
-    """Return a number from 0 to 1 on which all gateways agree for a session."""
+    """Return a hash from 0 to 1 that is the same at all gateways."""
     return share_of(xxh32_intdigest(key.encode()))
 
 
 def hash_place(rollout: RolloutState, session: str) -> int:
-    """Return a session's place in a move, on which all gateways agree."""
+    """Return a session's hash position in a roll-out, the same at all gateways."""
     return xxh32_intdigest(f"{rollout.ordered_at}/{session}".encode())
 
 
 def share_of(place: int) -> float:
-    """Return the share of sessions whose places come before ``place``."""
-    return place / MAX_PLACE
+    """Return the share of sessions with a lower hash position than ``place``."""
+    return place / MAX_HASH
 
 
 def add_evidence(parts: Iterable[VersionEvidence | Evidence]) -> Evidence:
-    """Sum evidence."""
+    """Return the sum of evidence."""
     answers = failures = 0
     seconds = 0.0
     for part in parts:
@@ -110,7 +113,7 @@
 
 
 def subtract_evidence(after: Evidence, before: Evidence) -> Evidence:
-    """Return what came since ``before``; counters that began anew count whole."""
+    """Return the difference; counters that restarted from zero count in full."""
     if after.answers < before.answers:
         return after
 
@@ -124,9 +127,9 @@
 def count_report(
     table: EvidenceTable, gateway: str, parts: Sequence[VersionEvidence]
 ) -> None:
-    """Add what a gateway's counters of a service gained since its last report.
+    """Add the increase of a gateway's counters of a service since its last report.
 
-    Counters that are missing began anew: the process has restarted.
+    Missing counters mean that the process has restarted, and its counters with it.
     """
     present = {part.version for part in parts}
     for key in [key for key in table.counted if key[0] == gateway]:
@@ -143,25 +146,25 @@
 
 
 def split_evidence(table: EvidenceTable, target: str) -> tuple[Evidence, Evidence]:
-    """Return the evidence on the target and on all other versions."""
+    """Return the evidence on the target, and the sum over all other versions."""
     others = [total for version, total in table.totals.items() if version != target]
     return table.totals.get(target, Evidence()), add_evidence(others)
 
 
-def is_bad(target: Evidence, former: Evidence) -> str:
-    """Return why the target is bad, or the empty string."""
-    if target.failures >= FAILURES_STOP:
+def find_regression(target: Evidence, former: Evidence) -> str:
+    """Return the reason why the target is bad, or the empty string."""
+    if target.failures >= MIN_FAILURES:
         rate = target.failures / max(target.answers, 1)
-        usual = former.failures / max(former.answers, 1)
-        if rate > usual + FAILURE_MARGIN:
-            return f"{target.failures} of {target.answers} answers failed"
+        baseline = former.failures / max(former.answers, 1)
+        if rate > baseline + FAILURE_MARGIN:
+            return f"{target.failures} of {target.answers} responses failed"
 
-    good = target.answers - target.failures
-    if good >= FEW_ANSWERS and former.answers > 0:
-        mean = target.seconds / good
-        usual = former.seconds / max(former.answers - former.failures, 1)
-        if mean > max(SLOW_FACTOR * usual, SLOW_FLOOR):
-            return f"first byte after {mean:.2f} s, {usual:.2f} s before"
+    successes = target.answers - target.failures
+    if successes >= MIN_RESPONSES and former.answers > 0:
+        mean = target.seconds / successes
+        baseline = former.seconds / max(former.answers - former.failures, 1)
+        if mean > max(SLOW_FACTOR * baseline, SLOW_MIN_SECONDS):
+            return f"mean time to first byte {mean:.2f} s, formerly {baseline:.2f} s"
 
     return ""
 
@@ -169,22 +172,22 @@
 def step_rollout(
     rollout: RolloutState, target: Evidence, former: Evidence, elapsed: float
 ) -> Step:
-    """Return the next step of a move that began ``elapsed`` seconds ago."""
-    bad = is_bad(target, former)
-    if bad:
-        return Step(0.0, ended=True, completed=False, reason=bad)
+    """Return the next step of a roll-out that started ``elapsed`` seconds ago."""
+    regression = find_regression(target, former)
+    if regression:
+        return Step(0.0, ended=True, completed=False, reason=regression)
 
     part = elapsed / max(rollout.duration, 0.001)
-    enough = target.answers >= FEW_ANSWERS
-    if part >= END_AT and rollout.share >= 1.0 and enough:
-        return Step(1.0, ended=True, completed=True, reason="it did well")
+    has_enough = target.answers >= MIN_RESPONSES
+    if part >= COMPLETE_AT and rollout.share >= 1.0 and has_enough:
+        return Step(1.0, ended=True, completed=True, reason="target is good")
 
     if part >= 1.0:
-        reason = "too few answers to tell before the deadline"
+        reason = "too few responses before the deadline"
         return Step(0.0, ended=True, completed=False, reason=reason)
 
-    if not enough or part < GROW_AT:
-        return Step(max(FIRST_SHARE, rollout.share), reason="first sessions")
+    if not has_enough or part < GROW_AT:
+        return Step(max(FIRST_SHARE, rollout.share), reason="first share of sessions")
 
     share = 1.0 if part >= FULL_AT else SECOND_SHARE
-    return Step(max(share, rollout.share), reason=f"{target.answers} answers did well")
+    return Step(max(share, rollout.share), reason=f"{target.answers} good responses")
--- a/src/waxwingwell/routing/sessions.py
+++ b/src/waxwingwell/routing/sessions.py
@@ -1,8 +1,8 @@
-"""Which version sessions run on, at this gateway and at the others.
+"""Versions that sessions use, at this gateway and at the others.
 
-A session's requests reach any gateway. While a roll-out moves its first share, the
-sessions of that share that are under way keep their version, so every gateway has to
-know those that run at another one.
+A session's requests may reach any gateway. During the first share of a roll-out, the
+active sessions of that share keep their version, so each gateway has to know the
+active sessions of the others.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING
 
 from .rollouts import FIRST_SHARE
-from .rollouts import KEEPING_SHARE
+from .rollouts import MIGRATION_SHARE
 from .rollouts import hash_place
 from .rollouts import share_of
 
@@ -27,58 +27,65 @@
 
 MAX_SESSIONS = 4_000
 
-Key = tuple[str, str]
-"""Service and session."""
+SessionKey = tuple[str, str]
+"""Names of a service and a session."""
 
 
 @dataclass(slots=True)
 class SessionTable:
-    """Sessions that ran at this gateway, and those that others told of."""
-
-    last: OrderedDict[Key, tuple[str, float]] = field(default_factory=OrderedDict)
-    """Version that a session ran on last, and when; the latest one at the end."""
-    running: dict[Key, int] = field(default_factory=dict)
-    """Requests under way."""
+    """Sessions that used this gateway, and those that other gateways reported."""
+
+    last: OrderedDict[SessionKey, tuple[str, float]] = field(
+        default_factory=OrderedDict
+    )
+    """Last version of each session and time of its use, least recent first."""
+    running: dict[SessionKey, int] = field(default_factory=dict)
+    """Number of a session's requests in flight."""
     kept: frozenset[int] = frozenset()
-    """Places of sessions that any gateway runs on a former version."""
-    heard: dict[float, int] = field(default_factory=dict)
-    """By time of order of a move: place in the controls' log at which its first share
-    was known here."""
+    """Hash positions of sessions that any gateway keeps on a former version."""
+    first_share_index: dict[float, int] = field(default_factory=dict)
+    """Index in the controls' log at which this gateway learned of a roll-out's first
+    share, by the time of its order."""
     settled: set[float] = field(default_factory=set)
-    """Moves whose first share every gateway knew before ``kept`` was told."""
+    """Roll-outs, by the time of order, for which ``kept`` is complete: every gateway
+    knew their first share before it was reported."""
 
 
 def begin_session(
     table: SessionTable, service: str, session: str, version: str, now: float
 ) -> None:
-    """Note that a request of a session is sent to a version."""
+    """Record that a session's request is sent to a version."""
     key = (service, session)
     table.running[key] = table.running.get(key, 0) + 1
-    note_session(table, key, version, now)
+    record_session(table, key, version, now)
 
 
 def end_session(
     table: SessionTable, service: str, session: str, version: str, now: float
 ) -> None:
-    """Note that a request of a session is over."""
+    """Record that a session's request has ended."""
     key = (service, session)
     count = table.running.pop(key, 0) - 1
     if count > 0:
         table.running[key] = count
 
-    note_session(table, key, version, now)
+    record_session(table, key, version, now)
 
 
-def note_session(table: SessionTable, key: Key, version: str, now: float) -> None:
-    """Remember the version that a session ran on."""
+def record_session(
+    table: SessionTable, key: SessionKey, version: str, now: float
+) -> None:
+    """Store a session's latest version, and evict the oldest sessions."""
     table.last[key] = (version, now)
     table.last.move_to_end(key)
     while len(table.last) > MAX_SESSIONS:
         table.last.popitem(last=False)
 
 
-def find_last(table: SessionTable, key: Key, now: float) -> tuple[str, float] | None:
-    """Return the version that a session ran on last here, and until when."""
+def find_last(
+    table: SessionTable, key: SessionKey, now: float
+) -> tuple[str, float] | None:
+    """Return a session's last version at this gateway, and the time of its use."""
     last = table.last.get(key)
     if last is None or key not in table.running:
         return last
@@ -92,27 +99,29 @@
     session_life: float,
     now: float,
 ) -> tuple[int, ...]:
-    """Return the places of sessions that keep their version in a move's first share."""
+    """Return hash positions of sessions that keep their version in a first share."""
     early = {one.service: one for one in rollouts if is_early(one)}
     if not early:
         return ()
 
-    places = set()
-    for key in list_alive(table, session_life, now):
+    positions = set()
+    for key in list_live_sessions(table, session_life, now):
         service, session = key
-        move = early.get(service)
-        if move is None or key not in table.last:
+        rollout = early.get(service)
+        if rollout is None or key not in table.last:
             continue
 
-        place = hash_place(move, session)
-        if table.last[key][0] != move.target and share_of(place) < FIRST_SHARE:
-            places.add(place)
+        place = hash_place(rollout, session)
+        if table.last[key][0] != rollout.target and share_of(place) < FIRST_SHARE:
+            positions.add(place)
 
-    return tuple(places)
+    return tuple(positions)
 
 
-def list_alive(table: SessionTable, session_life: float, now: float) -> Iterator[Key]:
-    """Yield the sessions whose next request would belong to one that ran here."""
+def list_live_sessions(
+    table: SessionTable, session_life: float, now: float
+) -> Iterator[SessionKey]:
+    """Yield the sessions that are still active at this gateway."""
     yield from table.running
     for key in reversed(table.last):
         if now - table.last[key][1] > session_life:
@@ -122,29 +131,34 @@
 
 
 def is_early(rollout: RolloutState) -> bool:
-    """Tell whether a move is in the part in which sessions keep their version."""
-    return rollout.state == "in_progress" and rollout.share < KEEPING_SHARE
+    """Return whether active sessions still keep their version in a roll-out."""
+    return rollout.state == "in_progress" and rollout.share < MIGRATION_SHARE
 
 
 def note_moves(
     table: SessionTable, rollouts: Iterable[RolloutState], index: int
 ) -> None:
-    """Remember at which place of the controls' log a move's share was known here."""
-    begun = {
+    """Record the index in the controls' log at which first shares became known."""
+    active = {
         one.ordered_at
         for one in rollouts
         if one.state == "in_progress" and one.share > 0.0
     }
-    table.heard = {at: table.heard.get(at, index) for at in begun}
-    table.settled &= begun
+    table.first_share_index = {
+        at: table.first_share_index.get(at, index) for at in active
+    }
+    table.settled &= active
 
 
 def take_kept(table: SessionTable, kept: Iterable[int], held: int) -> None:
-    """Take the sessions that all gateways keep on a former version.
+    """Store the sessions that all gateways together keep on a former version.
 
-    ``held`` is the oldest place in the controls' log that one of them has reached.
-    Failure: a gateway moves the first share before the others have told of their
-    sessions, and one of these runs on the new version in between.
+    ``held`` is the lowest index in the controls' log among the gateways. A roll-out is
+    settled only once all gateways have its first share: if a gateway moved that share
+    before the others have reported their sessions, one of these could run on the new
+    version in between.
     """
     table.kept = frozenset(kept)
-    table.settled |= {at for at, index in table.heard.items() if index <= held}
+    table.settled |= {
+        at for at, index in table.first_share_index.items() if index <= held
+    }
--- a/src/waxwingwell/routing/silence.py
+++ b/src/waxwingwell/routing/silence.py
@@ -1,28 +1,29 @@
-"""When an upstream that answers nothing is given up.
+"""Idle timeouts of upstream connections.
 
-Failure: an upstream goes dark. Its connections stay open, and nothing ever comes. Any
-byte from it on another connection shows that it lives, however slow this answer is.
+An upstream may become unresponsive while its connections stay open. Any byte from it
+on another connection shows that it is alive, however slow this response is.
 """
 
 from __future__ import annotations
 
 
-STALL_SECONDS = 1.5
-"""Of a stream that has begun. An engine that reads long prompts all the time gives a
-stream an event in about 1.3 s: at 1.2 s, of 45 streams that were given up on a day none
-had met a dark upstream, and each was read again elsewhere for nothing."""
-START_SECONDS = 1.5
-"""Before a first event, beside the wait that is expected."""
-START_FACTOR = 2.5
-"""How far the wait for a first event may exceed what is expected."""
+STREAM_IDLE_SECONDS = 1.5
+"""Idle timeout of a stream that has started. An engine with constant prefill of long
+prompts sends a stream an event about every 1.3 s. With a timeout of 1.2 s, none of 45
+streams given up within a day was on an unresponsive upstream, and the prefill of each
+was repeated elsewhere for nothing."""
+FIRST_EVENT_SLACK_SECONDS = 1.5
+"""Time allowed for a first event, in addition to a multiple of the expected wait."""
+FIRST_EVENT_FACTOR = 2.5
+"""Multiple of the expected wait allowed for a first event."""
 
 
 def silence_limit(*, started: bool, expected: float) -> float:
-    """Return the seconds of silence after which an upstream counts as dark.
+    """Return the seconds without data after which an upstream is unresponsive.
 
-    ``expected`` is the wait for the first event as it was estimated, in seconds.
+    ``expected`` is the estimated wait for the first event, in seconds.
     """
     if started:
-        return STALL_SECONDS
+        return STREAM_IDLE_SECONDS
 
-    return START_SECONDS + START_FACTOR * expected
+    return FIRST_EVENT_SLACK_SECONDS + FIRST_EVENT_FACTOR * expected
--- a/src/waxwingwell/routing/speeds.py
+++ b/src/waxwingwell/routing/speeds.py
@@ -1,6 +1,6 @@
-"""How fast engines read prompts, by model, as learned from first events.
+"""Prefill speed of engines by model, estimated from the time to the first event.
 
-Announcements say nothing of it, and it differs by a factor of ten between models.
+Announcements don't include it, and it differs by a factor of ten between models.
 """
 
 from __future__ import annotations
@@ -15,51 +15,54 @@
     from collections.abc import Sequence
 
 
-SMALLEST_MS = 0.006
-"""First guess: milliseconds a prompt token takes a route's smallest model."""
-LARGEST_MS = 0.055
-"""First guess for the largest model; what is learned replaces both."""
-FIRST_EVENT_MS = 25.0
-"""To connect, begin and make the first event of an empty prompt."""
-LEARNING = 0.05
-"""Weight of a new sample: about the last twenty count."""
-LEAST_TOKENS = 1_500
-"""Prompts below tell little, as other delays outweigh the reading."""
-BOUND = 3.0
-"""Factor by which one sample may differ from what is known: a stalled upstream says
-nothing of a model's speed."""
+SMALLEST_MODEL_TOKEN_MS = 0.006
+"""Initial estimate of the prefill time of a prompt token on a route's smallest
+model."""
+LARGEST_MODEL_TOKEN_MS = 0.055
+"""Initial estimate for the largest model; measurements replace both."""
+FIRST_EVENT_OVERHEAD_MS = 25.0
+"""Time to connect, start and produce the first event of an empty prompt."""
+SMOOTHING = 0.05
+"""Weight of a new sample in the moving average: about the last twenty count."""
+MIN_SAMPLE_TOKENS = 1_500
+"""Shortest prompt that is measured: below it other delays outweigh the prefill."""
+MAX_SAMPLE_FACTOR = 3.0
+"""Factor by which one sample may differ from the estimate, as a stalled upstream says
+nothing about a model's speed."""
 
 
 @dataclass(slots=True)
 class SpeedTable:
-    """Milliseconds a prompt token, by model."""
+    """Milliseconds of prefill per prompt token, by model."""
 
-    known: dict[str, float] = field(default_factory=dict)
+    token_ms: dict[str, float] = field(default_factory=dict)
     samples: dict[str, int] = field(default_factory=dict)
 
 
 def guess_speed(table: SpeedTable, models: Sequence[str], model: str) -> float:
-    """Return the milliseconds that a prompt token takes a model."""
-    speed = table.known.get(model)
+    """Return the estimated milliseconds of prefill per prompt token of a model."""
+    speed = table.token_ms.get(model)
     if speed is not None:
         return speed
 
     place = models.index(model) if model in models else len(models) - 1
     part = place / max(len(models) - 1, 1)
-    return SMALLEST_MS * math.pow(LARGEST_MS / SMALLEST_MS, part)
+    return SMALLEST_MODEL_TOKEN_MS * math.pow(
+        LARGEST_MODEL_TOKEN_MS / SMALLEST_MODEL_TOKEN_MS, part
+    )
 
 
 def learn_speed(
     table: SpeedTable, models: Sequence[str], model: str, tokens: int, took_ms: float
 ) -> None:
-    """Take in how long a prompt took that found its upstream idle."""
-    if tokens < LEAST_TOKENS:
+    """Update the estimate with the time that a prompt took on an idle upstream."""
+    if tokens < MIN_SAMPLE_TOKENS:
         return
 
     guess = guess_speed(table, models, model)
-    sample = max(took_ms - FIRST_EVENT_MS, 0.1) / tokens
-    sample = min(max(sample, guess / BOUND), guess * BOUND)
+    sample = max(took_ms - FIRST_EVENT_OVERHEAD_MS, 0.1) / tokens
+    sample = min(max(sample, guess / MAX_SAMPLE_FACTOR), guess * MAX_SAMPLE_FACTOR)
     table.samples[model] = table.samples.get(model, 0) + 1
-    weight = max(1.0 / (table.samples[model] + 1), LEARNING)
+    weight = max(1.0 / (table.samples[model] + 1), SMOOTHING)
     mean = (1 - weight) * math.log(guess) + weight * math.log(sample)
-    table.known[model] = math.exp(mean)
+    table.token_ms[model] = math.exp(mean)
--- a/src/waxwingwell/routing/versions.py
+++ b/src/waxwingwell/routing/versions.py
@@ -1,14 +1,14 @@
-"""Which upstreams a roll-out lets a request use.
+"""Upstreams that a request may use during a roll-out.
 
-Gateways agree without asking: a session's place is a hash against the share that the
-roll-out has reached.
+Gateways agree without communication, as each compares a session's hash with the share
+of the roll-out.
 """
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
-from .rollouts import KEEPING_SHARE
+from .rollouts import MIGRATION_SHARE
 from .rollouts import hash_place
 from .rollouts import share_of
 from .sessions import is_early
@@ -38,12 +38,12 @@
 ) -> list[Announcement]:
     """Return the upstreams whose version a session may use.
 
-    Without a roll-out only the established version is used: upstreams of another one
-    may announce themselves before the order that names it is known here. While a move
-    is under way, a request that can't use the upstreams in ``spent`` any more keeps the
-    former version if they are all that the target has. ``kept`` are the places of
-    sessions that run on the former version at any gateway; unless ``settled``, these
-    are not all known yet.
+    Without a roll-out only the established version is used, as upstreams of another
+    version may be announced before the order that names it is known here. During a
+    roll-out, a request that can't use the upstreams in ``spent`` any more gets the
+    former version if the target has no other upstreams. ``kept`` holds the hash
+    positions of sessions that use the former version at any gateway; it is complete
+    only if ``settled``.
     """
     if not upstreams:
         return []
@@ -67,13 +67,13 @@
     if is_early(rollout) and not settled:
         return former
 
-    if moves(rollout, session, last, session_life, now, kept):
+    if uses_target(rollout, session, last, session_life, now, kept):
         return target
 
     return former
 
 
-def moves(
+def uses_target(
     rollout: RolloutState,
     session: str,
     last: tuple[str, float] | None,
@@ -81,15 +81,15 @@
     now: float,
     kept: Collection[int],
 ) -> bool:
-    """Tell whether a session uses the target of a move under way.
+    """Return whether a session uses the target of a roll-out in progress.
 
-    While the share is small, a session that runs on the former version keeps it.
+    While the share is small, an active session keeps the former version.
     """
     place = hash_place(rollout, session)
     if share_of(place) >= rollout.share:
         return False
 
-    if rollout.share >= KEEPING_SHARE:
+    if rollout.share >= MIGRATION_SHARE:
         return True
 
     if place in kept:
--- a/tests/routing/budget_plays.py
+++ b/tests/routing/budget_plays.py
@@ -55,7 +55,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Play:
+class Scenario:
     """What is played; times in seconds."""
 
     gateways: int
@@ -63,16 +63,16 @@
     """Requests a second over all gateways."""
     ratio: float
     slack: float
-    wanted: int = 2
+    retries_per_failure: int = 2
     """Repeats that each failing request asks for."""
     failing: float = 1.0
     """Share of requests that fail."""
     fail_at: float = 14.0
     """After the first request."""
-    rising: float = 0.0
+    ramp_seconds: float = 0.0
     """Time over which the share of failing requests rises."""
     seconds: float = 36.0
-    hot: float = 0.0
+    hot_share: float = 0.0
     """Share of requests that the first gateway gets."""
     delay: float = 0.005
     """Mean time of a message on its link."""
@@ -101,7 +101,7 @@
 
     name: str
     retries: RetryTable
-    home: int
+    control_index: int
     load: LoadTable = field(default_factory=LoadTable)
     reported: tuple[ServiceRepeats, ...] = ()
     up: bool = True
@@ -124,30 +124,32 @@
     """What a play used of the budget."""
 
     requests: list[float] = field(default_factory=list)
-    repeats: list[float] = field(default_factory=list)
-    asked: int = 0
+    retries: list[float] = field(default_factory=list)
+    requested: int = 0
 
-    def most_used(self, play: Play) -> tuple[float, float]:
+    def peak_use(self, scenario: Scenario) -> tuple[float, float]:
         """Return repeats and what is allowed, of the window closest to the rule."""
-        last = START_SECONDS + play.seconds - WINDOW
+        last = START_SECONDS + scenario.seconds - WINDOW
         windows = [
-            self._count(play, step * WINDOW_STEP)
+            self._count(scenario, step * WINDOW_STEP)
             for step in range(int(last / WINDOW_STEP) + 1)
         ]
         return max(windows, key=lambda pair: pair[0] / max(pair[1], 1.0))
 
-    def mean_use(self, play: Play) -> float:
+    def mean_use(self, scenario: Scenario) -> float:
         """Return the share of the budget used while requests fail."""
-        first = START_SECONDS + play.fail_at + play.rising
-        count = int((START_SECONDS + play.seconds - first) / WINDOW)
-        windows = [self._count(play, first + place * WINDOW) for place in range(count)]
+        first = START_SECONDS + scenario.fail_at + scenario.ramp_seconds
+        count = int((START_SECONDS + scenario.seconds - first) / WINDOW)
+        windows = [
+            self._count(scenario, first + index * WINDOW) for index in range(count)
+        ]
         return sum(used for used, _ in windows) / sum(allowed for _, allowed in windows)
 
-    def _count(self, play: Play, at: float) -> tuple[float, float]:
+    def _count(self, scenario: Scenario, at: float) -> tuple[float, float]:
         most = max(
             count_between(self.requests, at - back) for back in (0, WINDOW / 2, WINDOW)
         )
-        return count_between(self.repeats, at), play.ratio * most + play.slack
+        return count_between(self.retries, at), scenario.ratio * most + scenario.slack
 
 
 def count_between(times: list[float], since: float) -> int:
@@ -158,106 +160,116 @@
 class Fleet:
     """Gateways and controls of one play."""
 
-    def __init__(self, play: Play) -> None:
-        self.play = play
-        self.limits = RetryLimits(ratio=play.ratio, slack=play.slack, window=WINDOW)
-        self.random = random.Random(play.seed)
+    def __init__(self, scenario: Scenario) -> None:
+        self.scenario = scenario
+        self.limits = RetryLimits(
+            ratio=scenario.ratio, slack=scenario.slack, window=WINDOW
+        )
+        self.random = random.Random(scenario.seed)
         self.outcome = Outcome()
         self.events: list[tuple[float, int, Callable[[float], None]]] = []
         self.order = count()
         self.controls = [Control() for _ in range(CONTROLS)]
         self.gateways = [
             Gateway(
-                f"gateway-{place}",
+                f"gateway-{index}",
                 RetryTable(
                     began_at=self.random.random() * 0.3, phase=self.random.random()
                 ),
                 self.random.randrange(CONTROLS),
             )
-            for place in range(play.gateways)
+            for index in range(scenario.gateways)
         ]
 
     def run(self) -> Outcome:
         """Play to the end."""
-        self._plan()
-        end = START_SECONDS + self.play.seconds
+        self._schedule()
+        end = START_SECONDS + self.scenario.seconds
         while self.events[0][0] < end:
-            at, _, act = heapq.heappop(self.events)
-            act(at)
+            at, _, action = heapq.heappop(self.events)
+            action(at)
 
         return self.outcome
 
-    def _at(self, when: float, act: Callable[[float], None]) -> None:
-        heapq.heappush(self.events, (when, next(self.order), act))
+    def _schedule_at(self, when: float, action: Callable[[float], None]) -> None:
+        heapq.heappush(self.events, (when, next(self.order), action))
 
-    def _every(self, period: float, act: Callable[[float], None]) -> None:
+    def _schedule_periodic(
+        self, period: float, action: Callable[[float], None]
+    ) -> None:
         def run(now: float) -> None:
-            act(now)
-            self._at(now + period, run)
+            action(now)
+            self._schedule_at(now + period, run)
 
-        self._at(self.random.random() * period, run)
+        self._schedule_at(self.random.random() * period, run)
 
-    def _send(self, now: float, act: Callable[[float], None]) -> None:
+    def _send(self, now: float, action: Callable[[float], None]) -> None:
         """Let a message arrive after its time on the link."""
-        self._at(now + self.random.expovariate(1.0 / self.play.delay), act)
+        self._schedule_at(
+            now + self.random.expovariate(1.0 / self.scenario.delay), action
+        )
 
-    def _plan(self) -> None:
+    def _schedule(self) -> None:
         for gateway in self.gateways:
-            self._every(REPORT_SECONDS, self._reporter(gateway))
+            self._schedule_periodic(REPORT_SECONDS, self._make_report_sender(gateway))
 
-        for place in range(CONTROLS):
-            self._every(EXCHANGE_SECONDS, self._exchanger(place))
-            self._every(REPORT_SECONDS, self._summer(place))
+        for index in range(CONTROLS):
+            self._schedule_periodic(EXCHANGE_SECONDS, self._make_exchange_sender(index))
+            self._schedule_periodic(REPORT_SECONDS, self._make_total_sender(index))
 
-        self._at(START_SECONDS, self._ask)
-        self._plan_faults()
+        self._schedule_at(START_SECONDS, self._handle_request)
+        self._schedule_faults()
 
-    def _plan_faults(self) -> None:
-        play = self.play
+    def _schedule_faults(self) -> None:
+        scenario = self.scenario
         third = self.gateways[: max(len(self.gateways) // 3, 1)]
-        if play.uncontrolled:
-            self._at(START_SECONDS, lambda _: self._end_controls())
+        if scenario.uncontrolled:
+            self._schedule_at(START_SECONDS, lambda _: self._stop_controls())
 
-        if play.paused is not None:
-            since, until = play.paused
-            self._at(START_SECONDS + since, lambda _: self._pause(0, True))
-            self._at(START_SECONDS + until, lambda _: self._pause(0, False))
+        if scenario.paused is not None:
+            since, until = scenario.paused
+            self._schedule_at(START_SECONDS + since, lambda _: self._pause(0, True))
+            self._schedule_at(START_SECONDS + until, lambda _: self._pause(0, False))
 
-        for place, when in enumerate(play.killed):
-            self._plan_control_kill(place % CONTROLS, START_SECONDS + when)
+        for index, when in enumerate(scenario.killed):
+            self._schedule_control_kill(index % CONTROLS, START_SECONDS + when)
 
-        for place in range(CONTROLS if play.all_killed is not None else 0):
-            self._plan_control_kill(place, START_SECONDS + (play.all_killed or 0.0))
+        for index in range(CONTROLS if scenario.all_killed is not None else 0):
+            self._schedule_control_kill(
+                index, START_SECONDS + (scenario.all_killed or 0.0)
+            )
 
-        for gateway in third if play.restarted is not None else ():
-            self._plan_restart(gateway, START_SECONDS + (play.restarted or 0.0))
+        for gateway in third if scenario.restarted is not None else ():
+            self._schedule_restart(gateway, START_SECONDS + (scenario.restarted or 0.0))
 
-        for gateway in self.gateways if play.all_restarted is not None else ():
-            self._plan_restart(gateway, START_SECONDS + (play.all_restarted or 0.0))
+        for gateway in self.gateways if scenario.all_restarted is not None else ():
+            self._schedule_restart(
+                gateway, START_SECONDS + (scenario.all_restarted or 0.0)
+            )
 
-        for gateway in third if play.unlinked is not None else ():
-            self._plan_unlink(gateway, play.unlinked or (0.0, 0.0))
+        for gateway in third if scenario.unlinked is not None else ():
+            self._schedule_unlink(gateway, scenario.unlinked or (0.0, 0.0))
 
-    def _pause(self, place: int, paused: bool) -> None:
-        self.controls[place].paused = paused
+    def _pause(self, index: int, paused: bool) -> None:
+        self.controls[index].paused = paused
 
-    def _end_controls(self) -> None:
+    def _stop_controls(self) -> None:
         for control in self.controls:
             control.up = False
 
-    def _plan_control_kill(self, place: int, when: float) -> None:
+    def _schedule_control_kill(self, index: int, when: float) -> None:
         def kill(_: float) -> None:
-            self.controls[place].up = False
-            self.controls[place].run += 1
+            self.controls[index].up = False
+            self.controls[index].run += 1
 
         def start(_: float) -> None:
-            self.controls[place].reports = ReportTable()
-            self.controls[place].up = True
+            self.controls[index].reports = ReportTable()
+            self.controls[index].up = True
 
-        self._at(when, kill)
-        self._at(when + 1.0, start)
+        self._schedule_at(when, kill)
+        self._schedule_at(when + 1.0, start)
 
-    def _plan_restart(self, gateway: Gateway, when: float) -> None:
+    def _schedule_restart(self, gateway: Gateway, when: float) -> None:
         def kill(_: float) -> None:
             gateway.up = False
 
@@ -268,21 +280,21 @@
             gateway.reported = ()
             gateway.up = True
 
-        self._at(when, kill)
-        self._at(when + 1.0 + self.random.random(), start)
+        self._schedule_at(when, kill)
+        self._schedule_at(when + 1.0 + self.random.random(), start)
 
-    def _plan_unlink(self, gateway: Gateway, cut: tuple[float, float]) -> None:
+    def _schedule_unlink(self, gateway: Gateway, cut: tuple[float, float]) -> None:
         def link(linked: bool) -> Callable[[float], None]:
-            def act(_: float) -> None:
+            def action(_: float) -> None:
                 gateway.linked = linked
 
-            return act
+            return action
 
-        self._at(START_SECONDS + cut[0], link(False))
-        self._at(START_SECONDS + cut[1], link(True))
+        self._schedule_at(START_SECONDS + cut[0], link(False))
+        self._schedule_at(START_SECONDS + cut[1], link(True))
 
     def _is_cut(self, one: int, other: int, now: float) -> bool:
-        cut = self.play.cut
+        cut = self.scenario.cut
         if cut is None or (one < 2) == (other < 2):
             return False
 
@@ -290,15 +302,15 @@
 
     # --- gateways -------------------------------------------------------------
 
-    def _reporter(self, gateway: Gateway) -> Callable[[float], None]:
+    def _make_report_sender(self, gateway: Gateway) -> Callable[[float], None]:
         def report(now: float) -> None:
             if not gateway.up or not gateway.linked:
                 return
 
-            if not self.controls[gateway.home].up:
-                gateway.home = self.random.randrange(CONTROLS)
+            if not self.controls[gateway.control_index].up:
+                gateway.control_index = self.random.randrange(CONTROLS)
 
-            control = self.controls[gateway.home]
+            control = self.controls[gateway.control_index]
             repeats = list_repeats(gateway.retries, self.limits, now)
             body = GatewayReport(
                 gateway=gateway.name,
@@ -312,7 +324,7 @@
 
             def arrive(at: float) -> None:
                 if control.paused:
-                    self._at(at + 0.1, arrive)
+                    self._schedule_at(at + 0.1, arrive)
                 elif control.up and control.run == run:
                     take_report(control.reports, body, at)
 
@@ -320,33 +332,37 @@
 
         return report
 
-    def _ask(self, now: float) -> None:
+    def _handle_request(self, now: float) -> None:
         """Let a request arrive, and the next one later."""
-        self._at(now + self.random.expovariate(self.play.rate), self._ask)
+        self._schedule_at(
+            now + self.random.expovariate(self.scenario.rate), self._handle_request
+        )
         up = [one for one in self.gateways if one.up]
         if not up:
             return
 
-        hot = up[0] is self.gateways[0] and self.random.random() < self.play.hot
-        gateway = up[0] if hot else self.random.choice(up)
+        is_hot = (
+            up[0] is self.gateways[0] and self.random.random() < self.scenario.hot_share
+        )
+        gateway = up[0] if is_hot else self.random.choice(up)
         note_request(gateway.retries, SERVICE, now, self.limits)
         self.outcome.requests.append(now)
-        if self.random.random() < self._failing(now):
-            for _ in range(self.play.wanted):
-                self._repeat(gateway, now)
+        if self.random.random() < self._failure_rate(now):
+            for _ in range(self.scenario.retries_per_failure):
+                self._request_retry(gateway, now)
 
-    def _failing(self, now: float) -> float:
-        since = now - START_SECONDS - self.play.fail_at
+    def _failure_rate(self, now: float) -> float:
+        since = now - START_SECONDS - self.scenario.fail_at
         if since < 0.0:
             return 0.0
 
-        if since < self.play.rising:
-            return self.play.failing * since / self.play.rising
+        if since < self.scenario.ramp_seconds:
+            return self.scenario.failing * since / self.scenario.ramp_seconds
 
-        return self.play.failing
+        return self.scenario.failing
 
-    def _repeat(self, gateway: Gateway, now: float) -> None:
-        self.outcome.asked += 1
+    def _request_retry(self, gateway: Gateway, now: float) -> None:
+        self.outcome.requested += 1
         if not may_repeat(
             gateway.retries,
             SERVICE,
@@ -358,12 +374,12 @@
             return
 
         note_repeat(gateway.retries, SERVICE, now, self.limits)
-        self.outcome.repeats.append(now)
+        self.outcome.retries.append(now)
 
     # --- controls -------------------------------------------------------------
 
-    def _exchanger(self, place: int) -> Callable[[float], None]:
-        control = self.controls[place]
+    def _make_exchange_sender(self, index: int) -> Callable[[float], None]:
+        control = self.controls[index]
 
         def exchange(now: float) -> None:
             if not control.up or control.paused:
@@ -371,10 +387,10 @@
 
             body = make_control_report(control.reports, now, urgent=False)
             for other, receiver in enumerate(self.controls):
-                if other == place or self._is_cut(place, other, now):
+                if other == index or self._is_cut(index, other, now):
                     continue
 
-                self._send(now, self._deliver(receiver, f"control-{place}", body))
+                self._send(now, self._deliver(receiver, f"control-{index}", body))
 
         return exchange
 
@@ -385,14 +401,14 @@
 
         def arrive(at: float) -> None:
             if receiver.paused:
-                self._at(at + 0.1, arrive)
+                self._schedule_at(at + 0.1, arrive)
             elif receiver.up and receiver.run == run:
                 take_control_report(receiver.reports, sender, body, at)
 
         return arrive
 
-    def _summer(self, place: int) -> Callable[[float], None]:
-        control = self.controls[place]
+    def _make_total_sender(self, index: int) -> Callable[[float], None]:
+        control = self.controls[index]
 
         def share(now: float) -> None:
             if not control.up or control.paused:
@@ -419,9 +435,9 @@
         return arrive
 
 
-def run_play(play: Play) -> Outcome:
+def run_scenario(scenario: Scenario) -> Outcome:
     """Play from the start of all processes; return what was used of the budget."""
-    return Fleet(play).run()
+    return Fleet(scenario).run()
 
 
 FAULTS = (
@@ -433,37 +449,37 @@
     "all_restarted",
     "unlinked",
 )
-SPANS = frozenset({"cut", "paused", "unlinked"})
+INTERVAL_FAULTS = frozenset({"cut", "paused", "unlinked"})
 """Faults that last."""
 
 
-def draw_play(seed: int) -> Play:
+def draw_scenario(seed: int) -> Scenario:
     """Return a deployment, and one or two faults around the moment of failure."""
-    chooser = random.Random(seed)
-    gateways = chooser.choice((6, 9, 30, 78))
-    fail_at = chooser.choice((0.0, 5.0, 14.0))
-    play = Play(
+    rng = random.Random(seed)
+    gateways = rng.choice((6, 9, 30, 78))
+    fail_at = rng.choice((0.0, 5.0, 14.0))
+    scenario = Scenario(
         gateways=gateways,
-        rate=gateways * chooser.choice((2.0, 4.0, 5.0)),
-        ratio=chooser.choice((0.05, 0.1, 0.2, 0.5, 0.9)),
-        slack=chooser.choice((0.0, 20.0, 58.0, 180.0)),
-        wanted=chooser.choice((1, 2, 3)),
-        failing=chooser.choice((0.5, 1.0)),
-        rising=chooser.choice((0.0, 3.0)),
-        delay=chooser.choice((0.003, 0.01, 0.03)),
+        rate=gateways * rng.choice((2.0, 4.0, 5.0)),
+        ratio=rng.choice((0.05, 0.1, 0.2, 0.5, 0.9)),
+        slack=rng.choice((0.0, 20.0, 58.0, 180.0)),
+        retries_per_failure=rng.choice((1, 2, 3)),
+        failing=rng.choice((0.5, 1.0)),
+        ramp_seconds=rng.choice((0.0, 3.0)),
+        delay=rng.choice((0.003, 0.01, 0.03)),
         fail_at=fail_at,
         seconds=30.0,
         seed=seed,
     )
     faults: dict[str, Any] = {}
-    for name in chooser.sample(FAULTS, chooser.choice((1, 1, 2))):
-        at = max(fail_at + chooser.uniform(-3.0, 4.0), 0.1)
-        if name in SPANS:
-            faults[name] = (at, at + chooser.uniform(1.0, 9.0))
+    for name in rng.sample(FAULTS, rng.choice((1, 1, 2))):
+        at = max(fail_at + rng.uniform(-3.0, 4.0), 0.1)
+        if name in INTERVAL_FAULTS:
+            faults[name] = (at, at + rng.uniform(1.0, 9.0))
         elif name == "killed":
-            step = chooser.uniform(0.5, 2.0)
-            faults[name] = tuple(at + place * step for place in range(CONTROLS))
+            step = rng.uniform(0.5, 2.0)
+            faults[name] = tuple(at + index * step for index in range(CONTROLS))
         else:
             faults[name] = at
 
-    return replace(play, **faults)
+    return replace(scenario, **faults)
--- a/tests/routing/factories.py
+++ b/tests/routing/factories.py
@@ -17,7 +17,7 @@
 
 def make_news(upstream: str = "u1", **fields: Any) -> Announcement:
     """Return an announcement of a serving upstream."""
-    known: dict[str, Any] = {
+    defaults: dict[str, Any] = {
         "upstream": upstream,
         "service": "chat",
         "host": "127.0.0.1",
@@ -29,12 +29,12 @@
         "incarnation": 1,
         "sequence": 1,
     }
-    return Announcement(**{**known, **fields})
+    return Announcement(**{**defaults, **fields})
 
 
 def make_route(**fields: Any) -> Route:
     """Return a route of streams."""
-    known: dict[str, Any] = {
+    defaults: dict[str, Any] = {
         "name": "r1",
         "host": "a.example",
         "prefix": "/chat/",
@@ -45,23 +45,23 @@
         "max_attempts": 3,
         "resumable": True,
     }
-    return Route(**{**known, **fields})
+    return Route(**{**defaults, **fields})
 
 
 def make_document(**fields: Any) -> Document:
     """Return a document with one route, one service and one workspace."""
-    known: dict[str, Any] = {
+    defaults: dict[str, Any] = {
         "version": 1,
         "routes": (make_route(),),
         "services": (Service(name="chat", slots=4),),
         "workspaces": (Workspace(name="team", keys=("k1",)),),
     }
-    return Document(**{**known, **fields})
+    return Document(**{**defaults, **fields})
 
 
 def make_rollout(**fields: Any) -> RolloutState:
     """Return a move under way from v1 to v2."""
-    known: dict[str, Any] = {
+    defaults: dict[str, Any] = {
         "service": "chat",
         "target": "v2",
         "former": "v1",
@@ -70,4 +70,4 @@
         "share": 0.0,
         "state": "in_progress",
     }
-    return RolloutState(**{**known, **fields})
+    return RolloutState(**{**defaults, **fields})
--- a/tests/routing/test_fleet.py
+++ b/tests/routing/test_fleet.py
@@ -14,7 +14,7 @@
 from .factories import make_news
 
 
-class NewsTest(unittest.TestCase):
+class AnnouncementTest(unittest.TestCase):
     """News is ordered by incarnation, then by sequence."""
 
     def test_late_news_changes_nothing(self) -> None:
--- a/tests/routing/test_model_load.py
+++ b/tests/routing/test_model_load.py
@@ -21,7 +21,7 @@
 from waxwingwell.routing.load import estimate_usage
 from waxwingwell.routing.load import note_work
 from waxwingwell.routing.models import Stake
-from waxwingwell.routing.models import find_doubt
+from waxwingwell.routing.models import estimate_poor_probability
 from waxwingwell.routing.models import wants_larger
 from waxwingwell.routing.models import weigh_size
 from waxwingwell.routing.placement import Demand
@@ -40,8 +40,8 @@
 """Until the smallest model's first event."""
 STREAM_SECONDS = 3.0
 COST = 0.25
-LATE_WORTH = 0.3
-POOR_WORTH = 0.05
+LATE_VALUE = 0.3
+POOR_VALUE = 0.05
 SECONDS = 60.0
 CHAT = Service(name="chat", slots=32, memory_tokens=500_000)
 NAMES = [f"e{number}" for number in range(ENGINES)]
@@ -57,7 +57,7 @@
     prompt: int
     output: int
     objective: float
-    worth: float
+    value: float
 
 
 KINDS = (
@@ -79,9 +79,9 @@
     draw: random.Random = field(default_factory=lambda: random.Random(7))
 
     def __post_init__(self) -> None:
-        self.around = Surroundings("north", self.load, HealthTable(), PrefixTable())
+        self.context = Surroundings("north", self.load, HealthTable(), PrefixTable())
 
-    def settle(self, now: float) -> None:
+    def process_until(self, now: float) -> None:
         """Count what has ended by now."""
         while self.ends and self.ends[0][0] <= now:
             _, _, what, name, work = heapq.heappop(self.ends)
@@ -109,53 +109,55 @@
     return load * ENGINES / work
 
 
-def play(policy: Policy, load: float, seed: int = 3) -> float:
+def run_policy(policy: Policy, load: float, seed: int = 3) -> float:
     """Return what callers got, as a share of what good answers in time are worth."""
     draw = random.Random(seed)
     engines = Engines()
-    usual: dict[str, float] = {}
-    now = earned = owed = 0.0
+    typical_sizes: dict[str, float] = {}
+    now = value_earned = value_offered = 0.0
     while now < SECONDS:
         now += draw.expovariate(find_rate(load))
         kind = draw.choices(KINDS, [one.share for one in KINDS])[0]
         prompt = int(kind.prompt * draw.lognormvariate(-0.5, 1.0))
-        weight = weigh_size(usual, kind.name, prompt, kind.output)
-        worth = kind.worth * weight
-        owed += worth
+        weight = weigh_size(typical_sizes, kind.name, prompt, kind.output)
+        value = kind.value * weight
+        value_offered += value
         answered_at = now + SMALL_SECONDS
-        engines.settle(answered_at)
+        engines.process_until(answered_at)
         confidence = draw.random()
         placement = place(engines, prompt, answered_at)
-        left = kind.objective - SMALL_SECONDS
+        remaining = kind.objective - SMALL_SECONDS
         stake = Stake(
             output_tokens=kind.output,
             prompt_tokens=prompt,
             uncached=prompt,
             weight=weight,
             cost=COST,
-            pressure=placement.wait / 1000 / left,
+            pressure=placement.wait / 1000 / remaining,
             usage=estimate_usage(engines.load, ENGINES, answered_at),
         )
         if not policy(confidence, stake):
-            doubt = find_doubt(confidence)
-            earned += worth * (1.0 - doubt + doubt * POOR_WORTH)
+            poor_probability = estimate_poor_probability(confidence)
+            value_earned += value * (
+                1.0 - poor_probability + poor_probability * POOR_VALUE
+            )
             continue
 
         first_at = engines.send(
             placement.upstream.upstream, prompt * TOKEN_MS, answered_at
         )
-        timely = first_at <= now + kind.objective
-        earned += worth * (1.0 if timely else LATE_WORTH)
-        earned -= COST * (0.3 * kind.output + prompt / 4) / 1000
+        on_time = first_at <= now + kind.objective
+        value_earned += value * (1.0 if on_time else LATE_VALUE)
+        value_earned -= COST * (0.3 * kind.output + prompt / 4) / 1000
 
-    return earned / owed
+    return value_earned / value_offered
 
 
 def place(engines: Engines, prompt: int, now: float) -> Placement:
     """Return where the larger model would run."""
     demand = Demand(CHAT, "large", prompt, token_ms=TOKEN_MS)
     draw = engines.draw.random
-    found = place_request(demand, UPSTREAMS, engines.around, now, draw)
+    found = place_request(demand, UPSTREAMS, engines.context, now, draw)
     assert found is not None
     return found
 
@@ -170,19 +172,19 @@
     return True
 
 
-def ask_below_bar(confidence: float, stake: Stake) -> bool:
+def ask_below_threshold(confidence: float, stake: Stake) -> bool:
     """Ask where the smallest model is unsure, whatever it costs."""
     return confidence < 0.55
 
 
-def ask_below_falling_bar(confidence: float, stake: Stake) -> bool:
+def ask_below_falling_threshold(confidence: float, stake: Stake) -> bool:
     """Ask where it is unsure; the bar falls with pressure and usage, for all alike."""
-    room = min(max(1.25 - stake.pressure, 0.0), 1.0)
-    spare = min(max((1.2 - stake.usage) / 0.6, 0.0), 1.0)
-    return confidence < 0.55 * room * spare
+    time_factor = min(max(1.25 - stake.pressure, 0.0), 1.0)
+    capacity_factor = min(max((1.2 - stake.usage) / 0.6, 0.0), 1.0)
+    return confidence < 0.55 * time_factor * capacity_factor
 
 
-FIXED = (ask_never, ask_always, ask_below_bar, ask_below_falling_bar)
+FIXED = (ask_never, ask_always, ask_below_threshold, ask_below_falling_threshold)
 
 
 class ModelLoadTest(unittest.TestCase):
@@ -191,9 +193,9 @@
     def test_callers_are_served_at_least_as_well_as_by_any_fixed_choice(self) -> None:
         """Engines fill up, and a fixed choice serves callers late or poorly."""
         for load in (0.3, 0.7, 1.0, 1.5, 2.5):
-            best = max(play(policy, load) for policy in FIXED)
+            best = max(run_policy(policy, load) for policy in FIXED)
             with self.subTest(load=load):
-                self.assertGreaterEqual(play(wants_larger, load), best)
+                self.assertGreaterEqual(run_policy(wants_larger, load), best)
 
 
 if __name__ == "__main__":
--- a/tests/routing/test_models.py
+++ b/tests/routing/test_models.py
@@ -6,13 +6,13 @@
 from typing import Any
 
 from waxwingwell.routing.models import Stake
-from waxwingwell.routing.models import find_doubt
+from waxwingwell.routing.models import estimate_poor_probability
 from waxwingwell.routing.models import find_price
 from waxwingwell.routing.models import wants_larger
 from waxwingwell.routing.models import weigh_size
 
 
-def make_stake(**fields: Any) -> Stake:
+def make_inputs(**fields: Any) -> Stake:
     """Return the stake of a usual request on idle engines."""
     known: dict[str, Any] = {
         "output_tokens": 1_000,
@@ -41,7 +41,7 @@
             ("free, and sure", 0.8, {"cost": 0.0}, False),
         ):
             with self.subTest(name):
-                found = wants_larger(confidence, make_stake(**fields))
+                found = wants_larger(confidence, make_inputs(**fields))
                 self.assertIs(found, expected)
 
     def test_fewer_are_asked_as_engines_fill_up(self) -> None:
@@ -53,13 +53,13 @@
         for name, confidence, fields, expected in (
             ("easy", 0.5, {"usage": 0.5}, True),
             ("busy", 0.5, {"usage": 0.95}, True),
-            ("busy, a long prompt for a short answer", 0.3, SHORT_ANSWER, False),
+            ("busy, a long prompt for a short answer", 0.3, SHORT_RESPONSE, False),
             ("full, unsure", 0.5, {"usage": 1.3}, False),
             ("full, poor", 0.1, {"usage": 1.3}, True),
             ("beyond", 0.0, {"usage": 2.0}, False),
         ):
             with self.subTest(name):
-                found = wants_larger(confidence, make_stake(**fields))
+                found = wants_larger(confidence, make_inputs(**fields))
                 self.assertIs(found, expected)
 
     def test_a_late_answer_is_worth_less_than_an_unsure_one_now(self) -> None:
@@ -71,7 +71,7 @@
             ("late, poor", 0.1, 1.5, True),
         ):
             with self.subTest(name):
-                found = wants_larger(confidence, make_stake(pressure=pressure))
+                found = wants_larger(confidence, make_inputs(pressure=pressure))
                 self.assertIs(found, expected)
 
     def test_a_large_request_gets_as_good_a_model_as_a_small_one(self) -> None:
@@ -80,25 +80,25 @@
         Their own reading counted as pressure, which lowered their bar to nothing. Yet
         their answers are worth several usual ones.
         """
-        usual: dict[str, float] = {}
+        typical_sizes: dict[str, float] = {}
         for _ in range(200):
-            weigh_size(usual, "r1", 6_000, 1_000)
+            weigh_size(typical_sizes, "r1", 6_000, 1_000)
 
-        weight = weigh_size(usual, "r1", 40_000, 1_000)
+        weight = weigh_size(typical_sizes, "r1", 40_000, 1_000)
         self.assertGreater(weight, 2.0)
-        large = make_stake(
+        large = make_inputs(
             prompt_tokens=40_000, uncached=35_000, weight=weight, pressure=0.6
         )
         self.assertTrue(wants_larger(0.45, large))
-        self.assertLess(find_price(large), 3.0 * find_price(make_stake()))
+        self.assertLess(find_price(large), 3.0 * find_price(make_inputs()))
 
     def test_doubt_falls_with_confidence(self) -> None:
-        doubts = [find_doubt(place / 10) for place in range(11)]
-        self.assertEqual(doubts, sorted(doubts, reverse=True))
-        self.assertAlmostEqual(find_doubt(0.5), 0.5)
+        probabilities = [estimate_poor_probability(place / 10) for place in range(11)]
+        self.assertEqual(probabilities, sorted(probabilities, reverse=True))
+        self.assertAlmostEqual(estimate_poor_probability(0.5), 0.5)
 
 
-SHORT_ANSWER = {"usage": 0.95, "output_tokens": 84, "prompt_tokens": 2_400}
+SHORT_RESPONSE = {"usage": 0.95, "output_tokens": 84, "prompt_tokens": 2_400}
 
 
 if __name__ == "__main__":
--- a/tests/routing/test_placement.py
+++ b/tests/routing/test_placement.py
@@ -18,7 +18,7 @@
 from waxwingwell.routing.load import take_sum
 from waxwingwell.routing.placement import Demand
 from waxwingwell.routing.placement import Surroundings
-from waxwingwell.routing.placement import find_holder
+from waxwingwell.routing.placement import find_best_cached
 from waxwingwell.routing.placement import place_request
 from waxwingwell.routing.placement import prefer_for
 from waxwingwell.routing.prefixes import PrefixTable
@@ -50,8 +50,8 @@
         "health": HealthTable(),
         "prefixes": PrefixTable(),
     }
-    surroundings = Surroundings(**{**known, **around})
-    placement = place_request(demand, upstreams, surroundings, 10.0, lambda: 0.0)
+    context = Surroundings(**{**known, **around})
+    placement = place_request(demand, upstreams, context, 10.0, lambda: 0.0)
     return placement.upstream.upstream if placement else ""
 
 
@@ -82,8 +82,8 @@
     def test_upstreams_that_fail_are_avoided(self) -> None:
         """An upstream that is sound by its own word fails half of its calls."""
         health = HealthTable()
-        for place_in_row in range(8):
-            note_answer(health, "near", 10.0, failed=place_in_row % 2 == 0)
+        for position in range(8):
+            note_answer(health, "near", 10.0, failed=position % 2 == 0)
 
         self.assertEqual(place(Demand(DESK), health=health), "near2")
 
@@ -116,7 +116,9 @@
             with self.subTest(name):
                 demand = Demand(ENGINE, "small", 4_600, parts)
                 preferred = prefer_for(demand, engines, "north")
-                found = find_holder(demand, engines, around, 10.0, preferred=preferred)
+                found = find_best_cached(
+                    demand, engines, around, 10.0, preferred=preferred
+                )
                 self.assertEqual(len(found), expected)
 
     def test_an_engine_kept_for_the_model_is_used_until_it_is_full(self) -> None:
@@ -136,7 +138,7 @@
         self.assertEqual(len({place(demand) for _ in range(5)}), 1)
 
 
-class UseTest(unittest.TestCase):
+class LoadTest(unittest.TestCase):
     """Counting what runs."""
 
     def test_use_ends_at_nothing(self) -> None:
@@ -155,7 +157,9 @@
     def test_usage(self) -> None:
         for name, others_at, expected in (("heard", 9.5, 0.3), ("alone", 0.0, 0.8)):
             with self.subTest(name):
-                table = LoadTable(others_work=1_200.0, others_at=others_at, gateways=8)
+                table = LoadTable(
+                    others_prefill_ms=1_200.0, others_at=others_at, gateways=8
+                )
                 note_work(table, 600.0, 9.0)
                 self.assertAlmostEqual(estimate_usage(table, 2, 10.0), expected)
 
--- a/tests/routing/test_reports.py
+++ b/tests/routing/test_reports.py
@@ -11,18 +11,18 @@
 from waxwingwell.routing.messages import ServiceRepeats
 from waxwingwell.routing.messages import UpstreamUse
 from waxwingwell.routing.messages import VersionEvidence
-from waxwingwell.routing.reports import EVIDENCE_SECONDS
+from waxwingwell.routing.reports import EVIDENCE_RESEND_SECONDS
 from waxwingwell.routing.reports import REPORT_LIFE
-from waxwingwell.routing.reports import USE_LIFE
+from waxwingwell.routing.reports import USE_TTL_SECONDS
 from waxwingwell.routing.reports import ReportTable
 from waxwingwell.routing.reports import drop_old
 from waxwingwell.routing.reports import list_untold
 from waxwingwell.routing.reports import make_control_report
+from waxwingwell.routing.reports import make_total
 from waxwingwell.routing.reports import sum_fleet
 from waxwingwell.routing.reports import sum_totals
 from waxwingwell.routing.reports import take_control_report
 from waxwingwell.routing.reports import take_report
-from waxwingwell.routing.reports import total_of
 
 
 USE = (UpstreamUse(upstream="u1", running=2, backlog=10),)
@@ -47,13 +47,13 @@
     return (ServiceRepeats("chat", requests, repeats),)
 
 
-class SumTest(unittest.TestCase):
+class TotalTest(unittest.TestCase):
     """Sums of what gateways have running."""
 
     def test_sum(self) -> None:
         reports = [make_report(name, use=USE) for name in ("a", "b")]
         self.assertEqual(
-            sum_totals(map(total_of, reports)),
+            sum_totals(map(make_total, reports)),
             FleetReport(
                 gateways=2,
                 use=(UpstreamUse(upstream="u1", running=4, backlog=20),),
@@ -62,7 +62,7 @@
 
     def test_what_gateways_know_of_a_move(self) -> None:
         """A gateway acts on sessions of which not every gateway has told yet."""
-        for name, told, held, kept in (
+        for name, cases, held, kept in (
             ("none", (), -1, set()),
             ("one lags", ((8, (1, 2)), (7, (2, 3))), 7, {1, 2, 3}),
             ("one does not tell", ((8, (1,)), (-1, ())), -1, {1}),
@@ -70,9 +70,9 @@
             with self.subTest(name):
                 reports = [
                     make_report(str(place), held=at, kept=places)
-                    for place, (at, places) in enumerate(told)
+                    for place, (at, places) in enumerate(cases)
                 ]
-                total = sum_totals(map(total_of, reports))
+                total = sum_totals(map(make_total, reports))
                 self.assertEqual((total.held, set(total.kept)), (held, kept))
 
 
@@ -125,8 +125,8 @@
         It may only stand still, so that it holds a move up for longer.
         """
         for age, running, gateways in (
-            (USE_LIFE, 2, 1),
-            (USE_LIFE + 0.1, 0, 1),
+            (USE_TTL_SECONDS, 2, 1),
+            (USE_TTL_SECONDS + 0.1, 0, 1),
             (REPORT_LIFE, 0, 1),
             (REPORT_LIFE + 0.1, 0, 0),
         ):
@@ -146,7 +146,7 @@
         """Guards against its requests being counted twice for longer than a moment."""
         controls = Controls()
         take_report(controls.first, make_report("a", use=USE), 0.0)
-        at = USE_LIFE + 0.1
+        at = USE_TTL_SECONDS + 0.1
         take_report(controls.second, make_report("a", use=USE), at)
         controls.exchange(at)
         for table in (controls.first, controls.second):
@@ -160,7 +160,7 @@
         """
         for name, run, age, requests, repeats in (
             ("it reports", 1, 0.0, 20, 4),
-            ("it is silent", None, USE_LIFE + 0.1, 0, 4),
+            ("it is silent", None, USE_TTL_SECONDS + 0.1, 0, 4),
             ("it is gone", None, REPORT_LIFE + 0.1, 0, 4),
             ("its window is over", None, REPORT_LIFE + 10.1, 0, 0),
             ("it has started anew", 2, 0.5, 1, 5),
@@ -196,7 +196,7 @@
         self.assertEqual(list_untold(controls.first), ["a", "b"])
 
 
-class ReadTest(unittest.TestCase):
+class BlockReportTest(unittest.TestCase):
     """Parts of prompts that engines have read."""
 
     def test_each_control_tells_its_gateways_once(self) -> None:
@@ -219,17 +219,17 @@
             ("nothing new", True, 1, 0.25, False),
             ("new, in a move", True, 2, 0.25, True),
             ("new, no move", False, 2, 0.25, False),
-            ("nothing new for long", True, 1, EVIDENCE_SECONDS, True),
-            ("no move for long", False, 2, EVIDENCE_SECONDS, True),
+            ("nothing new for long", True, 1, EVIDENCE_RESEND_SECONDS, True),
+            ("no move for long", False, 2, EVIDENCE_RESEND_SECONDS, True),
         ):
             with self.subTest(name):
                 controls = Controls()
-                for now, seen in ((10.0, 1), (10.0 + at, answers)):
-                    report = make_report("b", evidence=make_evidence(seen))
+                for now, responses in ((10.0, 1), (10.0 + at, answers)):
+                    report = make_report("b", evidence=make_evidence(responses))
                     take_report(controls.second, report, now)
-                    told = controls.exchange(now, urgent=urgent)
+                    exchanged = controls.exchange(now, urgent=urgent)
 
-                self.assertIs(bool(told.evidence), expected)
+                self.assertIs(bool(exchanged.evidence), expected)
 
     def test_a_former_home_does_not_bring_old_evidence_back(self) -> None:
         """Guards against answers counted twice after a gateway has changed its home."""
@@ -239,7 +239,11 @@
         controls.exchange(10.0, urgent=True)
         new = make_report("b", evidence=make_evidence(6))
         take_report(controls.first, new, 10.5)
-        for now in (10.5, 10.0 + EVIDENCE_SECONDS, 10.5 + EVIDENCE_SECONDS):
+        for now in (
+            10.5,
+            10.0 + EVIDENCE_RESEND_SECONDS,
+            10.5 + EVIDENCE_RESEND_SECONDS,
+        ):
             controls.exchange(now, urgent=True)
             known = controls.first.evidence["b"].versions
             self.assertEqual(known, make_evidence(6))
--- a/tests/routing/test_retries.py
+++ b/tests/routing/test_retries.py
@@ -10,12 +10,12 @@
 from waxwingwell.routing.retries import FAILURE_PART
 from waxwingwell.routing.retries import RetryLimits
 from waxwingwell.routing.retries import RetryTable
-from waxwingwell.routing.retries import add_repeats
 from waxwingwell.routing.retries import count_own
 from waxwingwell.routing.retries import list_repeats
 from waxwingwell.routing.retries import may_repeat
 from waxwingwell.routing.retries import note_repeat
 from waxwingwell.routing.retries import note_request
+from waxwingwell.routing.retries import sum_retries
 from waxwingwell.routing.retries import take_repeats
 
 
@@ -31,14 +31,14 @@
     return table
 
 
-def take_counts(
+def apply_counts(
     table: RetryTable, others: tuple[int, int, float], now: float, shares: int = 99
 ) -> None:
     """Take a sum of the others' requests, repeats and draws, and of our own."""
     own = count_own(table, "chat", LIMITS, now)
     requests, repeats, drawn = others
     mine = ServiceRepeats("chat", requests, repeats, drawn, shares)
-    take_repeats(table, add_repeats((mine, own)), (own,), now)
+    take_repeats(table, sum_retries((mine, own)), (own,), now)
 
 
 def count_allowed(table: RetryTable, part: float, gateways: int, now: float) -> int:
@@ -61,22 +61,22 @@
         self.tables = [RetryTable() for _ in range(count)]
         self.shared = shared
         self.random = random.Random(1)
-        self.most_used = 0.0
+        self.peak_use = 0.0
         """Largest part of the budget that was ever used."""
 
-    def play(self, seconds: float) -> float:
+    def run(self, seconds: float) -> float:
         """Return the share of repeats that were allowed."""
         allowed: list[bool] = []
-        for turn in range(int(seconds / self.LAG)):
-            now = turn * self.LAG
-            self._share(now)
+        for step in range(int(seconds / self.LAG)):
+            now = step * self.LAG
+            self._exchange_totals(now)
             for table in self.tables:
                 if self.random.random() < 0.85 * self.LAG:
-                    allowed += self._ask(table, now)
+                    allowed += self._handle_request(table, now)
 
         return sum(allowed) / len(allowed)
 
-    def _ask(self, table: RetryTable, now: float) -> list[bool]:
+    def _handle_request(self, table: RetryTable, now: float) -> list[bool]:
         note_request(table, "chat", now, self.LIMITS)
         if self.random.random() < 0.5:
             return []
@@ -89,12 +89,12 @@
 
         return [allowed]
 
-    def _share(self, now: float) -> None:
+    def _exchange_totals(self, now: float) -> None:
         reports = [list_repeats(one, self.LIMITS, now) for one in self.tables]
-        total = add_repeats(part for report in reports for part in report)
+        total = sum_retries(part for report in reports for part in report)
         for one in total:
             budget = self.LIMITS.ratio * one.requests + self.LIMITS.slack
-            self.most_used = max(self.most_used, one.repeats / budget)
+            self.peak_use = max(self.peak_use, one.repeats / budget)
 
         if self.shared:
             for table, report in zip(self.tables, reports, strict=True):
@@ -138,7 +138,7 @@
         ):
             with self.subTest(name):
                 table = make_table(10)
-                take_counts(table, others, 1.0 - age)
+                apply_counts(table, others, 1.0 - age)
                 self.assertEqual(count_allowed(table, 1.0, 100, 1.0), expected)
 
     def test_a_gateway_goes_on_drawing_while_the_others_use_little(self) -> None:
@@ -154,9 +154,9 @@
             with self.subTest(name):
                 table = make_table(10)
                 allowed = 0
-                for turn in range(36):
-                    now = 1.0 + turn * 0.25
-                    take_counts(table, (1_000, 100, drawn), now)
+                for step in range(36):
+                    now = 1.0 + step * 0.25
+                    apply_counts(table, (1_000, 100, drawn), now)
                     allowed += count_allowed(table, 1.0, 100, now)
 
                 self.assertGreaterEqual(allowed, least)
@@ -168,15 +168,15 @@
             with self.subTest(gateways):
                 requests = 10 * (gateways - 1)
                 shares = gateways - 1
-                phases = random.Random(1)
+                rng = random.Random(1)
                 total = 0
                 for _ in range(gateways):
                     table = make_table(0)
-                    table.phase = phases.random()
+                    table.phase = rng.random()
                     for _ in range(10):
                         note_request(table, "chat", 0.0, LIMITS)
 
-                    take_counts(table, (requests, 0, 0.0), 1.0, shares)
+                    apply_counts(table, (requests, 0, 0.0), 1.0, shares)
                     total += count_allowed(table, FAILURE_PART, gateways, 1.0)
 
                 budget = LIMITS.ratio * 10 * gateways + LIMITS.slack
@@ -208,8 +208,8 @@
         shares = {"own part": 0.0, "sums": 0.0}
         for name in shares:
             gateways = Gateways(195, shared=name == "sums")
-            shares[name] = gateways.play(seconds=20.0)
-            self.assertLessEqual(gateways.most_used, 1.0)
+            shares[name] = gateways.run(seconds=20.0)
+            self.assertLessEqual(gateways.peak_use, 1.0)
 
         self.assertLess(shares["own part"], 0.95)
         self.assertGreater(shares["sums"], 0.99)
--- a/tests/routing/test_retry_budget.py
+++ b/tests/routing/test_retry_budget.py
@@ -4,14 +4,14 @@
 
 import unittest
 
-from .budget_plays import Play
-from .budget_plays import draw_play
-from .budget_plays import run_play
+from .budget_plays import Scenario
+from .budget_plays import draw_scenario
+from .budget_plays import run_scenario
 
 
-GOAL = 0.85
+MIN_MEAN_USE = 0.85
 """Least part of the budget that is used where every request fails."""
-DRAWN = 12
+DRAWN_SCENARIOS = 12
 """Plays that are drawn."""
 
 
@@ -20,53 +20,62 @@
 
     def test_a_service_that_fails_for_all_gateways(self) -> None:
         """Guards against repeats beyond the budget: each gateway uses the same rest."""
-        for play in (
-            Play(gateways=6, rate=35, ratio=0.05, slack=0.0),
-            Play(gateways=6, rate=35, ratio=0.3, slack=20.0, wanted=1),
-            Play(gateways=9, rate=35, ratio=0.1, slack=58.0),
-            Play(gateways=9, rate=35, ratio=0.9, slack=58.0),
-            Play(gateways=78, rate=390, ratio=0.1, slack=58.0, wanted=3),
-            Play(gateways=78, rate=390, ratio=0.2, slack=58.0, failing=0.5),
-            Play(gateways=78, rate=390, ratio=0.2, slack=58.0, rising=4.0),
-            Play(gateways=78, rate=390, ratio=0.1, slack=58.0, delay=0.05),
-            Play(gateways=78, rate=390, ratio=0.1, slack=58.0, hot=0.33),
-            Play(gateways=78, rate=390, ratio=0.2, slack=58.0, fail_at=0.0),
-            Play(gateways=1_000, rate=1_500, ratio=0.3, slack=430.0, seconds=26.0),
+        for scenario in (
+            Scenario(gateways=6, rate=35, ratio=0.05, slack=0.0),
+            Scenario(gateways=6, rate=35, ratio=0.3, slack=20.0, retries_per_failure=1),
+            Scenario(gateways=9, rate=35, ratio=0.1, slack=58.0),
+            Scenario(gateways=9, rate=35, ratio=0.9, slack=58.0),
+            Scenario(
+                gateways=78, rate=390, ratio=0.1, slack=58.0, retries_per_failure=3
+            ),
+            Scenario(gateways=78, rate=390, ratio=0.2, slack=58.0, failing=0.5),
+            Scenario(gateways=78, rate=390, ratio=0.2, slack=58.0, ramp_seconds=4.0),
+            Scenario(gateways=78, rate=390, ratio=0.1, slack=58.0, delay=0.05),
+            Scenario(gateways=78, rate=390, ratio=0.1, slack=58.0, hot_share=0.33),
+            Scenario(gateways=78, rate=390, ratio=0.2, slack=58.0, fail_at=0.0),
+            Scenario(gateways=1_000, rate=1_500, ratio=0.3, slack=430.0, seconds=26.0),
         ):
-            with self.subTest(play):
-                used, allowed = run_play(play).most_used(play)
+            with self.subTest(scenario):
+                used, allowed = run_scenario(scenario).peak_use(scenario)
                 self.assertLessEqual(used, allowed)
 
     def test_most_of_the_budget_is_used_where_all_fail(self) -> None:
         """Guards against a budget that is kept by giving little of it away."""
-        for play in (
-            Play(gateways=195, rate=500, ratio=0.2, slack=58.0),
-            Play(gateways=195, rate=500, ratio=0.9, slack=430.0),
-            Play(gateways=195, rate=1_000, ratio=0.1, slack=58.0),
+        for scenario in (
+            Scenario(gateways=195, rate=500, ratio=0.2, slack=58.0),
+            Scenario(gateways=195, rate=500, ratio=0.9, slack=430.0),
+            Scenario(gateways=195, rate=1_000, ratio=0.1, slack=58.0),
         ):
-            with self.subTest(play):
-                outcome = run_play(play)
-                used, allowed = outcome.most_used(play)
+            with self.subTest(scenario):
+                outcome = run_scenario(scenario)
+                used, allowed = outcome.peak_use(scenario)
                 self.assertLessEqual(used, allowed)
-                self.assertGreaterEqual(outcome.mean_use(play), GOAL)
+                self.assertGreaterEqual(outcome.mean_use(scenario), MIN_MEAN_USE)
 
     def test_few_requests_that_fail(self) -> None:
         """Guards against repeats refused while most of the budget is unused."""
-        for play in (
-            Play(gateways=195, rate=166, ratio=0.9, slack=430.0, failing=0.5, wanted=1),
-            Play(
+        for scenario in (
+            Scenario(
+                gateways=195,
+                rate=166,
+                ratio=0.9,
+                slack=430.0,
+                failing=0.5,
+                retries_per_failure=1,
+            ),
+            Scenario(
                 gateways=78,
                 rate=390,
                 ratio=0.2,
                 slack=58.0,
                 failing=0.1,
-                wanted=1,
-                hot=0.33,
+                retries_per_failure=1,
+                hot_share=0.33,
             ),
         ):
-            with self.subTest(play):
-                outcome = run_play(play)
-                self.assertGreater(len(outcome.repeats) / outcome.asked, 0.95)
+            with self.subTest(scenario):
+                outcome = run_scenario(scenario)
+                self.assertGreater(len(outcome.retries) / outcome.requested, 0.95)
 
 
 class FaultTest(unittest.TestCase):
@@ -93,35 +102,35 @@
         ):
             for seed in (1, 2):
                 with self.subTest(name, seed=seed):
-                    play = Play(**fields, seed=seed, seconds=30.0)
-                    used, allowed = run_play(play).most_used(play)
+                    scenario = Scenario(**fields, seed=seed, seconds=30.0)
+                    used, allowed = run_scenario(scenario).peak_use(scenario)
                     self.assertLessEqual(used, allowed)
 
     def test_drawn_deployments_and_faults(self) -> None:
         """Guards against a budget that is kept only where it was looked at."""
-        for seed in range(DRAWN):
+        for seed in range(DRAWN_SCENARIOS):
             with self.subTest(seed=seed):
-                play = draw_play(seed)
-                used, allowed = run_play(play).most_used(play)
-                self.assertLessEqual(used, allowed, play)
+                scenario = draw_scenario(seed)
+                used, allowed = run_scenario(scenario).peak_use(scenario)
+                self.assertLessEqual(used, allowed, scenario)
 
     def test_gateways_are_killed_with_the_controls_that_count_them(self) -> None:
         """Guards against counts that no process holds any more."""
         killed = (14.262853873237459, 15.9159159066602, 15.607264500164058)
-        small = Play(
+        small = Scenario(
             gateways=6,
             rate=12,
             ratio=0.5,
             slack=0,
-            wanted=3,
-            rising=3,
+            retries_per_failure=3,
+            ramp_seconds=3,
             seconds=30.0,
             delay=0.003,
             killed=(*killed, 18.181157697660698, 16.765077871010547),
             all_restarted=17.621858421940118,
             seed=100,
         )
-        for name, play in (("six", small), ("many", draw_play(291))):
+        for name, scenario in (("six", small), ("many", draw_scenario(291))):
             with self.subTest(name):
-                used, allowed = run_play(play).most_used(play)
+                used, allowed = run_scenario(scenario).peak_use(scenario)
                 self.assertLessEqual(used, allowed)
--- a/tests/routing/test_sessions.py
+++ b/tests/routing/test_sessions.py
@@ -29,7 +29,7 @@
 """Place in the controls' log of the order, without a share."""
 SHARE_INDEX = 8
 """Place of the first share."""
-BOTH = [make_news("a", version="v1"), make_news("b", version="v2")]
+BOTH_VERSIONS = [make_news("a", version="v1"), make_news("b", version="v2")]
 
 
 @dataclass
@@ -40,7 +40,7 @@
     rollout: RolloutState | None = None
     held: int = -1
 
-    def hear(self, rollout: RolloutState, index: int) -> None:
+    def apply_state(self, rollout: RolloutState, index: int) -> None:
         """Take the state of the controls."""
         self.rollout = rollout
         self.held = index
@@ -50,7 +50,7 @@
         """Return the version that a session would run on."""
         rollout = self.rollout
         allowed = list_allowed(
-            BOTH,
+            BOTH_VERSIONS,
             rollout,
             established={"chat": "v1"},
             session=session,
@@ -72,7 +72,7 @@
         return version
 
 
-def share_sums(peers: list[Peer], now: float) -> None:
+def exchange_totals(peers: list[Peer], now: float) -> None:
     """Let a control tell all gateways what they reported."""
     rollouts = [[peer.rollout] if peer.rollout else [] for peer in peers]
     kept = {
@@ -102,12 +102,12 @@
         self.session = find_session(self.begun)
         self.peers = [Peer() for _ in range(78)]
         for peer in self.peers:
-            peer.hear(self.ordered, ORDER_INDEX)
+            peer.apply_state(self.ordered, ORDER_INDEX)
 
-    def begin(self, *peers: Peer) -> None:
+    def announce_first_share(self, *peers: Peer) -> None:
         """Let gateways hear of the first share."""
         for peer in peers or self.peers:
-            peer.hear(self.begun, SHARE_INDEX)
+            peer.apply_state(self.begun, SHARE_INDEX)
 
     def test_a_session_under_way_elsewhere_keeps_its_version(self) -> None:
         """A session meets a gateway that has not served it, and changes its version."""
@@ -119,44 +119,44 @@
             with self.subTest(name):
                 self.setUp()
                 self.peers[0].run(self.session, 10.0, ends=ends)
-                self.begin()
-                share_sums(self.peers, asked_at)
+                self.announce_first_share()
+                exchange_totals(self.peers, asked_at)
                 self.assertEqual(self.peers[50].run(self.session, asked_at), expected)
 
     def test_nothing_moves_before_every_gateway_has_told(self) -> None:
         """One gateway learns of the share late, and lets sessions begin meanwhile."""
         *early, late = self.peers
-        self.begin(*early)
-        share_sums(self.peers, 10.0)
+        self.announce_first_share(*early)
+        exchange_totals(self.peers, 10.0)
         self.assertEqual(early[0].choose(self.session, 10.1), "v1")
         late.run(self.session, 10.2)
-        self.begin(late)
+        self.announce_first_share(late)
         self.assertEqual(early[0].choose(self.session, 10.3), "v1")
-        share_sums(self.peers, 10.4)
+        exchange_totals(self.peers, 10.4)
         self.assertEqual(early[0].choose(self.session, 10.5), "v1")
 
     def test_without_sums_the_former_version_is_kept(self) -> None:
         """The control that a gateway reports to is away as the move begins."""
-        self.begin()
+        self.announce_first_share()
         self.assertEqual(self.peers[0].choose(self.session, 10.0), "v1")
 
     def test_a_moved_session_stays_at_every_gateway(self) -> None:
-        self.begin()
-        share_sums(self.peers, 10.0)
+        self.announce_first_share()
+        exchange_totals(self.peers, 10.0)
         for now, peer in enumerate(self.peers[:20], 11):
             self.assertEqual(peer.run(self.session, now), "v2")
-            share_sums(self.peers, now)
+            exchange_totals(self.peers, now)
 
     def test_a_gateway_that_starts_in_the_middle_waits_for_the_sums(self) -> None:
         """A gateway without memory meets a session that another runs."""
         self.peers[0].run(self.session, 10.0)
-        self.begin()
-        share_sums(self.peers, 10.0)
-        fresh = Peer()
-        fresh.hear(self.begun, SHARE_INDEX)
-        self.assertEqual(fresh.choose(self.session, 10.2), "v1")
-        share_sums([*self.peers, fresh], 10.3)
-        self.assertEqual(fresh.choose(self.session, 10.4), "v1")
+        self.announce_first_share()
+        exchange_totals(self.peers, 10.0)
+        restarted = Peer()
+        restarted.apply_state(self.begun, SHARE_INDEX)
+        self.assertEqual(restarted.choose(self.session, 10.2), "v1")
+        exchange_totals([*self.peers, restarted], 10.3)
+        self.assertEqual(restarted.choose(self.session, 10.4), "v1")
 
     def test_few_of_many_sessions_change_their_version(self) -> None:
         """Gateways hear of the move at different times, and of each other later."""
@@ -168,10 +168,10 @@
             now = 9.0 + step / 100
             for peer, at in zip(self.peers, heard_at, strict=True):
                 if peer.held < SHARE_INDEX and now >= at:
-                    self.begin(peer)
+                    self.announce_first_share(peer)
 
             if step % 25 == 0:
-                share_sums(self.peers, now)
+                exchange_totals(self.peers, now)
 
             for _ in range(3):
                 session = str(draw.randrange(3_000))
