--- a/tests/routing/budget_plays.py
+++ b/tests/routing/budget_plays.py
@@ -1,7 +1,7 @@
-"""Plays of the budget of repeats: gateways, controls and links on one clock.
+"""Simulation of the retry budget: gateways, controls and links on one clock.
 
-Calls the functions that gateways and controls call. Reports, exchanges and sums come at
-their usual periods, at phases of their own, and messages take time on their links.
+Uses the same functions as gateways and controls. Reports, exchanges and totals are sent
+at their usual periods, each with a random phase, and messages take time on the links.
 """
 
 from __future__ import annotations
@@ -49,55 +49,55 @@
 CONTROLS = 5
 WINDOW = 10.0
 START_SECONDS = 12.0
-"""From the start of the processes to the first request."""
+"""Seconds from the start of the processes to the first request."""
 WINDOW_STEP = 0.25
-"""Between the beginnings of the windows that are checked."""
+"""Seconds between the starts of the windows that are checked."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Scenario:
-    """What is played; times in seconds."""
+    """Load, budget and faults of one simulation; times in seconds."""
 
     gateways: int
     rate: float
-    """Requests a second over all gateways."""
+    """Requests per second over all gateways."""
     ratio: float
     slack: float
     retries_per_failure: int = 2
-    """Repeats that each failing request asks for."""
+    """Retries that each failing request needs."""
     failing: float = 1.0
     """Share of requests that fail."""
     fail_at: float = 14.0
-    """After the first request."""
+    """Time after the first request at which requests begin to fail."""
     ramp_seconds: float = 0.0
-    """Time over which the share of failing requests rises."""
+    """Time over which the share of failing requests rises from 0."""
     seconds: float = 36.0
-    hot_share: float = 0.0
-    """Share of requests that the first gateway gets."""
+    hot: float = 0.0
+    """Share of requests that go to the first gateway in any case."""
     delay: float = 0.005
-    """Mean time of a message on its link."""
+    """Mean delay of a message on its link."""
     seed: int = 1
     cut: tuple[float, float] | None = None
-    """While controls 0 and 1 are cut off from the others."""
+    """Interval of a partition between controls 0 and 1 and the others."""
     paused: tuple[float, float] | None = None
-    """While control 0 stands still."""
+    """Interval in which control 0 is stalled."""
     killed: tuple[float, ...] = ()
-    """When controls are killed, one after the other; they start 1 s later."""
+    """Times at which controls are killed, one by one; each restarts 1 s later."""
     all_killed: float | None = None
-    """When all controls are killed."""
+    """Time at which all controls are killed."""
     restarted: float | None = None
-    """When a third of the gateways are killed; they serve again 1 s later."""
+    """Time at which a third of the gateways are killed; they restart after 1 to 2 s."""
     all_restarted: float | None = None
-    """When all gateways are killed."""
+    """Time at which all gateways are killed."""
     unlinked: tuple[float, float] | None = None
-    """While a third of the gateways reach no control."""
+    """Interval in which a third of the gateways reach no control."""
     uncontrolled: bool = False
-    """All controls are gone for good when the first request comes."""
+    """Whether all controls stop for good before the first request."""
 
 
 @dataclass(slots=True)
 class Gateway:
-    """One gateway's state."""
+    """State of one gateway."""
 
     name: str
     retries: RetryTable
@@ -111,7 +111,7 @@
 
 @dataclass(slots=True)
 class Control:
-    """One control's state."""
+    """State of one control."""
 
     reports: ReportTable = field(default_factory=ReportTable)
     up: bool = True
@@ -121,14 +121,14 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """What a play used of the budget."""
+    """Times of requests and retries of one simulation."""
 
     requests: list[float] = field(default_factory=list)
-    retries: list[float] = field(default_factory=list)
+    sent_retries: list[float] = field(default_factory=list)
     requested: int = 0
 
     def peak_use(self, scenario: Scenario) -> tuple[float, float]:
-        """Return repeats and what is allowed, of the window closest to the rule."""
+        """Return sent and allowed retries of the window with the highest use."""
         last = START_SECONDS + scenario.seconds - WINDOW
         windows = [
             self._count(scenario, step * WINDOW_STEP)
@@ -149,16 +149,18 @@
         most = max(
             count_between(self.requests, at - back) for back in (0, WINDOW / 2, WINDOW)
         )
-        return count_between(self.retries, at), scenario.ratio * most + scenario.slack
+        return count_between(
+            self.sent_retries, at
+        ), scenario.ratio * most + scenario.slack
 
 
 def count_between(times: list[float], since: float) -> int:
-    """Return how many times lie in the window that begins at ``since``."""
+    """Return the number of times in the window that starts at ``since``."""
     return bisect_left(times, since + WINDOW) - bisect_left(times, since)
 
 
 class Fleet:
-    """Gateways and controls of one play."""
+    """Gateways and controls of one simulation."""
 
     def __init__(self, scenario: Scenario) -> None:
         self.scenario = scenario
@@ -182,7 +184,7 @@
         ]
 
     def run(self) -> Outcome:
-        """Play to the end."""
+        """Run the simulation to its end."""
         self._schedule()
         end = START_SECONDS + self.scenario.seconds
         while self.events[0][0] < end:
@@ -204,7 +206,7 @@
         self._schedule_at(self.random.random() * period, run)
 
     def _send(self, now: float, action: Callable[[float], None]) -> None:
-        """Let a message arrive after its time on the link."""
+        """Deliver a message after its delay on the link."""
         self._schedule_at(
             now + self.random.expovariate(1.0 / self.scenario.delay), action
         )
@@ -333,7 +335,7 @@
         return report
 
     def _handle_request(self, now: float) -> None:
-        """Let a request arrive, and the next one later."""
+        """Simulate a request, and schedule the next one."""
         self._schedule_at(
             now + self.random.expovariate(self.scenario.rate), self._handle_request
         )
@@ -341,10 +343,8 @@
         if not up:
             return
 
-        is_hot = (
-            up[0] is self.gateways[0] and self.random.random() < self.scenario.hot_share
-        )
-        gateway = up[0] if is_hot else self.random.choice(up)
+        hot = up[0] is self.gateways[0] and self.random.random() < self.scenario.hot
+        gateway = up[0] if hot else self.random.choice(up)
         note_request(gateway.retries, SERVICE, now, self.limits)
         self.outcome.requests.append(now)
         if self.random.random() < self._failure_rate(now):
@@ -374,7 +374,7 @@
             return
 
         note_repeat(gateway.retries, SERVICE, now, self.limits)
-        self.outcome.retries.append(now)
+        self.outcome.sent_retries.append(now)
 
     # --- controls -------------------------------------------------------------
 
@@ -436,7 +436,7 @@
 
 
 def run_scenario(scenario: Scenario) -> Outcome:
-    """Play from the start of all processes; return what was used of the budget."""
+    """Run a simulation from the start of all processes; return its outcome."""
     return Fleet(scenario).run()
 
 
@@ -450,11 +450,11 @@
     "unlinked",
 )
 INTERVAL_FAULTS = frozenset({"cut", "paused", "unlinked"})
-"""Faults that last."""
+"""Faults with a start and an end."""
 
 
 def draw_scenario(seed: int) -> Scenario:
-    """Return a deployment, and one or two faults around the moment of failure."""
+    """Return a random deployment with one or two faults near the start of failures."""
     rng = random.Random(seed)
     gateways = rng.choice((6, 9, 30, 78))
     fail_at = rng.choice((0.0, 5.0, 14.0))
--- a/tests/routing/factories.py
+++ b/tests/routing/factories.py
@@ -1,4 +1,4 @@
-"""Records that the tests of routing share."""
+"""Factories of records for the routing tests."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def make_route(**fields: Any) -> Route:
-    """Return a route of streams."""
+    """Return a route whose responses are streams."""
     defaults: dict[str, Any] = {
         "name": "r1",
         "host": "a.example",
@@ -60,7 +60,7 @@
 
 
 def make_rollout(**fields: Any) -> RolloutState:
-    """Return a move under way from v1 to v2."""
+    """Return a roll-out in progress from v1 to v2."""
     defaults: dict[str, Any] = {
         "service": "chat",
         "target": "v2",
--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -1,4 +1,4 @@
-"""Refusing what can't be served, and when its caller may come back."""
+"""Tests of the refusal of requests that can't be served in time, and of their retry."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class AdmissionTest(unittest.TestCase):
-    """Waits and times left, in seconds."""
+    """Decisions by expected wait and remaining time, in seconds."""
 
     def test_admission(self) -> None:
         for wait, remaining, served in (
@@ -21,7 +21,7 @@
             with self.subTest(wait=wait, remaining=remaining):
                 self.assertIs(can_be_served(wait, remaining), served)
 
-    def test_pauses(self) -> None:
+    def test_retry_delays(self) -> None:
         for wait, remaining, pause in (
             (30.0, 25.0, 8.25),
             (0.1, 25.0, 0.2),
--- a/tests/routing/test_document.py
+++ b/tests/routing/test_document.py
@@ -1,4 +1,4 @@
-"""Routing documents: their faults, and finding routes and workspaces in them."""
+"""Tests of the validation of routing documents, and of lookups in them."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from .factories import make_route
 
 
-class FaultTest(unittest.TestCase):
-    """Every reason against a document is reported with its place."""
+class ValidationTest(unittest.TestCase):
+    """Each finding on a document is reported with its place."""
 
-    def test_faults(self) -> None:
+    def test_findings(self) -> None:
         team = Workspace(name="team", keys=("k1",))
         other = Workspace(name="other", keys=("k1",))
         for name, document, places in (
-            ("sound", make_document(), []),
+            ("valid", make_document(), []),
             (
                 "unknown service",
                 make_document(routes=(make_route(targets=(Target("gone", 1),)),)),
@@ -34,22 +34,22 @@
                 ["routes[0] (r1)"],
             ),
             (
-                "no target at all",
+                "no targets",
                 make_document(routes=(make_route(targets=()),)),
                 ["routes[0] (r1)"],
             ),
             (
-                "no time",
+                "zero timeout",
                 make_document(routes=(make_route(timeout=0.0),)),
                 ["routes[0] (r1)"],
             ),
             (
-                "one place twice",
+                "duplicate host and prefix",
                 make_document(routes=(make_route(), make_route(name="r2"))),
                 ["routes"],
             ),
             (
-                "a key shared",
+                "shared key",
                 make_document(workspaces=(team, other)),
                 ["workspaces[1] (other)"],
             ),
@@ -73,7 +73,7 @@
 
 
 class LookupTest(unittest.TestCase):
-    """The longest prefix of the host wins."""
+    """Lookup of routes by longest prefix, and of workspaces by key."""
 
     def test_routes(self) -> None:
         index = index_document(
--- a/tests/routing/test_fleet.py
+++ b/tests/routing/test_fleet.py
@@ -1,4 +1,4 @@
-"""The table of upstreams under late, lost and reordered news."""
+"""Tests of the table of upstreams with late, lost and reordered announcements."""
 
 from __future__ import annotations
 
@@ -15,19 +15,18 @@
 
 
 class AnnouncementTest(unittest.TestCase):
-    """News is ordered by incarnation, then by sequence."""
+    """Announcements are ordered by incarnation, then by sequence number."""
 
-    def test_late_news_changes_nothing(self) -> None:
-        """Late news.
+    def test_late_announcements_are_ignored(self) -> None:
+        """Guards against requests to an upstream that has left.
 
-        A heartbeat is held up by a partition. Its sender leaves or starts anew
-        meanwhile. Then the heartbeat arrives: requests must not go to the sender.
+        A partition may delay a heartbeat until its sender has left or restarted.
         """
         gone: dict[str, Any] = {"state": UpstreamState.GONE}
         cases: tuple[tuple[str, dict[str, Any], dict[str, Any]], ...] = (
             ("after a leave", {"sequence": 5, **gone}, {"sequence": 6}),
             ("out of order", {"sequence": 5, "version": "v2"}, {"sequence": 4}),
-            ("of a former start", {"incarnation": 2}, {"sequence": 9}),
+            ("of a former incarnation", {"incarnation": 2}, {"sequence": 9}),
         )
         for name, first, late in cases:
             with self.subTest(name):
@@ -37,17 +36,17 @@
                 held = table.upstreams["u1"].news
                 self.assertEqual(held, make_news(**first))
 
-    def test_a_new_start_under_the_same_id_serves(self) -> None:
+    def test_a_restarted_upstream_of_the_same_id_serves(self) -> None:
         table = FleetTable()
         take_news(table, make_news(state=UpstreamState.GONE, sequence=9), 0.0)
         self.assertTrue(take_news(table, make_news(incarnation=2), 1.0))
         self.assertEqual(len(list_serving(table, "chat", heard_after=0.0)), 1)
 
-    def test_an_address_belongs_to_the_last_start(self) -> None:
-        """Reused addresses.
+    def test_an_address_belongs_to_the_upstream_started_last(self) -> None:
+        """Guards against requests of one service to an upstream of another.
 
-        An upstream crashes and says nothing. Another service's upstream starts at its
-        address. Requests for the first service must not go there.
+        An upstream crashes without an announcement, and another service's upstream
+        starts at its address.
         """
         table = FleetTable()
         take_news(table, make_news("old", port=9000), 0.0)
@@ -57,12 +56,12 @@
         self.assertEqual(list_serving(table, "chat", heard_after=-9.0), [])
         self.assertEqual(len(list_serving(table, "desk", heard_after=-9.0)), 1)
 
-    def test_only_serving_upstreams_heard_of_lately_are_used(self) -> None:
+    def test_only_recently_heard_serving_upstreams_are_used(self) -> None:
         for name, fields, heard_after, used in (
             ("serving", {}, 0.0, True),
             ("leaving", {"state": UpstreamState.LEAVING}, 0.0, False),
             ("gone", {"state": UpstreamState.GONE}, 0.0, False),
-            ("silent", {}, 2.0, False),
+            ("without heartbeats", {}, 2.0, False),
             ("of another service", {"service": "desk"}, 0.0, False),
         ):
             with self.subTest(name):
@@ -75,7 +74,7 @@
         for name, heard, until in (
             ("its own", ("u1", 1, 2), 5.0),
             ("an old one", ("u1", 1, 1), 1.0),
-            ("of a former start", ("u1", 0, 9), 1.0),
+            ("of a former incarnation", ("u1", 0, 9), 1.0),
         ):
             with self.subTest(name):
                 table = FleetTable()
--- a/tests/routing/test_model_load.py
+++ b/tests/routing/test_model_load.py
@@ -1,7 +1,8 @@
-"""What callers get from the choice of models, at light load, at the limit and beyond.
+"""Tests of the value of model escalation at low load, at capacity and above it.
 
-Engines of the larger model read prompts one after another; a request counts in full if
-its answer is good and begins in time, and the use of models is taken off.
+Simulated engines of the larger model process prompts one after another. A request has
+its full value if its response is good and starts in time; the price of the larger model
+is subtracted.
 """
 
 from __future__ import annotations
@@ -37,7 +38,7 @@
 ENGINES = 6
 TOKEN_MS = 0.05
 SMALL_SECONDS = 0.1
-"""Until the smallest model's first event."""
+"""Time until the first event of the smallest model."""
 STREAM_SECONDS = 3.0
 COST = 0.25
 LATE_VALUE = 0.3
@@ -70,7 +71,7 @@
 
 @dataclass
 class Engines:
-    """Engines that read one prompt at a time, and what a gateway knows of them."""
+    """Engines that process one prompt at a time, and a gateway's view of them."""
 
     load: LoadTable = field(default_factory=LoadTable)
     free_at: dict[str, float] = field(default_factory=dict)
@@ -82,7 +83,7 @@
         self.context = Surroundings("north", self.load, HealthTable(), PrefixTable())
 
     def process_until(self, now: float) -> None:
-        """Count what has ended by now."""
+        """Process prefills and requests that have ended."""
         while self.ends and self.ends[0][0] <= now:
             _, _, what, name, work = heapq.heappop(self.ends)
             if what == "read":
@@ -91,7 +92,7 @@
                 end_use(self.load, name)
 
     def send(self, name: str, work: float, now: float) -> float:
-        """Let an engine read a prompt; return when its first event comes."""
+        """Send a prompt to an engine; return the time of its first event."""
         begin_use(self.load, name, work)
         note_work(self.load, work, now)
         read_at = max(self.free_at.get(name, 0.0), now) + work / 1000
@@ -104,13 +105,13 @@
 
 
 def find_rate(load: float) -> float:
-    """Return requests a second that would fill the engines' time ``load`` times."""
+    """Return the requests per second whose prefill is ``load`` times the capacity."""
     work = sum(kind.share * kind.prompt * TOKEN_MS / 1000 for kind in KINDS)
     return load * ENGINES / work
 
 
 def run_policy(policy: Policy, load: float, seed: int = 3) -> float:
-    """Return what callers got, as a share of what good answers in time are worth."""
+    """Return the value for callers, as a share of that of good responses in time."""
     draw = random.Random(seed)
     engines = Engines()
     typical_sizes: dict[str, float] = {}
@@ -154,7 +155,7 @@
 
 
 def place(engines: Engines, prompt: int, now: float) -> Placement:
-    """Return where the larger model would run."""
+    """Return the placement of a request on the larger model."""
     demand = Demand(CHAT, "large", prompt, token_ms=TOKEN_MS)
     draw = engines.draw.random
     found = place_request(demand, UPSTREAMS, engines.context, now, draw)
@@ -163,22 +164,22 @@
 
 
 def ask_never(confidence: float, stake: Stake) -> bool:
-    """Keep every answer of the smallest model."""
+    """Never escalate."""
     return False
 
 
 def ask_always(confidence: float, stake: Stake) -> bool:
-    """Ask the larger model for every request."""
+    """Escalate every request."""
     return True
 
 
 def ask_below_threshold(confidence: float, stake: Stake) -> bool:
-    """Ask where the smallest model is unsure, whatever it costs."""
+    """Escalate at low confidence, regardless of the cost."""
     return confidence < 0.55
 
 
 def ask_below_falling_threshold(confidence: float, stake: Stake) -> bool:
-    """Ask where it is unsure; the bar falls with pressure and usage, for all alike."""
+    """Escalate below a threshold that falls with pressure and usage only."""
     time_factor = min(max(1.25 - stake.pressure, 0.0), 1.0)
     capacity_factor = min(max((1.2 - stake.usage) / 0.6, 0.0), 1.0)
     return confidence < 0.55 * time_factor * capacity_factor
@@ -188,10 +189,10 @@
 
 
 class ModelLoadTest(unittest.TestCase):
-    """The choice by gain and price, beside fixed choices."""
+    """Escalation by gain and price, compared with fixed policies."""
 
-    def test_callers_are_served_at_least_as_well_as_by_any_fixed_choice(self) -> None:
-        """Engines fill up, and a fixed choice serves callers late or poorly."""
+    def test_value_is_at_least_that_of_any_fixed_policy(self) -> None:
+        """Guards against late or poor responses at high usage, as of a fixed policy."""
         for load in (0.3, 0.7, 1.0, 1.5, 2.5):
             best = max(run_policy(policy, load) for policy in FIXED)
             with self.subTest(load=load):
--- a/tests/routing/test_models.py
+++ b/tests/routing/test_models.py
@@ -1,4 +1,4 @@
-"""When a larger model is asked after an unsure answer."""
+"""Tests of the escalation to a larger model after a response of low confidence."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def make_inputs(**fields: Any) -> Stake:
-    """Return the stake of a usual request on idle engines."""
+    """Return the inputs of the decision for a typical request on idle engines."""
     known: dict[str, Any] = {
         "output_tokens": 1_000,
         "prompt_tokens": 6_000,
@@ -27,58 +27,58 @@
 
 
 class ModelTest(unittest.TestCase):
-    """Gain against price."""
+    """Comparison of gain and price."""
 
-    def test_an_unsure_answer_is_asked_of_a_larger_model(self) -> None:
+    def test_escalation_at_low_confidence(self) -> None:
         for name, confidence, fields, expected in (
-            ("unsure", 0.5, {}, True),
-            ("sure", 0.75, {}, False),
-            ("rather sure, and cheap", 0.6, {"prompt_tokens": 400}, True),
-            ("rather sure, and dear", 0.6, {"output_tokens": 84}, False),
-            ("very unsure, and dear", 0.3, {"output_tokens": 84}, True),
-            ("dear beyond any answer", 0.0, {"output_tokens": 20}, False),
-            ("nothing is known of it", 0.3, {"output_tokens": 0, "cost": 0.0}, True),
-            ("free, and sure", 0.8, {"cost": 0.0}, False),
+            ("low confidence", 0.5, {}, True),
+            ("high confidence", 0.75, {}, False),
+            ("medium confidence, cheap", 0.6, {"prompt_tokens": 400}, True),
+            ("medium confidence, expensive", 0.6, {"output_tokens": 84}, False),
+            ("very low confidence, expensive", 0.3, {"output_tokens": 84}, True),
+            ("price above any gain", 0.0, {"output_tokens": 20}, False),
+            ("unknown size and cost", 0.3, {"output_tokens": 0, "cost": 0.0}, True),
+            ("high confidence, free", 0.8, {"cost": 0.0}, False),
         ):
             with self.subTest(name):
                 found = wants_larger(confidence, make_inputs(**fields))
                 self.assertIs(found, expected)
 
-    def test_fewer_are_asked_as_engines_fill_up(self) -> None:
-        """A burst on engines that are near their limit.
+    def test_fewer_escalations_at_high_usage(self) -> None:
+        """Guards against escalations during a burst on engines near their capacity.
 
-        Each prompt that the larger model reads holds up all streams on its engine.
-        Callers are better served by more unsure answers then.
+        Each prefill of the larger model stalls all streams on its engine, so callers
+        are better served by more responses of low confidence.
         """
         for name, confidence, fields, expected in (
-            ("easy", 0.5, {"usage": 0.5}, True),
-            ("busy", 0.5, {"usage": 0.95}, True),
-            ("busy, a long prompt for a short answer", 0.3, SHORT_RESPONSE, False),
-            ("full, unsure", 0.5, {"usage": 1.3}, False),
-            ("full, poor", 0.1, {"usage": 1.3}, True),
-            ("beyond", 0.0, {"usage": 2.0}, False),
+            ("low usage", 0.5, {"usage": 0.5}, True),
+            ("high usage", 0.5, {"usage": 0.95}, True),
+            ("high usage, long prompt, short response", 0.3, SHORT_RESPONSE, False),
+            ("over capacity, low confidence", 0.5, {"usage": 1.3}, False),
+            ("over capacity, very low confidence", 0.1, {"usage": 1.3}, True),
+            ("far over capacity", 0.0, {"usage": 2.0}, False),
         ):
             with self.subTest(name):
                 found = wants_larger(confidence, make_inputs(**fields))
                 self.assertIs(found, expected)
 
-    def test_a_late_answer_is_worth_less_than_an_unsure_one_now(self) -> None:
+    def test_a_late_response_has_less_value_than_an_unsure_one_in_time(self) -> None:
         for name, confidence, pressure, expected in (
             ("in time", 0.5, 0.7, True),
-            ("perhaps late, unsure", 0.5, 1.1, False),
-            ("perhaps late, poor", 0.1, 1.1, True),
-            ("late, unsure", 0.45, 1.5, False),
-            ("late, poor", 0.1, 1.5, True),
+            ("perhaps late, low confidence", 0.5, 1.1, False),
+            ("perhaps late, very low confidence", 0.1, 1.1, True),
+            ("late, low confidence", 0.45, 1.5, False),
+            ("late, very low confidence", 0.1, 1.5, True),
         ):
             with self.subTest(name):
                 found = wants_larger(confidence, make_inputs(pressure=pressure))
                 self.assertIs(found, expected)
 
     def test_a_large_request_gets_as_good_a_model_as_a_small_one(self) -> None:
-        """The longest prompts got the smallest model's poor answers.
+        """Guards against long prompts that always get the smallest model's response.
 
-        Their own reading counted as pressure, which lowered their bar to nothing. Yet
-        their answers are worth several usual ones.
+        Their own prefill counts as pressure, which once lowered their threshold to
+        zero, although their responses have the value of several typical ones.
         """
         typical_sizes: dict[str, float] = {}
         for _ in range(200):
@@ -92,7 +92,7 @@
         self.assertTrue(wants_larger(0.45, large))
         self.assertLess(find_price(large), 3.0 * find_price(make_inputs()))
 
-    def test_doubt_falls_with_confidence(self) -> None:
+    def test_poor_probability_falls_with_confidence(self) -> None:
         probabilities = [estimate_poor_probability(place / 10) for place in range(11)]
         self.assertEqual(probabilities, sorted(probabilities, reverse=True))
         self.assertAlmostEqual(estimate_poor_probability(0.5), 0.5)
--- a/tests/routing/test_placement.py
+++ b/tests/routing/test_placement.py
@@ -1,4 +1,4 @@
-"""Which upstream a request goes to."""
+"""Tests of placement, load accounting, prefill speeds and idle timeouts."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 def place(demand: Demand, **around: Any) -> str:
-    """Return the upstream chosen of a near one, a second near one and a far one."""
+    """Return the upstream chosen among two local ones and a remote one."""
     upstreams = [
         make_news("near", slots=4),
         make_news("near2", slots=4),
@@ -56,7 +56,7 @@
 
 
 def make_load(**running: int) -> LoadTable:
-    """Return a table with requests running."""
+    """Return a table with a number of running requests at each upstream."""
     table = LoadTable()
     for name, count in running.items():
         for _ in range(count):
@@ -66,21 +66,21 @@
 
 
 class PlacementTest(unittest.TestCase):
-    """The upstream with the shortest expected wait."""
+    """Choice of the upstream with the lowest cost."""
 
     def test_load_and_distance(self) -> None:
         for name, running, expected in (
             ("idle", {}, {"near", "near2"}),
             ("one busy", {"near": 2}, {"near2"}),
-            ("both near full", {"near": 6, "near2": 6}, {"far"}),
-            ("all full", {"near": 9, "near2": 5, "far": 9}, {"near2"}),
+            ("both local at capacity", {"near": 6, "near2": 6}, {"far"}),
+            ("all at capacity", {"near": 9, "near2": 5, "far": 9}, {"near2"}),
         ):
             with self.subTest(name):
                 found = place(Demand(DESK), load=make_load(**running))
                 self.assertIn(found, expected)
 
     def test_upstreams_that_fail_are_avoided(self) -> None:
-        """An upstream that is sound by its own word fails half of its calls."""
+        """Guards against an upstream that announces itself but fails half its calls."""
         health = HealthTable()
         for position in range(8):
             note_answer(health, "near", 10.0, failed=position % 2 == 0)
@@ -96,7 +96,7 @@
         note_unreachable(health, "far", 9.9)
         self.assertNotEqual(place(Demand(DESK), health=health), "")
 
-    def test_a_prompt_goes_where_its_parts_are(self) -> None:
+    def test_a_prompt_goes_to_the_upstream_with_its_blocks(self) -> None:
         prefixes = PrefixTable()
         note_parts(prefixes, "near2", "small", PARTS, 9.0)
         demand = Demand(ENGINE, "small", 4_600, PARTS)
@@ -104,14 +104,14 @@
         busy = make_load(near2=15)
         self.assertEqual(place(demand, prefixes=prefixes, load=busy), "near")
 
-    def test_a_prompt_that_nobody_has_read_has_no_holder(self) -> None:
-        """Guards against gateways that compare the same engine for want of a holder."""
+    def test_an_unknown_prompt_has_no_best_cached_upstream(self) -> None:
+        """Guards against all gateways comparing the same engine without a cause."""
         engines = [make_news(f"e{number}") for number in range(8)]
         around = Surroundings("north", LoadTable(), HealthTable(), PrefixTable())
         for name, parts, expected in (
-            ("own part only", (("own", 100),), 0),
-            ("no part", (), 0),
-            ("shared parts", PARTS, 1),
+            ("last block only", (("own", 100),), 0),
+            ("no block", (), 0),
+            ("shared blocks", PARTS, 1),
         ):
             with self.subTest(name):
                 demand = Demand(ENGINE, "small", 4_600, parts)
@@ -121,11 +121,11 @@
                 )
                 self.assertEqual(len(found), expected)
 
-    def test_an_engine_kept_for_the_model_is_used_until_it_is_full(self) -> None:
+    def test_an_engine_of_the_pool_is_used_up_to_its_capacity(self) -> None:
         for name, backlog, expected in (
             ("idle", 0.0, "near2"),
             ("some work", 300.0, "near2"),
-            ("full", 900.0, "near"),
+            ("at capacity", 900.0, "near"),
         ):
             with self.subTest(name):
                 load = LoadTable()
@@ -133,29 +133,29 @@
                 demand = Demand(ENGINE, "small", 100, pool=frozenset({"near2"}))
                 self.assertEqual(place(demand, load=load), expected)
 
-    def test_gateways_agree_on_a_home_for_unknown_parts(self) -> None:
+    def test_gateways_agree_on_the_upstream_of_unknown_blocks(self) -> None:
         demand = Demand(ENGINE, "small", 4_600, PARTS)
         self.assertEqual(len({place(demand) for _ in range(5)}), 1)
 
 
 class LoadTest(unittest.TestCase):
-    """Counting what runs."""
+    """Accounting of running requests and prefill."""
 
-    def test_use_ends_at_nothing(self) -> None:
+    def test_an_idle_upstream_has_no_entry(self) -> None:
         table = LoadTable()
         begin_use(table, "u1", 30.0)
         end_prefill(table, "u1", 30.0)
         end_use(table, "u1")
         self.assertEqual(table.own, {})
 
-    def test_gateways_that_know_of_no_other_share_with_many(self) -> None:
+    def test_many_gateways_are_assumed_before_the_first_totals(self) -> None:
         table = LoadTable()
         self.assertGreaterEqual(count_gateways(table), 64)
         take_sum(table, (), (), work=0.0, gateways=9, now=1.0)
         self.assertEqual(count_gateways(table), 9)
 
     def test_usage(self) -> None:
-        for name, others_at, expected in (("heard", 9.5, 0.3), ("alone", 0.0, 0.8)):
+        for name, others_at, expected in (("fresh", 9.5, 0.3), ("stale", 0.0, 0.8)):
             with self.subTest(name):
                 table = LoadTable(
                     others_prefill_ms=1_200.0, others_at=others_at, gateways=8
@@ -168,9 +168,9 @@
 
 
 class SpeedTest(unittest.TestCase):
-    """How fast models read, and how long they may be silent."""
+    """Prefill speeds of models, and idle timeouts."""
 
-    def test_speeds_are_learned(self) -> None:
+    def test_speeds_are_estimated(self) -> None:
         table = SpeedTable()
         models = ("small", "large")
         self.assertLess(
@@ -187,6 +187,6 @@
         learn_speed(table, models, "small", 4_000, 60_000.0)
         self.assertLess(guess_speed(table, models, "small"), 0.011)
 
-    def test_silence(self) -> None:
+    def test_idle_timeouts(self) -> None:
         self.assertLess(silence_limit(started=True, expected=9.0), 2.0)
         self.assertGreater(silence_limit(started=False, expected=2.0), 5.0)
--- a/tests/routing/test_pools.py
+++ b/tests/routing/test_pools.py
@@ -1,4 +1,4 @@
-"""Which engines are kept for which models."""
+"""Tests of the assignment of engines to pools."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 def make_names(count: int) -> list[str]:
-    """Return the ids of some engines."""
+    """Return the ids of a number of engines."""
     return [f"engine-{number}" for number in range(count)]
 
 
 class PoolTest(unittest.TestCase):
-    """Engines in two pools."""
+    """Pools of the smallest model and of larger ones."""
 
     def test_sizes(self) -> None:
         for engines, small, large in (
@@ -34,7 +34,7 @@
                 self.assertEqual(len(list_pool(names, Pool.LARGE)), large)
                 self.assertEqual(len(list_pool(names, Pool.ANY)), engines)
 
-    def test_pools_are_apart_and_leave_no_engine_out(self) -> None:
+    def test_pools_are_disjoint_and_cover_all_engines(self) -> None:
         names = make_names(9)
         small, large = list_pool(names, Pool.SMALL), list_pool(names, Pool.LARGE)
         self.assertEqual(small | large, set(names))
@@ -61,7 +61,7 @@
             ("largest", sized, "*", "large", Pool.LARGE),
             ("named by the caller", sized, "small", "", Pool.ANY),
             ("one model", make_route(models=("only",)), "*", "only", Pool.ANY),
-            ("no choice", make_route(), "", "", Pool.ANY),
+            ("no models", make_route(), "", "", Pool.ANY),
         ):
             with self.subTest(name):
                 self.assertIs(find_pool(route, wanted, model), expected)
--- a/tests/routing/test_prefixes.py
+++ b/tests/routing/test_prefixes.py
@@ -1,4 +1,4 @@
-"""Which parts of prompts gateways expect at upstreams, as they tell each other."""
+"""Tests of the estimate of cached prompt blocks, and of their reports."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def report(sender: PrefixTable, receiver: PrefixTable, now: float) -> None:
-    """Let one gateway tell another what it has sent."""
+    """Report one gateway's blocks to another gateway."""
     reported = list_news(sender)
     drop_news(sender, reported)
     take_told(receiver, reported, now)
@@ -31,21 +31,24 @@
 def estimate(
     table: PrefixTable, upstream: str, now: float, *, preferred: bool
 ) -> float:
-    """Return the tokens that an upstream need not read again."""
+    """Return the expected cached tokens of the prompt at an upstream."""
     return estimate_cached_tokens(
         table, upstream, "small", PARTS, now, preferred=preferred
     )
 
 
 class ReportedBlocksTest(unittest.TestCase):
-    """What one gateway knows of another's prompts."""
+    """Blocks that one gateway reports to another."""
 
-    def test_shared_parts_are_known_to_all(self) -> None:
-        """Guards against prompts read at each engine, as each gateway knows its own."""
+    def test_shared_blocks_are_reported(self) -> None:
+        """Guards against a prefill at each engine, as each gateway knows only its own.
+
+        Only blocks that prompts share are reported.
+        """
         for name, upstream, now, expected in (
-            ("there", "u1", 11.0, 4_500),
-            ("elsewhere", "u2", 11.0, 0),
-            ("evicted by now", "u1", 10.0 + BLOCK_TTL_SECONDS + 0.1, 0),
+            ("same upstream", "u1", 11.0, 4_500),
+            ("other upstream", "u2", 11.0, 0),
+            ("evicted", "u1", 10.0 + BLOCK_TTL_SECONDS + 0.1, 0),
         ):
             with self.subTest(name):
                 first, second = PrefixTable(), PrefixTable()
@@ -54,16 +57,16 @@
                 found = estimate(second, upstream, now, preferred=False)
                 self.assertEqual(found, expected)
 
-    def test_the_sender_knows_its_own_part_too(self) -> None:
+    def test_the_sender_includes_the_last_block(self) -> None:
         table = PrefixTable()
         note_parts(table, "u1", "small", PARTS, 10.0)
         self.assertEqual(estimate(table, "u1", 11.0, preferred=False), 4_600)
         self.assertEqual(len(list_news(table)), 2)
 
-    def test_a_part_is_told_once_in_a_while(self) -> None:
-        """Guards against bytes for parts that all know of already."""
+    def test_a_block_is_reported_at_intervals(self) -> None:
+        """Guards against traffic for blocks that were reported recently."""
         for name, pause, count in (
-            ("at once", 0.1, 0),
+            ("immediately", 0.1, 0),
             ("later", REPORT_AGAIN_SECONDS + 0.1, 2),
         ):
             with self.subTest(name):
@@ -84,14 +87,14 @@
 
 
 class UnreportedBlocksTest(unittest.TestCase):
-    """Parts of which nobody has told, at the upstream that gateways prefer."""
+    """Blocks that no gateway has reported, at the preferred upstream."""
 
-    def test_silence_of_others_counts_once_they_have_told_for_a_while(self) -> None:
+    def test_unreported_blocks_count_less_after_continuous_reports(self) -> None:
         for name, reported, now, assumed in (
-            ("nobody tells", (), 20.0, True),
-            ("for a moment", (19.0, 19.5), 20.0, True),
+            ("no reports", (), 20.0, True),
+            ("for a short time", (19.0, 19.5), 20.0, True),
             ("for long", range(20 - int(MIN_REPORTING_SECONDS), 21), 20.0, False),
-            ("no more", range(21), 20.0 + MAX_TOTAL_AGE_SECONDS + 0.1, True),
+            ("reports stopped", range(21), 20.0 + MAX_TOTAL_AGE_SECONDS + 0.1, True),
         ):
             with self.subTest(name):
                 table = PrefixTable()
--- a/tests/routing/test_reports.py
+++ b/tests/routing/test_reports.py
@@ -1,4 +1,4 @@
-"""Sums of what gateways report, at one control and over all."""
+"""Tests of the totals of gateways' reports, at one control and over all."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 def make_evidence(answers: int) -> tuple[VersionEvidence, ...]:
-    """Return what a gateway has seen of a version."""
+    """Return a gateway's evidence on a version."""
     return (
         VersionEvidence(
             service="chat", version="v1", answers=answers, failures=0, seconds=0.5
@@ -43,14 +43,14 @@
 
 
 def make_counts(requests: int, repeats: int) -> tuple[ServiceRepeats, ...]:
-    """Return a gateway's requests and repeats of one service."""
+    """Return a gateway's counts of requests and retries of one service."""
     return (ServiceRepeats("chat", requests, repeats),)
 
 
 class TotalTest(unittest.TestCase):
-    """Sums of what gateways have running."""
+    """Totals of several gateways' reports."""
 
-    def test_sum(self) -> None:
+    def test_totals(self) -> None:
         reports = [make_report(name, use=USE) for name in ("a", "b")]
         self.assertEqual(
             sum_totals(map(make_total, reports)),
@@ -60,12 +60,15 @@
             ),
         )
 
-    def test_what_gateways_know_of_a_move(self) -> None:
-        """A gateway acts on sessions of which not every gateway has told yet."""
+    def test_what_gateways_report_of_a_rollout(self) -> None:
+        """Guards against a roll-out that proceeds before all gateways have reported.
+
+        A gateway must not decide on sessions that others have not reported yet.
+        """
         for name, cases, held, kept in (
             ("none", (), -1, set()),
             ("one lags", ((8, (1, 2)), (7, (2, 3))), 7, {1, 2, 3}),
-            ("one does not tell", ((8, (1,)), (-1, ())), -1, {1}),
+            ("one does not report", ((8, (1,)), (-1, ())), -1, {1}),
         ):
             with self.subTest(name):
                 reports = [
@@ -77,14 +80,14 @@
 
 
 class Controls:
-    """Two controls that tell each other of their gateways."""
+    """Two controls that exchange reports on their gateways."""
 
     def __init__(self) -> None:
         self.first = ReportTable()
         self.second = ReportTable()
 
     def exchange(self, now: float, *, urgent: bool = False) -> ControlReport:
-        """Let each tell the other; return what the second tells."""
+        """Exchange the reports of both controls; return the second control's report."""
         first = make_control_report(self.first, now, urgent=urgent)
         second = make_control_report(self.second, now, urgent=urgent)
         take_control_report(self.first, "second", second, now)
@@ -93,9 +96,9 @@
 
 
 class ControlTest(unittest.TestCase):
-    """Sums over gateways that report to different controls."""
+    """Totals over gateways that are attached to different controls."""
 
-    def test_both_controls_have_the_sum_of_all(self) -> None:
+    def test_both_controls_have_the_totals_of_all(self) -> None:
         controls = Controls()
         repeats = (ServiceRepeats("chat", 10, 4),)
         take_report(
@@ -112,17 +115,17 @@
             self.assertEqual(total.held, 7)
             self.assertEqual(total.repeats, (ServiceRepeats("chat", 20, 8),))
 
-    def test_a_control_without_gateways_holds_no_move_up(self) -> None:
-        """Guards against roll-outs that stand still while a control has no gateway."""
+    def test_a_control_without_gateways_delays_no_rollout(self) -> None:
+        """Guards against roll-outs that stall while a control has no gateway."""
         controls = Controls()
         take_report(controls.first, make_report("a", held=8), 0.0)
         controls.exchange(0.0)
         self.assertEqual(sum_fleet(controls.first, 0.0).held, 8)
 
-    def test_a_gateway_that_is_silent(self) -> None:
+    def test_a_gateway_without_reports(self) -> None:
         """Guards against requests counted as running at a gateway that is gone.
 
-        It may only stand still, so that it holds a move up for longer.
+        The gateway may only be stalled, so it delays a roll-out for longer.
         """
         for age, running, gateways in (
             (USE_TTL_SECONDS, 2, 1),
@@ -130,20 +133,20 @@
             (REPORT_LIFE, 0, 1),
             (REPORT_LIFE + 0.1, 0, 0),
         ):
-            for place in ("its home", "the other control"):
+            for place in ("its control", "the other control"):
                 with self.subTest(age=age, place=place):
                     controls = Controls()
                     take_report(controls.second, make_report("b", use=USE), 0.0)
                     controls.exchange(0.0)
-                    home = place == "its home"
-                    table = controls.second if home else controls.first
+                    attached = place == "its control"
+                    table = controls.second if attached else controls.first
                     drop_old(table, age)
                     total = sum_fleet(table, age)
                     self.assertEqual(sum(one.running for one in total.use), running)
                     self.assertEqual(total.gateways, gateways)
 
-    def test_a_gateway_that_changes_its_home(self) -> None:
-        """Guards against its requests being counted twice for longer than a moment."""
+    def test_a_gateway_that_attaches_to_another_control(self) -> None:
+        """Guards against requests counted at both controls for more than a moment."""
         controls = Controls()
         take_report(controls.first, make_report("a", use=USE), 0.0)
         at = USE_TTL_SECONDS + 0.1
@@ -152,21 +155,21 @@
         for table in (controls.first, controls.second):
             self.assertEqual(sum_fleet(table, at).use, USE)
 
-    def test_repeats_count_until_their_window_is_over(self) -> None:
-        """Guards against a budget that is used again once its user is gone.
+    def test_retries_count_until_the_end_of_their_window(self) -> None:
+        """Guards against a budget that is used again after its user has ended.
 
-        A gateway stands still or ends, or a new process has taken its place, which
-        knows of no repeat. Its requests allow no repeats any more.
+        A gateway stalls or ends, or is replaced by a new process that knows of no
+        retry. Its requests don't allow retries any more.
         """
         for name, run, age, requests, repeats in (
             ("it reports", 1, 0.0, 20, 4),
-            ("it is silent", None, USE_TTL_SECONDS + 0.1, 0, 4),
+            ("it stalls", None, USE_TTL_SECONDS + 0.1, 0, 4),
             ("it is gone", None, REPORT_LIFE + 0.1, 0, 4),
             ("its window is over", None, REPORT_LIFE + 10.1, 0, 0),
-            ("it has started anew", 2, 0.5, 1, 5),
-            ("it started anew long ago", 2, 10.5, 1, 1),
+            ("it has restarted", 2, 0.5, 1, 5),
+            ("it restarted long ago", 2, 10.5, 1, 1),
         ):
-            for place in ("its home", "the other control"):
+            for place in ("its control", "the other control"):
                 with self.subTest(name, place=place):
                     controls = Controls()
                     report = make_report("a", run=1, repeats=make_counts(20, 4))
@@ -181,13 +184,13 @@
                         drop_old(table, age)
 
                     controls.exchange(age)
-                    home = place == "its home"
-                    table = controls.second if home else controls.first
+                    attached = place == "its control"
+                    table = controls.second if attached else controls.first
                     total = sum_fleet(table, age).repeats
                     self.assertEqual(sum(one.requests for one in total), requests)
                     self.assertEqual(sum(one.repeats for one in total), repeats)
 
-    def test_gateways_that_do_not_tell_what_they_hold(self) -> None:
+    def test_gateways_that_do_not_report_their_state(self) -> None:
         controls = Controls()
         take_report(controls.first, make_report("a", held=-1), 0.0)
         take_report(controls.second, make_report("b", held=-1), 0.0)
@@ -197,10 +200,10 @@
 
 
 class BlockReportTest(unittest.TestCase):
-    """Parts of prompts that engines have read."""
+    """Reports of prompt blocks that engines have processed."""
 
-    def test_each_control_tells_its_gateways_once(self) -> None:
-        """Guards against parts that are told again with each sum, or to some only."""
+    def test_each_control_reports_a_block_once(self) -> None:
+        """Guards against blocks that are reported with all totals, or to some only."""
         controls = Controls()
         take_report(controls.second, make_report("b", read=(7, 8)), 0.0)
         controls.exchange(0.0)
@@ -211,16 +214,16 @@
 
 
 class EvidenceTest(unittest.TestCase):
-    """When evidence on versions is passed on."""
+    """Evidence on versions that controls send to each other."""
 
-    def test_when_evidence_is_passed_on(self) -> None:
-        """Guards against bytes for evidence that nobody needs, and against its lack."""
+    def test_when_evidence_is_sent(self) -> None:
+        """Guards against unneeded traffic, and against missing evidence."""
         for name, urgent, answers, at, expected in (
-            ("nothing new", True, 1, 0.25, False),
-            ("new, in a move", True, 2, 0.25, True),
-            ("new, no move", False, 2, 0.25, False),
-            ("nothing new for long", True, 1, EVIDENCE_RESEND_SECONDS, True),
-            ("no move for long", False, 2, EVIDENCE_RESEND_SECONDS, True),
+            ("unchanged", True, 1, 0.25, False),
+            ("changed, in a roll-out", True, 2, 0.25, True),
+            ("changed, no roll-out", False, 2, 0.25, False),
+            ("unchanged for long", True, 1, EVIDENCE_RESEND_SECONDS, True),
+            ("no roll-out for long", False, 2, EVIDENCE_RESEND_SECONDS, True),
         ):
             with self.subTest(name):
                 controls = Controls()
@@ -231,8 +234,8 @@
 
                 self.assertIs(bool(exchanged.evidence), expected)
 
-    def test_a_former_home_does_not_bring_old_evidence_back(self) -> None:
-        """Guards against answers counted twice after a gateway has changed its home."""
+    def test_a_detached_control_does_not_restore_old_evidence(self) -> None:
+        """Guards against responses counted twice after a change of control."""
         controls = Controls()
         old = make_report("b", evidence=make_evidence(5))
         take_report(controls.second, old, 10.0)
@@ -249,7 +252,7 @@
             self.assertEqual(known, make_evidence(6))
 
     def test_evidence_outlasts_a_control(self) -> None:
-        """Guards against failures forgotten as their gateway's home is lost."""
+        """Guards against failures that are lost with their gateway's control."""
         controls = Controls()
         report = make_report("b", evidence=make_evidence(3))
         take_report(controls.second, report, 0.0)
--- a/tests/routing/test_retries.py
+++ b/tests/routing/test_retries.py
@@ -1,4 +1,4 @@
-"""The budget of repeats that all gateways share."""
+"""Tests of the retry budget that all gateways share."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 def apply_counts(
     table: RetryTable, others: tuple[int, int, float], now: float, shares: int = 99
 ) -> None:
-    """Take a sum of the others' requests, repeats and draws, and of our own."""
+    """Apply totals of other gateways' requests, retries and draws, and the own ones."""
     own = count_own(table, "chat", LIMITS, now)
     requests, repeats, drawn = others
     mine = ServiceRepeats("chat", requests, repeats, drawn, shares)
@@ -42,7 +42,7 @@
 
 
 def count_allowed(table: RetryTable, part: float, gateways: int, now: float) -> int:
-    """Repeat until the budget says no; return how often."""
+    """Send retries until the budget refuses one; return their number."""
     count = 0
     while may_repeat(table, "chat", LIMITS, part=part, gateways=gateways, now=now):
         note_repeat(table, "chat", now, LIMITS)
@@ -52,7 +52,7 @@
 
 
 class Gateways:
-    """Gateways with a request a second each, half of which need a repeat."""
+    """Gateways with nearly one request per second each, half of which need a retry."""
 
     LIMITS = RetryLimits(ratio=0.9, slack=430.0, window=10.0)
     LAG = 0.5
@@ -62,10 +62,10 @@
         self.shared = shared
         self.random = random.Random(1)
         self.peak_use = 0.0
-        """Largest part of the budget that was ever used."""
+        """Largest part of the budget used in any window."""
 
     def run(self, seconds: float) -> float:
-        """Return the share of repeats that were allowed."""
+        """Return the share of needed retries that were allowed."""
         allowed: list[bool] = []
         for step in range(int(seconds / self.LAG)):
             now = step * self.LAG
@@ -102,9 +102,9 @@
 
 
 class BudgetTest(unittest.TestCase):
-    """How many repeats are allowed."""
+    """Number of allowed retries."""
 
-    def test_allowed_repeats(self) -> None:
+    def test_allowed_retries(self) -> None:
         for requests, gateways, now, part, expected in (
             (100, 10, 1.0, 1.0, 54),
             (100, 10, 1.0, 0.5, 27),
@@ -124,27 +124,27 @@
         )
         self.assertLessEqual(total, LIMITS.ratio * 20 * gateways + LIMITS.slack)
 
-    def test_a_gateway_draws_on_what_the_others_leave(self) -> None:
-        """Guards against repeats refused to one of many gateways with a request each.
+    def test_a_gateway_draws_on_the_remainder_of_the_others(self) -> None:
+        """Guards against retries refused to one of many gateways with few requests.
 
-        Others' counts that are old say nothing, and each keeps to its own part again.
+        With stale totals each gateway uses its own allowance only.
         """
         for name, others, age, expected in (
             ("others use little", (1_000, 100, 0.0), 0.1, 4),
             ("others draw half", (1_000, 300, 120.0), 0.1, 3),
             ("others draw all", (1_000, 500, 250.0), 0.1, 2),
             ("others use all", (1_000, 600, 250.0), 0.1, 0),
-            ("old news", (1_000, 100, 0.0), 2.0, 5),
+            ("stale totals", (1_000, 100, 0.0), 2.0, 5),
         ):
             with self.subTest(name):
                 table = make_table(10)
                 apply_counts(table, others, 1.0 - age)
                 self.assertEqual(count_allowed(table, 1.0, 100, 1.0), expected)
 
-    def test_a_gateway_goes_on_drawing_while_the_others_use_little(self) -> None:
-        """Guards against a gateway in need that is kept to its own part.
+    def test_a_gateway_continues_to_draw_while_the_others_use_little(self) -> None:
+        """Guards against a gateway limited to its own part while others need none.
 
-        All gateways at once must not draw more than the others leave; one alone gets
+        All gateways at once must not draw more than the remainder; one alone gets
         several times what its own requests and its share of the slack allow.
         """
         for name, drawn, least, most in (
@@ -162,8 +162,8 @@
                 self.assertGreaterEqual(allowed, least)
                 self.assertLessEqual(allowed, most)
 
-    def test_all_gateways_at_once_draw_what_is_left(self) -> None:
-        """Guards against each gateway using up what the same sum has left."""
+    def test_all_gateways_at_once_draw_the_remainder(self) -> None:
+        """Guards against each gateway using up the remainder of the same totals."""
         for gateways in (6, 100, 1_000):
             with self.subTest(gateways):
                 requests = 10 * (gateways - 1)
@@ -183,14 +183,14 @@
                 self.assertLessEqual(total, budget)
 
     def test_a_gateway_that_starts_has_no_slack(self) -> None:
-        """Guards against a share of the slack that is used twice around a restart."""
+        """Guards against a share of the slack that is used again after a restart."""
         for age, expected in ((9.0, 0), (10.0, 4)):
             with self.subTest(age):
                 table = make_table(0)
                 table.began_at = 1.0 - age
                 self.assertEqual(count_allowed(table, 1.0, 10, 1.0), expected)
 
-    def test_limits_that_cannot_be(self) -> None:
+    def test_invalid_limits(self) -> None:
         for name, fields in (
             ("ratio", {"ratio": -0.1}),
             ("slack", {"slack": -1.0}),
@@ -199,26 +199,25 @@
             with self.subTest(name), self.assertRaisesRegex(ValueError, name):
                 RetryLimits(**fields)
 
-    def test_hundreds_of_gateways_repeat_as_their_callers_need(self) -> None:
-        """Guards against unsure answers kept for want of a gateway's own part.
+    def test_hundreds_of_gateways_send_all_needed_retries(self) -> None:
+        """Guards against escalations refused because a gateway's own part is small.
 
         195 gateways have nine requests each within the window, every second of which
-        needs a repeat; sums are half a second old. All repeats fit in the budget.
+        needs a retry; totals are half a second old. All retries fit in the budget.
         """
-        shares = {"own part": 0.0, "sums": 0.0}
+        shares = {"own part": 0.0, "totals": 0.0}
         for name in shares:
-            gateways = Gateways(195, shared=name == "sums")
+            gateways = Gateways(195, shared=name == "totals")
             shares[name] = gateways.run(seconds=20.0)
             self.assertLessEqual(gateways.peak_use, 1.0)
 
         self.assertLess(shares["own part"], 0.95)
-        self.assertGreater(shares["sums"], 0.99)
+        self.assertGreater(shares["totals"], 0.99)
 
-    def test_larger_models_leave_room_for_failures(self) -> None:
-        """A busy gateway asks a larger model for each second request.
+    def test_escalations_leave_budget_for_failures(self) -> None:
+        """Guards against escalations that use up the whole budget.
 
-        Then an upstream crashes, and its streams must go on elsewhere. The budget must
-        not have been used up by our own choice.
+        When an upstream then crashes, its streams must be resumed elsewhere.
         """
         table = make_table(100)
         count_allowed(table, CHOICE_PART, 10, 1.0)
--- a/tests/routing/test_retry_budget.py
+++ b/tests/routing/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""The budget of repeats while sums lag, and while gateways and controls fail."""
+"""Tests of the retry budget with late totals and failing gateways and controls."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 
 MIN_MEAN_USE = 0.85
-"""Least part of the budget that is used where every request fails."""
+"""Least part of the budget that must be used if every request fails."""
 DRAWN_SCENARIOS = 12
-"""Plays that are drawn."""
+"""Number of random scenarios."""
 
 
 class LagTest(unittest.TestCase):
-    """Sums that lag behind."""
+    """Totals that lag behind the gateways' counts."""
 
     def test_a_service_that_fails_for_all_gateways(self) -> None:
-        """Guards against repeats beyond the budget: each gateway uses the same rest."""
+        """Guards against an overdrawn budget, as all draw on the same remainder."""
         for scenario in (
             Scenario(gateways=6, rate=35, ratio=0.05, slack=0.0),
             Scenario(gateways=6, rate=35, ratio=0.3, slack=20.0, retries_per_failure=1),
@@ -31,7 +31,7 @@
             Scenario(gateways=78, rate=390, ratio=0.2, slack=58.0, failing=0.5),
             Scenario(gateways=78, rate=390, ratio=0.2, slack=58.0, ramp_seconds=4.0),
             Scenario(gateways=78, rate=390, ratio=0.1, slack=58.0, delay=0.05),
-            Scenario(gateways=78, rate=390, ratio=0.1, slack=58.0, hot_share=0.33),
+            Scenario(gateways=78, rate=390, ratio=0.1, slack=58.0, hot=0.33),
             Scenario(gateways=78, rate=390, ratio=0.2, slack=58.0, fail_at=0.0),
             Scenario(gateways=1_000, rate=1_500, ratio=0.3, slack=430.0, seconds=26.0),
         ):
@@ -40,7 +40,7 @@
                 self.assertLessEqual(used, allowed)
 
     def test_most_of_the_budget_is_used_where_all_fail(self) -> None:
-        """Guards against a budget that is kept by giving little of it away."""
+        """Guards against a budget that is kept only because little of it is granted."""
         for scenario in (
             Scenario(gateways=195, rate=500, ratio=0.2, slack=58.0),
             Scenario(gateways=195, rate=500, ratio=0.9, slack=430.0),
@@ -53,7 +53,7 @@
                 self.assertGreaterEqual(outcome.mean_use(scenario), MIN_MEAN_USE)
 
     def test_few_requests_that_fail(self) -> None:
-        """Guards against repeats refused while most of the budget is unused."""
+        """Guards against retries refused while most of the budget is unused."""
         for scenario in (
             Scenario(
                 gateways=195,
@@ -70,29 +70,32 @@
                 slack=58.0,
                 failing=0.1,
                 retries_per_failure=1,
-                hot_share=0.33,
+                hot=0.33,
             ),
         ):
             with self.subTest(scenario):
                 outcome = run_scenario(scenario)
-                self.assertGreater(len(outcome.retries) / outcome.requested, 0.95)
+                self.assertGreater(len(outcome.sent_retries) / outcome.requested, 0.95)
 
 
 class FaultTest(unittest.TestCase):
     """Controls and gateways that fail while the budget is used up."""
 
     def test_the_budget_is_kept(self) -> None:
-        """Guards against counts that are lost, partial, or summed twice."""
+        """Guards against counts that are lost, partial, or added twice."""
         tight = {"gateways": 78, "rate": 390, "ratio": 0.2, "slack": 58.0}
         usual = {"gateways": 78, "rate": 390, "ratio": 0.9, "slack": 180.0}
         small = {"gateways": 9, "rate": 35, "ratio": 0.9, "slack": 58.0}
         for name, fields in (
             ("no controls", {**tight, "uncontrolled": True}),
-            ("controls cut in two, tight", {**tight, "cut": (8.0, 20.0)}),
-            ("controls cut in two", {**usual, "cut": (8.0, 20.0)}),
-            ("controls cut in two, small", {**small, "cut": (8.0, 20.0)}),
-            ("a control stands still", {**tight, "paused": (12.0, 18.0)}),
-            ("controls killed in turn", {**tight, "killed": (13.0, 14.5, 16.0, 17.5)}),
+            ("partitioned controls, tight", {**tight, "cut": (8.0, 20.0)}),
+            ("partitioned controls", {**usual, "cut": (8.0, 20.0)}),
+            ("partitioned controls, small", {**small, "cut": (8.0, 20.0)}),
+            ("a stalled control", {**tight, "paused": (12.0, 18.0)}),
+            (
+                "controls killed one by one",
+                {**tight, "killed": (13.0, 14.5, 16.0, 17.5)},
+            ),
             ("all controls killed before", {**tight, "all_killed": 13.5}),
             ("all controls killed after", {**tight, "all_killed": 15.0}),
             ("a third of the gateways killed", {**tight, "restarted": 15.0}),
@@ -106,8 +109,8 @@
                     used, allowed = run_scenario(scenario).peak_use(scenario)
                     self.assertLessEqual(used, allowed)
 
-    def test_drawn_deployments_and_faults(self) -> None:
-        """Guards against a budget that is kept only where it was looked at."""
+    def test_random_deployments_and_faults(self) -> None:
+        """Guards against a budget that is kept only in the hand-written scenarios."""
         for seed in range(DRAWN_SCENARIOS):
             with self.subTest(seed=seed):
                 scenario = draw_scenario(seed)
@@ -115,7 +118,7 @@
                 self.assertLessEqual(used, allowed, scenario)
 
     def test_gateways_are_killed_with_the_controls_that_count_them(self) -> None:
-        """Guards against counts that no process holds any more."""
+        """Guards against counts that are lost with the last process that had them."""
         killed = (14.262853873237459, 15.9159159066602, 15.607264500164058)
         small = Scenario(
             gateways=6,
--- a/tests/routing/test_rollouts.py
+++ b/tests/routing/test_rollouts.py
@@ -1,4 +1,4 @@
-"""Roll-outs: which sessions move, and when a move goes on or is taken back."""
+"""Tests of roll-outs: their steps, their evidence, and the versions of sessions."""
 
 from __future__ import annotations
 
@@ -22,42 +22,41 @@
 
 
 def make_part(answers: int, failures: int) -> VersionEvidence:
-    """Return a gateway's counters of the target."""
+    """Return a gateway's counters of the target version."""
     return VersionEvidence(
         service="chat", version="v2", answers=answers, failures=failures, seconds=1.0
     )
 
 
 class StepTest(unittest.TestCase):
-    """The next step of a move of 20 seconds."""
+    """Next step of a roll-out with a duration of 20 seconds."""
 
     def test_steps(self) -> None:
         few = Evidence(2, 0, 1.0)
         bad = Evidence(10, 5, 2.0)
         slow = Evidence(10, 0, 60.0)
         for name, share, target, elapsed, expected in (
-            ("begins small", 0.0, Evidence(), 0.1, (0.08, False, False)),
-            ("waits for half its time", 0.08, GOOD, 9.0, (0.08, False, False)),
-            ("grows", 0.08, GOOD, 10.5, (0.3, False, False)),
-            ("takes all", 0.3, GOOD, 12.5, (1.0, False, False)),
+            ("starts with first share", 0.0, Evidence(), 0.1, (0.08, False, False)),
+            ("waits for half its duration", 0.08, GOOD, 9.0, (0.08, False, False)),
+            ("grows to second share", 0.08, GOOD, 10.5, (0.3, False, False)),
+            ("grows to all sessions", 0.3, GOOD, 12.5, (1.0, False, False)),
             ("never shrinks", 1.0, GOOD, 10.5, (1.0, False, False)),
             ("is completed", 1.0, GOOD, 17.5, (1.0, True, True)),
-            ("is not grown unseen", 0.08, few, 12.5, (0.08, False, False)),
-            ("is taken back unseen", 0.08, few, 20.5, (0.0, True, False)),
-            ("fails", 0.08, bad, 1.0, (0.0, True, False)),
-            ("fails late", 1.0, bad, 17.5, (0.0, True, False)),
-            ("is slow", 0.08, slow, 5.0, (0.0, True, False)),
+            ("waits for responses", 0.08, few, 12.5, (0.08, False, False)),
+            ("reverts with few responses", 0.08, few, 20.5, (0.0, True, False)),
+            ("reverts on failures", 0.08, bad, 1.0, (0.0, True, False)),
+            ("reverts late on failures", 1.0, bad, 17.5, (0.0, True, False)),
+            ("reverts when slow", 0.08, slow, 5.0, (0.0, True, False)),
         ):
             with self.subTest(name):
                 rollout = make_rollout(share=share)
                 step = step_rollout(rollout, target, GOOD, elapsed)
                 self.assertEqual((step.share, step.ended, step.completed), expected)
 
-    def test_a_service_that_fails_anyway_is_no_reason(self) -> None:
-        """Failures of both versions.
+    def test_equal_failure_rates_do_not_revert_a_rollout(self) -> None:
+        """Guards against a rollback of a good version for failures of both versions.
 
-        An upstream service fails a seventh of its calls by itself. A good new version
-        fails as often; it must not be taken back for that.
+        A service may fail a seventh of its calls with either version.
         """
         step = step_rollout(
             make_rollout(share=0.08), Evidence(30, 5, 3.0), Evidence(300, 45, 30.0), 5.0
@@ -76,10 +75,10 @@
         restarted = Evidence(2, 1, 0.5)
         self.assertEqual(subtract_evidence(restarted, total), restarted)
 
-    def test_counters_that_begin_anew_count_whole(self) -> None:
-        """Guards against evidence that is lost as a gateway restarts."""
+    def test_restarted_counters_count_in_full(self) -> None:
+        """Guards against evidence that is lost when a gateway restarts."""
         for name, reports, expected in (
-            ("they go on", ((3, 3), (5, 4)), (5, 4)),
+            ("they continue", ((3, 3), (5, 4)), (5, 4)),
             ("they are lower", ((3, 3), (1, 1)), (4, 4)),
             ("they were missing", ((3, 3), None, (5, 5)), (8, 8)),
         ):
@@ -95,18 +94,18 @@
 
 
 class VersionTest(unittest.TestCase):
-    """The upstreams that a session may use."""
+    """Versions of the upstreams that a session may use."""
 
     def test_allowed_versions(self) -> None:
         both = [make_news("a", version="v1"), make_news("b", version="v2")]
         for name, rollout, last, expected in (
             ("none ordered", None, None, {"v1"}),
-            ("not begun", make_rollout(share=0.0), None, {"v1"}),
-            ("all moved", make_rollout(share=1.0), None, {"v2"}),
+            ("not started", make_rollout(share=0.0), None, {"v1"}),
+            ("all sessions", make_rollout(share=1.0), None, {"v2"}),
             ("completed", make_rollout(state="completed"), None, {"v2"}),
             ("reverted", make_rollout(state="reverted"), None, {"v1"}),
-            ("kept", make_rollout(share=0.19), ("v1", 9.0), {"v1"}),
-            ("moved late", make_rollout(share=1.0), ("v1", 9.0), {"v2"}),
+            ("active, first half", make_rollout(share=0.19), ("v1", 9.0), {"v1"}),
+            ("active, second half", make_rollout(share=1.0), ("v1", 9.0), {"v2"}),
         ):
             with self.subTest(name):
                 found = list_allowed(
--- a/tests/routing/test_sessions.py
+++ b/tests/routing/test_sessions.py
@@ -1,4 +1,4 @@
-"""Sessions keep their version while the first share of a move is under way."""
+"""Tests that sessions keep their version during the first share of a roll-out."""
 
 from __future__ import annotations
 
@@ -26,28 +26,28 @@
 
 SESSION_LIFE = 5.0
 ORDER_INDEX = 7
-"""Place in the controls' log of the order, without a share."""
+"""Index in the controls' log of the order, which has no share yet."""
 SHARE_INDEX = 8
-"""Place of the first share."""
+"""Index in the controls' log of the first share."""
 BOTH_VERSIONS = [make_news("a", version="v1"), make_news("b", version="v2")]
 
 
 @dataclass
 class Peer:
-    """One gateway: its table, and the place in the log that it has reached."""
+    """One gateway: its table, and the index of its state in the controls' log."""
 
     sessions: SessionTable = field(default_factory=SessionTable)
     rollout: RolloutState | None = None
     held: int = -1
 
     def apply_state(self, rollout: RolloutState, index: int) -> None:
-        """Take the state of the controls."""
+        """Apply the state of the controls."""
         self.rollout = rollout
         self.held = index
         note_moves(self.sessions, [rollout], index)
 
     def choose(self, session: str, now: float) -> str:
-        """Return the version that a session would run on."""
+        """Return the version that a session would use."""
         rollout = self.rollout
         allowed = list_allowed(
             BOTH_VERSIONS,
@@ -63,7 +63,7 @@
         return allowed[0].version
 
     def run(self, session: str, now: float, *, ends: bool = True) -> str:
-        """Run a request of a session."""
+        """Simulate a request of a session; return its version."""
         version = self.choose(session, now)
         begin_session(self.sessions, "chat", session, version, now)
         if ends:
@@ -73,7 +73,7 @@
 
 
 def exchange_totals(peers: list[Peer], now: float) -> None:
-    """Let a control tell all gateways what they reported."""
+    """Send the totals of all gateways' reports to all gateways."""
     rollouts = [[peer.rollout] if peer.rollout else [] for peer in peers]
     kept = {
         place
@@ -94,7 +94,7 @@
 
 
 class KeptSessionTest(unittest.TestCase):
-    """A session that changes gateways while the first share moves."""
+    """A session that changes gateways during the first share of a roll-out."""
 
     def setUp(self) -> None:
         self.ordered = make_rollout(share=0.0)
@@ -105,16 +105,16 @@
             peer.apply_state(self.ordered, ORDER_INDEX)
 
     def announce_first_share(self, *peers: Peer) -> None:
-        """Let gateways hear of the first share."""
+        """Apply the first share at some gateways, or at all."""
         for peer in peers or self.peers:
             peer.apply_state(self.begun, SHARE_INDEX)
 
-    def test_a_session_under_way_elsewhere_keeps_its_version(self) -> None:
-        """A session meets a gateway that has not served it, and changes its version."""
+    def test_an_active_session_of_another_gateway_keeps_its_version(self) -> None:
+        """Guards against a new version at a gateway that has not served the session."""
         for name, ends, asked_at, expected in (
             ("just ended", True, 11.5, "v1"),
-            ("under way for longer than a session lives", False, 17.0, "v1"),
-            ("over", True, 17.0, "v2"),
+            ("in flight for longer than the session life", False, 17.0, "v1"),
+            ("expired", True, 17.0, "v2"),
         ):
             with self.subTest(name):
                 self.setUp()
@@ -123,8 +123,8 @@
                 exchange_totals(self.peers, asked_at)
                 self.assertEqual(self.peers[50].run(self.session, asked_at), expected)
 
-    def test_nothing_moves_before_every_gateway_has_told(self) -> None:
-        """One gateway learns of the share late, and lets sessions begin meanwhile."""
+    def test_no_session_changes_before_every_gateway_has_reported(self) -> None:
+        """Guards against sessions started at a gateway that gets the share late."""
         *early, late = self.peers
         self.announce_first_share(*early)
         exchange_totals(self.peers, 10.0)
@@ -135,20 +135,20 @@
         exchange_totals(self.peers, 10.4)
         self.assertEqual(early[0].choose(self.session, 10.5), "v1")
 
-    def test_without_sums_the_former_version_is_kept(self) -> None:
-        """The control that a gateway reports to is away as the move begins."""
+    def test_without_totals_the_former_version_is_kept(self) -> None:
+        """The control that a gateway is attached to is unreachable at the start."""
         self.announce_first_share()
         self.assertEqual(self.peers[0].choose(self.session, 10.0), "v1")
 
-    def test_a_moved_session_stays_at_every_gateway(self) -> None:
+    def test_a_session_keeps_the_target_version_at_every_gateway(self) -> None:
         self.announce_first_share()
         exchange_totals(self.peers, 10.0)
         for now, peer in enumerate(self.peers[:20], 11):
             self.assertEqual(peer.run(self.session, now), "v2")
             exchange_totals(self.peers, now)
 
-    def test_a_gateway_that_starts_in_the_middle_waits_for_the_sums(self) -> None:
-        """A gateway without memory meets a session that another runs."""
+    def test_a_gateway_that_starts_during_a_rollout_waits_for_totals(self) -> None:
+        """Guards against a new gateway that does not know another's active session."""
         self.peers[0].run(self.session, 10.0)
         self.announce_first_share()
         exchange_totals(self.peers, 10.0)
@@ -159,7 +159,7 @@
         self.assertEqual(restarted.choose(self.session, 10.4), "v1")
 
     def test_few_of_many_sessions_change_their_version(self) -> None:
-        """Gateways hear of the move at different times, and of each other later."""
+        """Gateways get the share at different times, and the totals later."""
         draw = random.Random(5)
         heard_at = [10.0 + draw.random() * 0.5 for _ in self.peers]
         last: dict[str, tuple[float, str]] = {}
@@ -184,13 +184,13 @@
         self.assertGreater(moved, 50)
         self.assertLessEqual(changed, 3)
 
-    def test_only_early_moves_are_told_of(self) -> None:
+    def test_sessions_are_reported_only_in_the_first_half(self) -> None:
         peer = self.peers[0]
         peer.run(self.session, 10.0)
         place = hash_place(self.begun, self.session)
         for name, rollout, expected in (
             ("ordered", self.ordered, (place,)),
-            ("begun", self.begun, (place,)),
+            ("first share", self.begun, (place,)),
             ("second half", make_rollout(share=0.3), ()),
             ("completed", make_rollout(state="completed"), ()),
         ):
