--- a/src/waxwingwell/routing/retries.py
+++ b/src/waxwingwell/routing/retries.py
@@ -172,8 +172,8 @@
 ) -> float:
     """Return the retries in the window that this gateway's own part does not cover."""
     own_part = FAILURE_PART * (1.0 - SHARED_PART)
-    earned = count_allowance(table, account, limits, now)
-    return max(len(account.retries) - own_part * earned, 0.0)
+    allowance = count_allowance(table, account, limits, now)
+    return max(len(account.retries) - own_part * allowance, 0.0)
 
 
 def sum_retries(parts: Iterable[ServiceRepeats]) -> tuple[ServiceRepeats, ...]:
@@ -226,10 +226,10 @@
     """Return whether a part of the budget allows one more retry."""
     table.gateways = max(gateways, 1)
     account = find_account(table, service, now - limits.window)
-    earned = count_allowance(table, account, limits, now)
+    allowance = count_allowance(table, account, limits, now)
     retries = len(account.retries) + 1
     if now - table.others_at > MAX_TOTAL_AGE_SECONDS:
-        return retries <= part * earned
+        return retries <= part * allowance
 
     others = table.others.get(service, ServiceRepeats(service, 0, 0))
     requests = len(account.requests) + others.requests
@@ -237,7 +237,7 @@
     if retries + others.repeats > part * allowed:
         return False
 
-    own_part = part * (1.0 - SHARED_PART) * earned
+    own_part = part * (1.0 - SHARED_PART) * allowance
     if retries <= own_part:
         return True
 
@@ -258,17 +258,19 @@
     each gateway would use up what the last totals leave, and together they would send
     many times that.
     """
-    earned = count_allowance(table, account, limits, now)
+    allowance = count_allowance(table, account, limits, now)
     slack = limits.slack * min(others.shares / table.gateways, 1.0)
-    earned_by_all = earned + limits.ratio * others.requests + slack
-    if earned_by_all <= 0.0:
+    total_allowance = allowance + limits.ratio * others.requests + slack
+    if total_allowance <= 0.0:
         return
 
     drawn = count_drawn(table, account, limits, now) + others.drawn
-    left = max(FAILURE_PART * SHARED_PART * earned_by_all - drawn, 0.0)
-    our_part = left * earned / earned_by_all
+    remainder = max(FAILURE_PART * SHARED_PART * total_allowance - drawn, 0.0)
+    own_remainder = remainder * allowance / total_allowance
     # Without newer totals the remainder is not known any more.
     valid_until = min(now, table.others_at + TOTAL_VALID_SECONDS)
     elapsed_part = min(max(valid_until - account.credited_at, 0.0) / DRAW_SECONDS, 1.0)
-    account.credit = min(account.credit + our_part * elapsed_part, max(our_part, 1.0))
+    account.credit = min(
+        account.credit + own_remainder * elapsed_part, max(own_remainder, 1.0)
+    )
     account.credited_at = now
--- a/src/waxwingwell/routing/rollouts.py
+++ b/src/waxwingwell/routing/rollouts.py
@@ -177,17 +177,17 @@
     if regression:
         return Step(0.0, ended=True, completed=False, reason=regression)
 
-    part = elapsed / max(rollout.duration, 0.001)
+    progress = elapsed / max(rollout.duration, 0.001)
     has_enough = target.answers >= MIN_RESPONSES
-    if part >= COMPLETE_AT and rollout.share >= 1.0 and has_enough:
+    if progress >= COMPLETE_AT and rollout.share >= 1.0 and has_enough:
         return Step(1.0, ended=True, completed=True, reason="target is good")
 
-    if part >= 1.0:
+    if progress >= 1.0:
         reason = "too few responses before the deadline"
         return Step(0.0, ended=True, completed=False, reason=reason)
 
-    if not has_enough or part < GROW_AT:
+    if not has_enough or progress < GROW_AT:
         return Step(max(FIRST_SHARE, rollout.share), reason="first share of sessions")
 
-    share = 1.0 if part >= FULL_AT else SECOND_SHARE
+    share = 1.0 if progress >= FULL_AT else SECOND_SHARE
     return Step(max(share, rollout.share), reason=f"{target.answers} good responses")
--- a/src/waxwingwell/routing/sessions.py
+++ b/src/waxwingwell/routing/sessions.py
@@ -111,9 +111,9 @@
         if rollout is None or key not in table.last:
             continue
 
-        place = hash_place(rollout, session)
-        if table.last[key][0] != rollout.target and share_of(place) < FIRST_SHARE:
-            positions.add(place)
+        position = hash_place(rollout, session)
+        if table.last[key][0] != rollout.target and share_of(position) < FIRST_SHARE:
+            positions.add(position)
 
     return tuple(positions)
 
--- a/src/waxwingwell/routing/speeds.py
+++ b/src/waxwingwell/routing/speeds.py
@@ -45,10 +45,10 @@
     if speed is not None:
         return speed
 
-    place = models.index(model) if model in models else len(models) - 1
-    part = place / max(len(models) - 1, 1)
+    position = models.index(model) if model in models else len(models) - 1
+    fraction = position / max(len(models) - 1, 1)
     return SMALLEST_MODEL_TOKEN_MS * math.pow(
-        LARGEST_MODEL_TOKEN_MS / SMALLEST_MODEL_TOKEN_MS, part
+        LARGEST_MODEL_TOKEN_MS / SMALLEST_MODEL_TOKEN_MS, fraction
     )
 
 
