--- a/src/waxwingwell/routing/retries.py
+++ b/src/waxwingwell/routing/retries.py
@@ -30,8 +30,8 @@
 know of too few other gateways, and traffic that shifts between gateways."""
 CHOICE_PART = 0.6
 """Part of the budget that optional retries may use, such as escalations to a larger
-model. With one part for both, escalations used up the budget, and broken streams were
-not resumed."""
+model. With one part for both, escalations use up the budget, and broken streams are not
+resumed."""
 SHARED_PART = 0.5
 """Part of the budget that all gateways share."""
 TOTAL_VALID_SECONDS = 0.5
--- a/tests/routing/test_models.py
+++ b/tests/routing/test_models.py
@@ -77,8 +77,8 @@
     def test_a_large_request_gets_as_good_a_model_as_a_small_one(self) -> None:
         """Guards against long prompts that always get the smallest model's response.
 
-        Their own prefill counts as pressure, which once lowered their threshold to
-        zero, although their responses have the value of several typical ones.
+        Their own prefill counts as pressure, which would lower a threshold to zero,
+        although their responses have the value of several typical ones.
         """
         typical_sizes: dict[str, float] = {}
         for _ in range(200):
