--- a/src/waxwingwell/adapters/entry/announcements.py
+++ b/src/waxwingwell/adapters/entry/announcements.py
@@ -21,7 +21,7 @@
     from .context import EntryContext
 
 
-MAX_ANNOUNCEMENT = 65_536
+MAX_ANNOUNCEMENT_BYTES = 65_536
 """Bytes."""
 
 
@@ -40,9 +40,9 @@
 
     @app.route("/v1/upstreams/announce", methods=["POST"])
     def take(request: Any) -> bytes:
-        body = request.content.read(MAX_ANNOUNCEMENT + 1)
+        body = request.content.read(MAX_ANNOUNCEMENT_BYTES + 1)
         try:
-            announcement = read_announcement(body)
+            announcement = parse_announcement(body)
         except Problem as problem:
             return write_problem(request, problem)
 
@@ -54,9 +54,9 @@
     return app
 
 
-def read_announcement(body: bytes) -> Announcement:
+def parse_announcement(body: bytes) -> Announcement:
     """Return a checked announcement; ``Problem`` 400 names the fault's place."""
-    if len(body) > MAX_ANNOUNCEMENT:
+    if len(body) > MAX_ANNOUNCEMENT_BYTES:
         raise Problem(
             status=413, code="body_too_large", message="body: too long", param="body"
         )
@@ -68,7 +68,7 @@
             status=400, code="invalid_announcement", message=str(error), param="body"
         ) from error
 
-    findings = _find_faults(announcement)
+    findings = _validate_announcement(announcement)
     if findings:
         raise Problem(
             status=400,
@@ -81,7 +81,7 @@
     return announcement
 
 
-def _find_faults(announcement: Announcement) -> tuple[Finding, ...]:
+def _validate_announcement(announcement: Announcement) -> tuple[Finding, ...]:
     faults = []
     if not announcement.upstream:
         faults.append(Finding(place="upstream", message="must not be empty"))
--- a/src/waxwingwell/adapters/entry/attempts.py
+++ b/src/waxwingwell/adapters/entry/attempts.py
@@ -20,7 +20,7 @@
 from .relay import RelayProtocol
 from .upstream_client import AttemptError
 from .upstream_client import UpstreamCall
-from .upstream_client import drop_response
+from .upstream_client import discard_response
 from .upstream_client import read_header
 from .upstream_client import send_call
 
@@ -38,7 +38,7 @@
     from .streams import EventStream
 
 
-HEADERS_FACTOR = 4.0
+HEADERS_TIMEOUT_FACTOR = 4.0
 """Progress timeouts that response headers may take; a queue is ahead of them."""
 
 
@@ -65,50 +65,52 @@
 ) -> Any:
     """Dispatch to an upstream and return its response.
 
-    The caller of this function reports the end by ``end_attempt``; a failure before
+    The caller of this function reports the end by ``finish_attempt``; a failure before
     the response is counted here. Errors: ``AttemptError``.
     """
     row = find_row(context, upstream, context.clock())
-    hop = start_span(
+    attempt_span = start_span(
         context.traces, "upstream.attempt", kind=SpanKind.CLIENT, parent=span
     )
-    hop.set_attribute("upstream", upstream)
-    call = make_call(make_traceparent(hop))
+    attempt_span.set_attribute("upstream", upstream)
+    call = make_call(make_traceparent(attempt_span))
     note_dispatch(context.tables, upstream, work, now=context.clock())
-    limit = context.settings.progress_timeout * HEADERS_FACTOR
+    limit = context.settings.progress_timeout * HEADERS_TIMEOUT_FACTOR
     try:
         response = await send_call(context, row, call, limit=limit)
         context.ran.add(work.request)
-        check_answer(response, call)
+        check_response_id(response, call)
     except AttemptError as error:
         if error.may_have_run:
             context.ran.add(work.request)
 
-        hop.set_status(StatusCode.ERROR, str(error))
-        end_attempt(context, upstream, failed=True)
+        attempt_span.set_status(StatusCode.ERROR, str(error))
+        finish_attempt(context, upstream, failed=True)
         raise
     finally:
-        hop.end()
+        attempt_span.end()
 
     return response
 
 
-def check_answer(response: Any, call: UpstreamCall) -> None:
+def check_response_id(response: Any, call: UpstreamCall) -> None:
     """Refuse an answer that names another request: it has crossed with ours."""
     named = read_header(response, "x-request-id")
     if named and named != call.request:
-        drop_response(response)
+        discard_response(response)
         # The caller is told the reason, and must not learn another request's id.
         logger.warning("entry: {} was answered as {}.", call.request, named)
         raise AttemptError("the answer was another request's", may_have_run=True)
 
 
-def end_attempt(context: EntryContext, upstream: UpstreamId, *, failed: bool) -> None:
+def finish_attempt(
+    context: EntryContext, upstream: UpstreamId, *, failed: bool
+) -> None:
     """Count the end of an attempt; ``failed`` by the upstream's fault."""
     note_finish(context.tables, upstream, failed=failed, now=context.clock())
 
 
-async def read_answer_body(
+async def read_response_body(
     context: EntryContext, response: Any, upstream: UpstreamId, *, limit: float
 ) -> bytes:
     """Return a whole body within ``limit`` seconds; the attempt goes on if it came.
@@ -120,7 +122,7 @@
     try:
         data: bytes = await reading
     except Exception as error:
-        end_attempt(context, upstream, failed=True)
+        finish_attempt(context, upstream, failed=True)
         raise AttemptError(repr(error), may_have_run=True) from error
 
     return data
--- a/src/waxwingwell/adapters/entry/chat_answers.py
+++ b/src/waxwingwell/adapters/entry/chat_answers.py
@@ -19,11 +19,11 @@
 from .relay import Sink
 from .replies import JSON
 from .replies import Problem
-from .services import find_stored
+from .services import find_stored_response
 from .stream_runs import StreamRun
 from .streaming import answer_stream
 from .streams import EventStream
-from .whole import answer_whole
+from .whole import fetch_complete_response
 
 
 if TYPE_CHECKING:
@@ -39,7 +39,7 @@
 Request = Any
 """A request of twisted.web, whose methods carry no types."""
 
-MAX_KEPT_ANSWER = 262_144
+MAX_STORED_CHAT_BYTES = 262_144
 """Bytes of a whole chat answer kept for the resend of a caller's key."""
 
 
@@ -56,7 +56,7 @@
             await _stream_chat(context, placements, request, chat, chosen, span)
             return None
 
-        return await _answer_chat(context, placements, request, chat, chosen, span)
+        return await _complete_chat(context, placements, request, chat, chosen, span)
     finally:
         span.end()
 
@@ -77,18 +77,18 @@
         sink=sink,
         span=span,
         version=chosen.choice.plan[0],
-        name_request=lambda name: request.setHeader("x-request-id", name),
+        set_request_id=lambda name: request.setHeader("x-request-id", name),
     )
     request.setHeader("content-type", "text/event-stream")
     request.setHeader("cache-control", "no-store")
     request.registerProducer(sink, True)
 
-    def lose(_: object) -> None:
+    def handle_disconnect(_: object) -> None:
         sink.stopProducing()
         if not chat.keyed and sink.source is not None:
             sink.source.loseConnection()
 
-    request.notifyFinish().addErrback(lose)
+    request.notifyFinish().addErrback(handle_disconnect)
     try:
         await answer_stream(context, placements, run)
     finally:
@@ -96,7 +96,7 @@
             request.unregisterProducer()
 
 
-async def _answer_chat(
+async def _complete_chat(
     context: EntryContext,
     placements: Placements,
     request: Request,
@@ -118,12 +118,12 @@
         version=chosen.choice.plan[0],
     )
     if chat.keyed:
-        stored = find_stored(await reserve_row(context, reservation))
+        stored = find_stored_response(await reserve_row(context, reservation))
         if stored is not None:
-            return write_stored(request, stored)
+            return write_stored_response(request, stored)
 
     try:
-        answer = await answer_whole(context, placements, chat, chosen, span)
+        answer = await fetch_complete_response(context, placements, chat, chosen, span)
     except Problem as problem:
         if chat.keyed:
             ending = Ending(outcome=problem.outcome)
@@ -132,7 +132,7 @@
         raise
 
     kept = None
-    if chat.keyed and len(answer.body) <= MAX_KEPT_ANSWER:
+    if chat.keyed and len(answer.body) <= MAX_STORED_CHAT_BYTES:
         kept = StoredAnswer(status=200, content_type=JSON, body=answer.body)
 
     ending = Ending(
@@ -162,7 +162,7 @@
     return span
 
 
-def write_stored(request: Request, answer: StoredAnswer) -> bytes:
+def write_stored_response(request: Request, answer: StoredAnswer) -> bytes:
     """Write a stored answer as it was given the first time."""
     request.setResponseCode(answer.status)
     request.setHeader("content-type", answer.content_type)
--- a/src/waxwingwell/adapters/entry/chats.py
+++ b/src/waxwingwell/adapters/entry/chats.py
@@ -75,7 +75,7 @@
     key: str = ""
     session: str = ""
     kind: str = ""
-    last_event: str = ""
+    last_event_id: str = ""
 
 
 @dataclass(frozen=True, slots=True)
@@ -91,7 +91,7 @@
     fields: dict[str, Any]
     """The body as decoded, to be sent on with the model filled in."""
     prompt: str
-    last_event: str = ""
+    last_event_id: str = ""
     """``Last-Event-ID`` of a caller that comes back."""
 
 
@@ -100,7 +100,7 @@
     return f"req-{secrets.token_hex(12)}"
 
 
-def read_chat(
+def parse_chat(
     body: bytes,
     headers: ChatHeaders,
     config: WorkspaceConfig,
@@ -149,7 +149,7 @@
         digest=xxhash.xxh3_128_hexdigest(body),
         fields=fields,
         prompt=prompt,
-        last_event=headers.last_event,
+        last_event_id=headers.last_event_id,
     )
 
 
--- a/src/waxwingwell/adapters/entry/checks.py
+++ b/src/waxwingwell/adapters/entry/checks.py
@@ -75,7 +75,7 @@
     )
     check(
         Promise.NO_NEW_WORK_WHEN_WITHDRAWN,
-        _takes_work(context, version, pinned=work.pinned == version),
+        _accepts_work(context, version, pinned=work.pinned == version),
         lambda: f"{work.request} left for withdrawn {version}",
     )
 
@@ -89,7 +89,7 @@
     )
 
 
-def _takes_work(context: EntryContext, version: VersionId, *, pinned: bool) -> bool:
+def _accepts_work(context: EntryContext, version: VersionId, *, pinned: bool) -> bool:
     spec = context.tables.versions.get(version)
     if spec is None or spec.status == VersionStatus.WITHDRAWN:
         return False
--- a/src/waxwingwell/adapters/entry/context.py
+++ b/src/waxwingwell/adapters/entry/context.py
@@ -54,9 +54,9 @@
     """Requests that must end before a planned stop."""
     ran: set[str] = field(default_factory=set)
     """Ids of running requests of which an attempt has reached an upstream."""
-    unsettled: int = 0
+    pending_settlements: int = 0
     """Rows whose settling is still being tried."""
-    unrated: int = 0
+    pending_ratings: int = 0
     """Answers whose rating was asked for in the background."""
 
 
--- a/src/waxwingwell/adapters/entry/control_calls.py
+++ b/src/waxwingwell/adapters/entry/control_calls.py
@@ -23,7 +23,7 @@
 from ...state.leases import may_admit
 from .upstream_client import AttemptError
 from .upstream_client import UpstreamCall
-from .upstream_client import drop_response
+from .upstream_client import discard_response
 from .upstream_client import send_call
 
 
@@ -34,7 +34,7 @@
 
 
 ORDER_PATH = "/v1/versions"
-ORDER_LIMIT = 2.0
+ORDER_TIMEOUT = 2.0
 """Seconds within which an engine answers an order."""
 
 
@@ -45,7 +45,7 @@
     versions: tuple[str, ...]
 
 
-def answer_call(
+def handle_control_call(
     context: EntryContext, sender: str, body: Any, stop: Callable[[], None]
 ) -> Deferred[Message]:
     """Answer a control process; ``stop`` begins the planned stop."""
@@ -91,11 +91,11 @@
         fencing=order.fencing,
     )
     try:
-        response = await send_call(context, row, call, limit=ORDER_LIMIT)
+        response = await send_call(context, row, call, limit=ORDER_TIMEOUT)
     except AttemptError as error:
         return OrderPassed(status=0, reason=str(error))
 
-    drop_response(response)
+    discard_response(response)
     return OrderPassed(status=response.code)
 
 
--- a/src/waxwingwell/adapters/entry/control_client.py
+++ b/src/waxwingwell/adapters/entry/control_client.py
@@ -29,9 +29,9 @@
 
 CALL_TIMEOUT = 1.0
 """Seconds for one attempt."""
-RETRY_PAUSE = 0.05
+RETRY_DELAY = 0.05
 """Seconds between attempts while no leader is known."""
-AVOID = 0.5
+AVOID_SECONDS = 0.5
 """Seconds for which a process that did not answer in time is not asked again."""
 
 
@@ -43,9 +43,9 @@
     clock: Callable[[], float]
     links: dict[str, Link] = field(default_factory=dict)
     leader: str = ""
-    turn: int = 0
+    rotation: int = 0
     """Rotates the guesses while no leader is known."""
-    avoided: str = ""
+    avoided_peer: str = ""
     """The process that did not answer in time."""
     avoided_until: float = 0.0
 
@@ -74,7 +74,7 @@
             )
 
         if link is not None:
-            reply = await _try_call(client, link, body, min(left, CALL_TIMEOUT))
+            reply = await _call_once(client, link, body, min(left, CALL_TIMEOUT))
             if isinstance(reply, Failed) and reply.may_have_run:
                 may_have_run = True
 
@@ -82,10 +82,10 @@
                 client.leader = link.name
                 return reply
 
-        await deferLater(client.reactor, min(RETRY_PAUSE, left), lambda: None)
+        await deferLater(client.reactor, min(RETRY_DELAY, left), lambda: None)
 
 
-async def _try_call(
+async def _call_once(
     client: ControlClient, link: Link, body: Message, timeout: float
 ) -> Any:
     try:
@@ -100,8 +100,8 @@
         for other in client.links.values():
             replace_silent_link(other)
 
-        client.avoided = link.name
-        client.avoided_until = client.clock() + AVOID
+        client.avoided_peer = link.name
+        client.avoided_until = client.clock() + AVOID_SECONDS
         return Failed(reason=str(error), may_have_run=True)
 
     if isinstance(reply, NotLeader):
@@ -126,9 +126,9 @@
     if not up:
         return None
 
-    client.turn += 1
-    return up[client.turn % len(up)]
+    client.rotation += 1
+    return up[client.rotation % len(up)]
 
 
 def _is_avoided(client: ControlClient, link: Link) -> bool:
-    return link.name == client.avoided and client.clock() < client.avoided_until
+    return link.name == client.avoided_peer and client.clock() < client.avoided_until
--- a/src/waxwingwell/adapters/entry/daemon.py
+++ b/src/waxwingwell/adapters/entry/daemon.py
@@ -39,18 +39,18 @@
 from ..tls_files import open_tls
 from .announcements import make_upstream_app
 from .context import EntryContext
-from .control_calls import answer_call
+from .control_calls import handle_control_call
 from .control_client import ControlClient
 from .placement import Placements
 from .sites import make_site
 from .upkeep import EVIDENCE_EVERY
-from .upkeep import QUEUE_TICK
-from .upkeep import SPREAD_EVERY
-from .upkeep import TABLES_TICK
+from .upkeep import QUEUE_INTERVAL
+from .upkeep import SPREAD_INTERVAL
+from .upkeep import TABLES_INTERVAL
 from .upkeep import Upkeep
 from .upkeep import flush_evidence
-from .upkeep import forget_told
-from .upkeep import renew_on
+from .upkeep import renew_periodically
+from .upkeep import reset_announced
 from .upkeep import run_queue_tick
 from .upkeep import run_tables_tick
 from .upkeep import spread_news
@@ -69,7 +69,7 @@
     from ..tls_files import TlsSource
 
 
-DRAIN_POLL = 0.05
+DRAIN_POLL_INTERVAL = 0.05
 """Seconds between two looks at what still runs."""
 
 
@@ -170,7 +170,7 @@
     await maybeDeferred(daemon.caller_port.stopListening)
     deadline = context.clock() + settings.drain_limit
     while is_busy(context) and context.clock() < deadline:
-        await deferLater(context.reactor, DRAIN_POLL, lambda: None)
+        await deferLater(context.reactor, DRAIN_POLL_INTERVAL, lambda: None)
 
     await _close_connections(daemon, deadline)
     left = len(get_factory(daemon.caller_port).transports)
@@ -185,7 +185,7 @@
 
 def is_busy(context: EntryContext) -> bool:
     """Tell whether something is under way that a planned stop waits for."""
-    return context.running + context.unsettled + context.unrated > 0
+    return context.running + context.pending_settlements + context.pending_ratings > 0
 
 
 async def _close_connections(daemon: EntryDaemon, deadline: float) -> None:
@@ -194,7 +194,7 @@
     site = get_factory(daemon.caller_port)
     close_connections(site)
     while site.transports and context.clock() < deadline:
-        await deferLater(context.reactor, DRAIN_POLL, lambda: None)
+        await deferLater(context.reactor, DRAIN_POLL_INTERVAL, lambda: None)
 
 
 async def close_entry(daemon: EntryDaemon) -> None:
@@ -230,7 +230,7 @@
     context: EntryContext, upkeep: Upkeep, stop: Callable[[], None]
 ) -> LinkNode:
     def take_call(sender: str, body: Any) -> Deferred[Message]:
-        return answer_call(context, sender, body, stop)
+        return handle_control_call(context, sender, body, stop)
 
     def take_cast(sender: str, body: Any) -> None:
         take_news(context, upkeep, body)
@@ -255,16 +255,18 @@
         link = open_link(
             daemon.node, peer.node, make_connector(context.reactor, peer, tls)
         )
-        link.on_up = partial(forget_told, daemon.upkeep, peer.node)
+        link.on_up = partial(reset_announced, daemon.upkeep, peer.node)
         daemon.upkeep.entries[peer.node] = link
 
 
 def _start_loops(daemon: EntryDaemon) -> None:
     context, upkeep = daemon.context, daemon.upkeep
-    renew_on(context, upkeep)
-    _start_loop(daemon, QUEUE_TICK, partial(run_queue_tick, context, daemon.placements))
-    _start_loop(daemon, TABLES_TICK, partial(run_tables_tick, context, upkeep))
-    _start_loop(daemon, SPREAD_EVERY, partial(spread_news, context, upkeep))
+    renew_periodically(context, upkeep)
+    _start_loop(
+        daemon, QUEUE_INTERVAL, partial(run_queue_tick, context, daemon.placements)
+    )
+    _start_loop(daemon, TABLES_INTERVAL, partial(run_tables_tick, context, upkeep))
+    _start_loop(daemon, SPREAD_INTERVAL, partial(spread_news, context, upkeep))
 
     def flush() -> Deferred[None]:
         return Deferred.fromCoroutine(flush_evidence(context, upkeep))
@@ -274,11 +276,11 @@
 
 def _start_loop(daemon: EntryDaemon, every: float, work: Any) -> None:
     loop = LoopingCall(work)
-    loop.start(every).addErrback(partial(_report_fault, daemon))
+    loop.start(every).addErrback(partial(_stop_on_failure, daemon))
     daemon.loops.append(loop)
 
 
-def _report_fault(daemon: EntryDaemon, failure: Any) -> None:
+def _stop_on_failure(daemon: EntryDaemon, failure: Any) -> None:
     """Stop the process: without its upkeep an entry must not go on serving."""
     logger.critical("entry: Stopped by a fault: {}.", failure.getTraceback())
     daemon.context.reactor.stop()
--- a/src/waxwingwell/adapters/entry/guards.py
+++ b/src/waxwingwell/adapters/entry/guards.py
@@ -26,7 +26,7 @@
 Handler = Callable[..., Any]
 
 
-def answer_problems(context: EntryContext) -> Callable[[Handler], Handler]:
+def respond_to_problems(context: EntryContext) -> Callable[[Handler], Handler]:
     """Return a decorator that turns problems into answers, and faults into one."""
 
     def decorate(handler: Handler) -> Handler:
@@ -36,7 +36,7 @@
                 # The balancer has been told; the caller opens a new connection.
                 request.setHeader("connection", "close")
 
-            return _shield(_guard(context, handler, request, names))
+            return _shield(_run_handler(context, handler, request, names))
 
         return run
 
@@ -55,15 +55,15 @@
     return result
 
 
-async def _guard(
+async def _run_handler(
     context: EntryContext, handler: Handler, request: Request, names: dict[str, str]
 ) -> bytes | None:
     try:
         answer: bytes | None = await handler(request, **names)
-        return _measure(request, answer)
+        return _set_content_length(request, answer)
     except Problem as problem:
         context.metrics.count(f"problems.{problem.code}", 1)
-        return _tell(request, problem)
+        return _respond_with_problem(request, problem)
     except Exception as error:
         logger.opt(exception=error).error("entry: A request failed by our fault.")
         fault = Problem(
@@ -72,17 +72,17 @@
             message="an error of the router; it has been logged",
             outcome=OutcomeKind.MAY_HAVE_RUN,
         )
-        return _tell(request, fault)
+        return _respond_with_problem(request, fault)
 
 
-def _tell(request: Request, problem: Problem) -> bytes | None:
+def _respond_with_problem(request: Request, problem: Problem) -> bytes | None:
     if request.startedWriting:
         return b""
 
-    return _measure(request, write_problem(request, problem))
+    return _set_content_length(request, write_problem(request, problem))
 
 
-def _measure(request: Request, body: bytes | None) -> bytes | None:
+def _set_content_length(request: Request, body: bytes | None) -> bytes | None:
     """State the length of a whole body; streams have none."""
     if body is not None and not request.startedWriting:
         request.setHeader("content-length", str(len(body)))
--- a/src/waxwingwell/adapters/entry/ledger.py
+++ b/src/waxwingwell/adapters/entry/ledger.py
@@ -39,10 +39,10 @@
 """Seconds within which a row must be durable; a fail-over fits in."""
 SETTLE_LIMIT = 3.0
 """Seconds that an answer's end waits for its billing row."""
-SETTLE_TRIES = 200
+SETTLE_ATTEMPTS = 200
 """Further attempts in the background, ``SETTLE_LIMIT`` seconds each."""
 CONTROL_UNAVAILABLE = "control_unavailable"
-RETRY_AFTER_CONTROL = 2.0
+RETRY_AFTER_NO_LEADER = 2.0
 """Seconds after which a caller may come back when no leader answered."""
 
 
@@ -71,7 +71,7 @@
     repeatable: bool
     version: VersionId = VersionId("")
     upstream: UpstreamId = UpstreamId("")
-    unheard: OutcomeKind = OutcomeKind.NOT_RUN
+    unconfirmed_outcome: OutcomeKind = OutcomeKind.NOT_RUN
     """How the row ends if it was recorded and the word of it never came back."""
 
 
@@ -92,13 +92,13 @@
         )
     except ControlUnavailableError as error:
         if error.may_have_run:
-            _close_unheard(context, row, reservation.unheard)
+            _close_unconfirmed_row(context, row, reservation.unconfirmed_outcome)
 
         raise Problem(
             status=503,
             code=CONTROL_UNAVAILABLE,
             message="the request could not be recorded and was not run",
-            retry_after=RETRY_AFTER_CONTROL,
+            retry_after=RETRY_AFTER_NO_LEADER,
         ) from error
 
     # A resend of our own reservation, after a lost answer, finds its own row.
@@ -169,16 +169,16 @@
         outcome = await submit_command(context.control, command, limit=SETTLE_LIMIT)
     except ControlUnavailableError:
         logger.warning("ledger: Settling {} goes on in the background.", request)
-        Deferred.fromCoroutine(_settle_on(context, command))
+        Deferred.fromCoroutine(_settle_in_background(context, command))
         return False
 
     if isinstance(outcome, Rejected):
-        _report_refused(command, outcome)
+        _handle_rejected_settle(command, outcome)
 
     return True
 
 
-def _report_refused(command: Settle, refused: Rejected) -> None:
+def _handle_rejected_settle(command: Settle, refused: Rejected) -> None:
     """Log a refused settle; ``Problem`` if the answer would go out without a row."""
     text = "; ".join(f"{item.place}: {item.message}" for item in refused.findings)
     logger.error("ledger: {} was not settled: {}.", command.request, text)
@@ -188,11 +188,13 @@
             code="not_recorded",
             message=f"the answer could not be recorded: {text}",
             outcome=OutcomeKind.FAILED,
-            retry_after=RETRY_AFTER_CONTROL,
+            retry_after=RETRY_AFTER_NO_LEADER,
         )
 
 
-def _close_unheard(context: EntryContext, row: LedgerRow, outcome: OutcomeKind) -> None:
+def _close_unconfirmed_row(
+    context: EntryContext, row: LedgerRow, outcome: OutcomeKind
+) -> None:
     """Close a row that may have been recorded, beside the answer to its caller."""
     command = Settle(
         workspace=row.workspace,
@@ -201,13 +203,13 @@
         outcome=outcome,
         at=context.wall_clock(),
     )
-    Deferred.fromCoroutine(_settle_on(context, command))
+    Deferred.fromCoroutine(_settle_in_background(context, command))
 
 
-async def _settle_on(context: EntryContext, command: Settle) -> None:
-    context.unsettled += 1
+async def _settle_in_background(context: EntryContext, command: Settle) -> None:
+    context.pending_settlements += 1
     try:
-        for _ in range(SETTLE_TRIES):
+        for _ in range(SETTLE_ATTEMPTS):
             try:
                 await submit_command(context.control, command, limit=SETTLE_LIMIT)
             except ControlUnavailableError:
@@ -217,7 +219,7 @@
 
         logger.error("ledger: Gave up settling {}; control sweeps it.", command.request)
     finally:
-        context.unsettled -= 1
+        context.pending_settlements -= 1
 
 
 def find_pin(context: EntryContext, work: Work) -> VersionId:
@@ -245,7 +247,7 @@
             status=503,
             code=CONTROL_UNAVAILABLE,
             message="the session's version could not be recorded; nothing was run",
-            retry_after=RETRY_AFTER_CONTROL,
+            retry_after=RETRY_AFTER_NO_LEADER,
         ) from error
 
     if not isinstance(outcome, Pinned):
--- a/src/waxwingwell/adapters/entry/placement.py
+++ b/src/waxwingwell/adapters/entry/placement.py
@@ -70,23 +70,25 @@
     """Hand out what has room and refuse what can't be served in time."""
     now = context.clock()
     for taken in shed_expired(context.tables, now):
-        _answer(placements, taken.waiting.work.request, taken.result)
+        _resolve(placements, taken.waiting.work.request, taken.result)
 
     while context.tables.waiting:
         next_one = take_next(context.tables, now, context.random.random())
         if next_one is None:
             return
 
-        _answer(placements, next_one.waiting.work.request, next_one.result)
+        _resolve(placements, next_one.waiting.work.request, next_one.result)
 
 
-def leave_queue(context: EntryContext, placements: Placements, request: str) -> None:
+def remove_from_queue(
+    context: EntryContext, placements: Placements, request: str
+) -> None:
     """Drop a waiting request whose caller has gone."""
     if remove_waiting(context.tables, request) is not None:
-        _answer(placements, request, CALLER_GONE)
+        _resolve(placements, request, CALLER_GONE)
 
 
-def _answer(
+def _resolve(
     placements: Placements, request: str, result: UpstreamChoice | Refusal
 ) -> None:
     waiting = placements.waiting.pop(request, None)
--- a/src/waxwingwell/adapters/entry/ratings.py
+++ b/src/waxwingwell/adapters/entry/ratings.py
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RatedAnswer:
+class RatedResponse:
     """An answer to be rated, and what its rating counts for."""
 
     work: Work
@@ -55,7 +55,7 @@
     """Rating from which the answer is served; a cascade passes over lower ones."""
 
 
-async def rate_answer(context: EntryContext, answer: RatedAnswer) -> float | None:
+async def rate_answer(context: EntryContext, answer: RatedResponse) -> float | None:
     """Return the rating and note it; None if the service gives none in time."""
     work = answer.work
     asked = RatingAsked(
@@ -65,7 +65,7 @@
         answer=answer.text,
     )
     try:
-        rating = await _ask_rating(context, asked)
+        rating = await _fetch_rating(context, asked)
     except Exception as error:
         logger.debug("rating: No rating of {}: {}.", answer.version, error)
         context.metrics.count("ratings.missing", 1)
@@ -91,22 +91,22 @@
     return rating
 
 
-def rate_later(context: EntryContext, answer: RatedAnswer) -> None:
+def rate_in_background(context: EntryContext, answer: RatedResponse) -> None:
     """Ask for a rating in the background; a planned stop waits for it."""
-    context.unrated += 1
+    context.pending_ratings += 1
 
     def forget(_: object) -> None:
-        context.unrated -= 1
+        context.pending_ratings -= 1
 
     Deferred.fromCoroutine(rate_answer(context, answer)).addBoth(forget)
 
 
-async def _ask_rating(context: EntryContext, asked: RatingAsked) -> float:
+async def _fetch_rating(context: EntryContext, asked: RatingAsked) -> float:
     address = context.settings.rating
     if address is None:
         raise LookupError("no rating service in the settings")
 
-    answering = context.client.reused.request(
+    answering = context.client.pooled.request(
         b"POST",
         f"http://{address.host}:{address.port}/v1/ratings".encode(),
         Headers({"content-type": ["application/json"]}),
--- a/src/waxwingwell/adapters/entry/reading.py
+++ b/src/waxwingwell/adapters/entry/reading.py
@@ -57,7 +57,7 @@
         key=read_key(request),
         session=(request.getHeader("x-session-id") or "")[:MAX_KEY],
         kind=request.getHeader("x-work-kind") or "",
-        last_event=request.getHeader("last-event-id") or "",
+        last_event_id=request.getHeader("last-event-id") or "",
     )
 
 
@@ -75,7 +75,7 @@
     return key
 
 
-def read_call(
+def parse_service_call(
     context: EntryContext,
     request: Request,
     config: WorkspaceConfig,
--- a/src/waxwingwell/adapters/entry/relay.py
+++ b/src/waxwingwell/adapters/entry/relay.py
@@ -21,8 +21,8 @@
 from zope.interface import implementer
 
 from .streams import EventStream
+from .streams import receive_bytes
 from .streams import start_connection
-from .streams import take_bytes
 
 
 if TYPE_CHECKING:
@@ -53,7 +53,7 @@
     gone: bool = False
     paused: bool = False
     held: list[bytes] = field(default_factory=list)
-    last_part: bytes = b""
+    final_bytes: bytes = b""
     """The end of the answer, kept back until the request is settled."""
     recording: bool = False
     """Keep a copy of what goes out, for the rating service."""
@@ -118,7 +118,7 @@
         self.ended: Deferred[End] = Deferred()
         self._reactor = reactor
         self._timeout = progress_timeout
-        self._heard_at = float(reactor.seconds())
+        self._last_data_at = float(reactor.seconds())
         self._timer: Any = None
         start_connection(stream)
 
@@ -128,7 +128,7 @@
         if self.sink.paused and self.transport is not None:
             cast("IPushProducer", self.transport).pauseProducing()
 
-        self._watch()
+        self._check_progress()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         """Forward whole new events; keep back the last until settled."""
@@ -136,34 +136,34 @@
             return
 
         now = float(self._reactor.seconds())
-        self._heard_at = now
-        taken = take_bytes(self.stream, data)
+        self._last_data_at = now
+        taken = receive_bytes(self.stream, data)
         if taken.forward and self.sink.first_at is None:
             self.sink.first_at = now
 
         if self.stream.done:
-            self.sink.last_part = taken.forward
-            self._end(End.DONE)
+            self.sink.final_bytes = taken.forward
+            self._finish(End.DONE)
             return
 
         push_bytes(self.sink, taken.forward)
         if taken.fault is not None:
-            self._end(End.FAULTY)
+            self._finish(End.FAULTY)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
         """Report a cut, unless the answer had ended."""
-        self._end(End.CUT)
+        self._finish(End.CUT)
 
-    def _watch(self) -> None:
-        silent = float(self._reactor.seconds()) - self._heard_at
+    def _check_progress(self) -> None:
+        silent = float(self._reactor.seconds()) - self._last_data_at
         # A paused engine is silent because of the caller, not by its own fault.
         if silent > self._timeout and not self.sink.paused:
-            self._end(End.SILENT)
+            self._finish(End.SILENT)
             return
 
-        self._timer = self._reactor.callLater(self._timeout / 4, self._watch)
+        self._timer = self._reactor.callLater(self._timeout / 4, self._check_progress)
 
-    def _end(self, end: End) -> None:
+    def _finish(self, end: End) -> None:
         if self.ended.called:
             return
 
--- a/src/waxwingwell/adapters/entry/resuming.py
+++ b/src/waxwingwell/adapters/entry/resuming.py
@@ -17,15 +17,15 @@
 from ...decisions.upstreams import note_dispatch
 from ...records import OutcomeKind
 from ...records import RowStatus
-from .attempts import end_attempt
 from .attempts import find_row
+from .attempts import finish_attempt
 from .replies import Problem
 from .stream_runs import can_resume
 from .stream_runs import leave_upstream
 from .streams import EventStream
 from .upstream_client import AttemptError
 from .upstream_client import UpstreamCall
-from .upstream_client import drop_response
+from .upstream_client import discard_response
 from .upstream_client import send_call
 
 
@@ -37,7 +37,7 @@
 
 MAX_RESUMES = 8
 """Connections over which one answer may be resumed."""
-RESUME_PAUSE = 0.05
+RESUME_DELAY = 0.05
 """Seconds, times the tries so far, before an engine is asked again."""
 
 
@@ -48,18 +48,18 @@
     again. ``Problem`` if the row has no answer to fetch.
     """
     if row.status is RowStatus.UNKNOWN or row.outcome is OutcomeKind.MAY_HAVE_RUN:
-        raise make_gone_problem(row)
+        raise make_unavailable_problem(row)
 
-    skip = read_last_event(run.chat.last_event, row.request)
+    skip = parse_last_event_id(run.chat.last_event_id, row.request)
     run.attached = row
     run.stream = EventStream(request=row.request, skip=skip)
     run.version = row.version
     run.upstream = row.upstream
     run.ran = True
-    run.name_request(row.request)
+    run.set_request_id(row.request)
 
 
-def find_next_holder(context: EntryContext, run: StreamRun) -> None:
+def find_next_engine(context: EntryContext, run: StreamRun) -> None:
     """Turn an attached run to the next engine that may hold its answer."""
     for upstream, row in context.tables.upstreams.items():
         if upstream in run.excluded or row.left:
@@ -70,10 +70,10 @@
             return
 
     assert run.attached is not None
-    raise make_gone_problem(run.attached)
+    raise make_unavailable_problem(run.attached)
 
 
-def make_gone_problem(row: LedgerRow) -> Problem:
+def make_unavailable_problem(row: LedgerRow) -> Problem:
     """Return the problem of a key whose answer can't be fetched."""
     running = row.status is RowStatus.OPEN
     return Problem(
@@ -86,7 +86,7 @@
     )
 
 
-def read_last_event(header: str, request: str) -> int:
+def parse_last_event_id(header: str, request: str) -> int:
     """Return the number of the last event that a caller has of this request."""
     name, _, number = header.rpartition(":")
     if name != request or not number.isdigit():
@@ -126,12 +126,12 @@
     try:
         response = await send_call(context, row, call, limit=limit)
     except AttemptError as error:
-        end_attempt(context, upstream, failed=True)
+        finish_attempt(context, upstream, failed=True)
         logger.info("stream: {} not resumed: {}.", run.stream.request, error)
         if run.stream.last == 0:
             leave_upstream(run)
         else:
-            pause = RESUME_PAUSE * run.resumes
+            pause = RESUME_DELAY * run.resumes
             await deferLater(context.reactor, pause, lambda: None)
 
         return None
@@ -139,8 +139,8 @@
     if response.code == 200:
         return response
 
-    drop_response(response)
-    end_attempt(context, upstream, failed=response.code >= 500)
+    discard_response(response)
+    finish_attempt(context, upstream, failed=response.code >= 500)
     leave_upstream(run)
     return None
 
@@ -161,6 +161,6 @@
         response = await send_call(
             context, row, call, limit=context.settings.progress_timeout
         )
-        drop_response(response)
+        discard_response(response)
     except AttemptError as error:
         logger.debug("stream: {} not cancelled: {}.", run.stream.request, error)
--- a/src/waxwingwell/adapters/entry/services.py
+++ b/src/waxwingwell/adapters/entry/services.py
@@ -20,8 +20,8 @@
 from ...records import VersionId
 from ...records import WorkKind
 from ...records import WorkspaceConfig
-from .attempts import end_attempt
-from .attempts import read_answer_body
+from .attempts import finish_attempt
+from .attempts import read_response_body
 from .attempts import run_attempt
 from .checks import check_lease
 from .ledger import Ending
@@ -45,7 +45,7 @@
     from .placement import Placements
 
 
-MAX_STORED = 1_000_000
+MAX_STORED_SERVICE_BYTES = 1_000_000
 """Bytes of an answer kept for replay; a longer one is replayed without its body."""
 NO_VERSION = VersionId("")
 
@@ -80,7 +80,7 @@
     fitting = [
         rule
         for rule in rules
-        if _is_below(path, rule.path_prefix) and method in rule.methods
+        if _matches_prefix(path, rule.path_prefix) and method in rule.methods
     ]
     if not fitting:
         raise Problem(
@@ -109,7 +109,7 @@
     )
 
 
-async def answer_service(
+async def run_service_call(
     context: EntryContext, placements: Placements, call: ServiceCall, span: Span
 ) -> StoredAnswer:
     """Run the call and return the service's answer, or the stored one of its key.
@@ -129,13 +129,13 @@
             upstream=choice.upstream,
         ),
     )
-    stored = find_stored(outcome)
+    stored = find_stored_response(outcome)
     if stored is not None:
         return stored
 
     try:
         check_lease(context)
-        answer = await _run_call(context, placements, call, choice.upstream, span)
+        answer = await _dispatch_call(context, placements, call, choice.upstream, span)
     except Problem as problem:
         await _settle(context, call, problem.outcome, None)
         raise
@@ -144,13 +144,13 @@
     return answer
 
 
-def find_stored(outcome: ReserveOutcome) -> StoredAnswer | None:
+def find_stored_response(outcome: ReserveOutcome) -> StoredAnswer | None:
     """Return the stored answer of a reserved key, or None if its row is new.
 
     ``Problem`` while the key's request runs, or if its answer is not kept.
     """
     if isinstance(outcome, AlreadyOpen):
-        raise make_open_problem(outcome.row)
+        raise make_in_progress_problem(outcome.row)
 
     if isinstance(outcome, AlreadySettled):
         return replay_row(outcome.row)
@@ -179,7 +179,7 @@
     )
 
 
-def make_open_problem(row: LedgerRow) -> Problem:
+def make_in_progress_problem(row: LedgerRow) -> Problem:
     """Return the problem of a key whose first request is still running."""
     outcome = OutcomeKind.FAILED if row.repeatable else OutcomeKind.MAY_HAVE_RUN
     return Problem(
@@ -191,7 +191,7 @@
     )
 
 
-async def _run_call(
+async def _dispatch_call(
     context: EntryContext,
     placements: Placements,
     call: ServiceCall,
@@ -224,7 +224,7 @@
         )
         try:
             response = await run_attempt(context, call.work, upstream, build, span)
-            return await _read_answer(context, response, upstream)
+            return await _read_response(context, response, upstream)
         except AttemptError as error:
             sent = error.may_have_run
             ran |= error.may_have_run
@@ -242,12 +242,12 @@
         upstream = choice.upstream
 
 
-async def _read_answer(
+async def _read_response(
     context: EntryContext, response: Any, upstream: UpstreamId
 ) -> StoredAnswer:
     limit = context.settings.progress_timeout * 2
-    data = await read_answer_body(context, response, upstream, limit=limit)
-    end_attempt(context, upstream, failed=response.code >= 500)
+    data = await read_response_body(context, response, upstream, limit=limit)
+    finish_attempt(context, upstream, failed=response.code >= 500)
     types = response.headers.getRawHeaders("content-type")
     return StoredAnswer(
         status=response.code,
@@ -263,7 +263,7 @@
     answer: StoredAnswer | None,
 ) -> None:
     kept = answer
-    if answer is not None and len(answer.body) > MAX_STORED:
+    if answer is not None and len(answer.body) > MAX_STORED_SERVICE_BYTES:
         kept = None
 
     work = call.work
@@ -271,6 +271,6 @@
     await settle_row(context, work.workspace, call.key, work.request, ending)
 
 
-def _is_below(path: str, prefix: str) -> bool:
+def _matches_prefix(path: str, prefix: str) -> bool:
     wanted = prefix.strip("/")
     return not wanted or path == wanted or path.startswith(wanted + "/")
--- a/src/waxwingwell/adapters/entry/stream_runs.py
+++ b/src/waxwingwell/adapters/entry/stream_runs.py
@@ -44,9 +44,9 @@
     excluded: frozenset[UpstreamId] = frozenset()
     attached: LedgerRow | None = None
     """Row of the same key that runs or ended elsewhere; its answer is fetched."""
-    noted: bool = False
+    evidence_recorded: bool = False
     """The dispatch was noted as evidence."""
-    name_request: Callable[[str], None] = lambda name: None
+    set_request_id: Callable[[str], None] = lambda name: None
     """Tells the caller the request id under which the answer runs."""
 
 
--- a/src/waxwingwell/adapters/entry/streaming.py
+++ b/src/waxwingwell/adapters/entry/streaming.py
@@ -21,7 +21,7 @@
 from ...invariants import check
 from ...messages import Reserved
 from ...records import OutcomeKind
-from .attempts import end_attempt
+from .attempts import finish_attempt
 from .attempts import relay_body
 from .attempts import run_attempt
 from .chats import make_upstream_body
@@ -35,8 +35,8 @@
 from .ledger import reserve_row
 from .ledger import settle_row
 from .placement import place_request
-from .ratings import RatedAnswer
-from .ratings import rate_later
+from .ratings import RatedResponse
+from .ratings import rate_in_background
 from .relay import End
 from .relay import open_gate
 from .relay import push_bytes
@@ -44,7 +44,7 @@
 from .replies import render_problem
 from .resuming import attach_run
 from .resuming import cancel_stream
-from .resuming import find_next_holder
+from .resuming import find_next_engine
 from .resuming import may_resume
 from .resuming import resume_stream
 from .stream_runs import StreamRun
@@ -87,7 +87,7 @@
         _write_error(run, problem)
         return
 
-    await _settle_done(context, run)
+    await _settle_completed(context, run)
 
 
 async def _stream_until_done(
@@ -99,7 +99,7 @@
             raise run.refusal
 
         if end is End.DONE:
-            await _wait_reserved(run)
+            await _wait_for_reservation(run)
             return
 
         if run.sink.gone and not run.chat.keyed:
@@ -119,19 +119,19 @@
     if run.upstream and may_resume(context, run):
         response = await resume_stream(context, run)
     else:
-        response = await _start(context, placements, run)
+        response = await _dispatch(context, placements, run)
 
     if response is None:
         return End.CUT
 
     if response.code != 200:
         data = await readBody(response)
-        end_attempt(context, run.upstream, failed=response.code >= 500)
+        finish_attempt(context, run.upstream, failed=response.code >= 500)
         raise make_upstream_problem(response.code, data)
 
     end = await relay_body(context, response, run.stream, run.sink)
     failed = end is not End.DONE and not run.sink.gone and run.refusal is None
-    end_attempt(context, run.upstream, failed=failed)
+    finish_attempt(context, run.upstream, failed=failed)
     if end is End.SILENT:
         note_silence(context.tables, run.upstream, now=context.clock())
 
@@ -147,7 +147,9 @@
     return end
 
 
-async def _start(context: EntryContext, placements: Placements, run: StreamRun) -> Any:
+async def _dispatch(
+    context: EntryContext, placements: Placements, run: StreamRun
+) -> Any:
     """Run the request on a new upstream; None if that failed and may be retried."""
     if run.stream.last > run.stream.skip:
         raise Problem(
@@ -163,7 +165,7 @@
         leave_upstream(run)
 
     if run.attached is not None:
-        find_next_holder(context, run)
+        find_next_engine(context, run)
         return None
 
     work = run.chosen.work
@@ -181,7 +183,7 @@
     def build(traceparent: str | None) -> UpstreamCall:
         return make_call(work, path=CHAT_PATH, body=body, traceparent=traceparent)
 
-    _note_sent(context, run)
+    _record_dispatch(context, run)
     try:
         response = await run_attempt(context, work, run.upstream, build, run.span)
     except AttemptError as error:
@@ -210,7 +212,9 @@
         version=run.version,
         upstream=run.upstream,
         # Without a key of the caller's the engine is at work meanwhile.
-        unheard=OutcomeKind.NOT_RUN if run.chat.keyed else OutcomeKind.FAILED,
+        unconfirmed_outcome=OutcomeKind.NOT_RUN
+        if run.chat.keyed
+        else OutcomeKind.FAILED,
     )
     if run.chat.keyed:
         run.reserved = Deferred()
@@ -224,21 +228,21 @@
 
     run.reserved = Deferred.fromCoroutine(reserve_row(context, reservation))
     run.reserved.addCallbacks(
-        lambda outcome: _take_reservation(run, outcome),
-        lambda failure: _refuse(run, failure.value),
+        lambda outcome: _handle_reservation(run, outcome),
+        lambda failure: _abort_stream(run, failure.value),
     )
 
 
-def _take_reservation(run: StreamRun, outcome: Any) -> None:
+def _handle_reservation(run: StreamRun, outcome: Any) -> None:
     if isinstance(outcome, Reserved):
         open_gate(run.sink)
         return
 
     text = f"{run.stream.request} is no new request: {type(outcome).__name__}"
-    _refuse(run, Problem(status=500, code="internal", message=text))
+    _abort_stream(run, Problem(status=500, code="internal", message=text))
 
 
-def _refuse(run: StreamRun, error: Exception) -> None:
+def _abort_stream(run: StreamRun, error: Exception) -> None:
     """Stop the engine's stream: without a row nothing of it may go out."""
     if not isinstance(error, Problem):
         error = Problem(status=500, code="internal", message=REFUSED)
@@ -249,7 +253,7 @@
         run.sink.source.loseConnection()
 
 
-async def _wait_reserved(run: StreamRun) -> None:
+async def _wait_for_reservation(run: StreamRun) -> None:
     if run.reserved is not None:
         await run.reserved
 
@@ -263,7 +267,7 @@
     )
 
 
-async def _settle_done(context: EntryContext, run: StreamRun) -> None:
+async def _settle_completed(context: EntryContext, run: StreamRun) -> None:
     usage = price_usage(context, run.version, run.stream.usage)
     check(
         Promise.WHOLE_OWN_ANSWER,
@@ -278,21 +282,21 @@
     )
     workspace = run.chosen.work.workspace
     await settle_row(context, workspace, run.chat.key, run.stream.request, ending)
-    push_bytes(run.sink, run.sink.last_part)
-    if run.noted and run.chosen.choice.rate:
+    push_bytes(run.sink, run.sink.final_bytes)
+    if run.evidence_recorded and run.chosen.choice.rate:
         text = read_text(b"".join(run.sink.record))
-        rate_later(
+        rate_in_background(
             context,
-            RatedAnswer(run.chosen.work, run.version, run.chat.prompt, text),
+            RatedResponse(run.chosen.work, run.version, run.chat.prompt, text),
         )
 
 
-def _note_sent(context: EntryContext, run: StreamRun) -> None:
+def _record_dispatch(context: EntryContext, run: StreamRun) -> None:
     """Note the dispatch as evidence, once however often it is retried."""
-    if run.noted:
+    if run.evidence_recorded:
         return
 
-    run.noted = True
+    run.evidence_recorded = True
     choice = run.chosen.choice
     note_sent(
         context.tables,
@@ -308,7 +312,7 @@
     context: EntryContext, run: StreamRun, problem: Problem
 ) -> None:
     """Close the row of a request that ended without its whole answer."""
-    if run.noted and run.chosen.choice.rate:
+    if run.evidence_recorded and run.chosen.choice.rate:
         work = run.chosen.work
         note_unrated(context.tables, work.workspace, work.kind, run.version)
 
--- a/src/waxwingwell/adapters/entry/streams.py
+++ b/src/waxwingwell/adapters/entry/streams.py
@@ -63,9 +63,9 @@
     """Events up to this number are read and not forwarded: the caller has them."""
     done: bool = False
     usage: Usage = field(default_factory=Usage)
-    doubled: int = 0
+    duplicates: int = 0
     """Events dropped because they had been forwarded before."""
-    rest: bytes = b""
+    partial_event: bytes = b""
     prefix: bytes = b""
 
     def __post_init__(self) -> None:
@@ -81,14 +81,14 @@
     fault: Fault | None = None
 
 
-def take_bytes(stream: EventStream, data: bytes) -> Taken:
+def receive_bytes(stream: EventStream, data: bytes) -> Taken:
     """Return the whole new events in ``data``, in order and of this request.
 
     Events before a faulty one go out; nothing of the faulty one or behind it does:
     the caller drops the connection and resumes after ``stream.last``.
     """
-    blocks = (stream.rest + data).split(EVENT_END)
-    stream.rest = blocks.pop()
+    blocks = (stream.partial_event + data).split(EVENT_END)
+    stream.partial_event = blocks.pop()
     good: list[bytes] = []
     for block in blocks:
         number = _read_number(stream, block)
@@ -97,24 +97,24 @@
 
         # A resumed or doubled delivery repeats events that the caller has.
         if number <= stream.last:
-            stream.doubled += 1
+            stream.duplicates += 1
             continue
 
         if number > stream.last + 1:
             return Taken(_join(good), Fault.GAP)
 
         stream.last = number
-        _note_end(stream, block)
+        _record_end(stream, block)
         if number > stream.skip:
             good.append(block)
 
-    fault = Fault.OVERSIZED if len(stream.rest) > MAX_EVENT else None
+    fault = Fault.OVERSIZED if len(stream.partial_event) > MAX_EVENT else None
     return Taken(_join(good), fault)
 
 
 def start_connection(stream: EventStream) -> None:
     """Forget the half event of a connection that is gone."""
-    stream.rest = b""
+    stream.partial_event = b""
 
 
 def read_text(data: bytes) -> str:
@@ -136,14 +136,14 @@
     return int(digits) if digits.isdigit() else Fault.MALFORMED
 
 
-def _note_end(stream: EventStream, block: bytes) -> None:
+def _record_end(stream: EventStream, block: bytes) -> None:
     if block.endswith(DONE_MARK):
         stream.done = True
     elif USAGE_MARK in block:
-        _note_usage(stream, block)
+        _record_usage(stream, block)
 
 
-def _note_usage(stream: EventStream, block: bytes) -> None:
+def _record_usage(stream: EventStream, block: bytes) -> None:
     chunk = _read_chunk(block)
     if chunk is not None and chunk.usage is not None:
         stream.usage = Usage(
--- a/src/waxwingwell/adapters/entry/upkeep.py
+++ b/src/waxwingwell/adapters/entry/upkeep.py
@@ -50,17 +50,17 @@
     from .placement import Placements
 
 
-RENEW_EVERY = 1.0
-RENEW_RETRY = 0.1
+RENEW_INTERVAL = 1.0
+RENEW_RETRY_DELAY = 0.1
 """Seconds until the next renewal after one that was not granted."""
-RENEW_LIMIT = 1.0
+RENEW_TIMEOUT = 1.0
 EVIDENCE_EVERY = 1.0
-EVIDENCE_LIMIT = 2.0
-SPREAD_EVERY = 0.5
-NOTHING_TOLD = float("-inf")
-QUEUE_TICK = 0.01
+EVIDENCE_TIMEOUT = 2.0
+SPREAD_INTERVAL = 0.5
+NEVER_ANNOUNCED = float("-inf")
+QUEUE_INTERVAL = 0.01
 """Seconds between two runs of the queue's systems."""
-TABLES_TICK = 0.25
+TABLES_INTERVAL = 0.25
 """Seconds between two runs of the systems that go over all upstreams. Whether one
 upstream's lease still holds is looked at again with each dispatch."""
 
@@ -71,7 +71,7 @@
 
     entries: dict[str, Link] = field(default_factory=dict)
     memory: DemandMemory = field(default_factory=DemandMemory)
-    told: dict[str, float] = field(default_factory=dict)
+    announced_at: dict[str, float] = field(default_factory=dict)
     """When each other entry was last told the news."""
     sequence: int = 0
     demand_sequence: int = 0
@@ -80,7 +80,7 @@
     """Timer of the next renewal."""
 
 
-def renew_on(context: EntryContext, upkeep: Upkeep) -> None:
+def renew_periodically(context: EntryContext, upkeep: Upkeep) -> None:
     """Renew the configuration lease now, and again in due time.
 
     Failure guarded against: renewals go unanswered while the leader changes. With the
@@ -94,9 +94,11 @@
     done.addErrback(_report_renewal)
 
     def again(granted: bool) -> None:
-        pause = RENEW_EVERY if granted else RENEW_RETRY
+        pause = RENEW_INTERVAL if granted else RENEW_RETRY_DELAY
         if not upkeep.stopped:
-            upkeep.renewal = context.reactor.callLater(pause, renew_on, context, upkeep)
+            upkeep.renewal = context.reactor.callLater(
+                pause, renew_periodically, context, upkeep
+            )
 
     done.addCallback(again)
 
@@ -122,7 +124,7 @@
         renewal = begin_renewal(context.lease, context.clock())
         try:
             reply = await ask_leader(
-                context.control, renewal.message, limit=RENEW_LIMIT
+                context.control, renewal.message, limit=RENEW_TIMEOUT
             )
         except ControlUnavailableError:
             context.metrics.count("lease.unanswered", 1)
@@ -176,7 +178,7 @@
         rows=rows,
     )
     try:
-        await submit_command(context.control, command, limit=EVIDENCE_LIMIT)
+        await submit_command(context.control, command, limit=EVIDENCE_TIMEOUT)
     except ControlUnavailableError:
         return
 
@@ -199,17 +201,17 @@
         sequence=upkeep.demand_sequence,
     )
     for name, link in upkeep.entries.items():
-        since = upkeep.told.get(name, NOTHING_TOLD)
+        since = upkeep.announced_at.get(name, NEVER_ANNOUNCED)
         news = list_spread(context.tables, since, now)
         if not news.announcements or cast_link(link, news):
-            upkeep.told[name] = now
+            upkeep.announced_at[name] = now
 
         cast_link(link, demand)
 
 
-def forget_told(upkeep: Upkeep, name: str) -> None:
+def reset_announced(upkeep: Upkeep, name: str) -> None:
     """Note that an entry must be told everything: its connection is new."""
-    upkeep.told.pop(name, None)
+    upkeep.announced_at.pop(name, None)
 
 
 def take_news(context: EntryContext, upkeep: Upkeep, body: Any) -> None:
--- a/src/waxwingwell/adapters/entry/upstream_client.py
+++ b/src/waxwingwell/adapters/entry/upstream_client.py
@@ -77,8 +77,8 @@
     after the order was read.
     """
 
-    reused: Any
-    fresh: Any
+    pooled: Any
+    unpooled: Any
     close: Any
 
 
@@ -105,11 +105,11 @@
     pool.maxPersistentPerHost = MAX_IDLE_PER_HOST
     pool.cachedConnectionTimeout = IDLE_TIMEOUT
     pool.retryAutomatically = False
-    fresh_pool = HTTPConnectionPool(reactor, persistent=False)
-    fresh_pool.retryAutomatically = False
+    unpooled_pool = HTTPConnectionPool(reactor, persistent=False)
+    unpooled_pool.retryAutomatically = False
     return UpstreamClient(
-        reused=Agent(reactor, connectTimeout=CONNECT_TIMEOUT, pool=pool),
-        fresh=Agent(reactor, connectTimeout=CONNECT_TIMEOUT, pool=fresh_pool),
+        pooled=Agent(reactor, connectTimeout=CONNECT_TIMEOUT, pool=pool),
+        unpooled=Agent(reactor, connectTimeout=CONNECT_TIMEOUT, pool=unpooled_pool),
         close=pool.closeCachedConnections,
     )
 
@@ -138,7 +138,7 @@
     seconds up to the headers.
     """
     client = context.client
-    agent = client.reused if call.repeatable else client.fresh
+    agent = client.pooled if call.repeatable else client.unpooled
     url = f"http://{row.announcement.host}:{row.announcement.port}{call.path}"
     # Not through treq: it parses and encodes each address anew, which took a third
     # of a whole request's processor time (docs/design/streams.md).
@@ -159,22 +159,22 @@
     except Exception as error:
         raise AttemptError(repr(error), may_have_run=True) from error
 
-    if response.code in NOT_RUN_STATUSES and _says_not_run(response):
-        drop_response(response)
+    if response.code in NOT_RUN_STATUSES and _reports_not_run(response):
+        discard_response(response)
         raise AttemptError(f"refused with {response.code}", may_have_run=False)
 
     return response
 
 
-class _Dropping(Protocol):
+class _DiscardingProtocol(Protocol):
     def connectionMade(self) -> None:  # noqa: N802
         if self.transport is not None:
             self.transport.loseConnection()
 
 
-def drop_response(response: Any) -> None:
+def discard_response(response: Any) -> None:
     """Give a response up together with its connection."""
-    response.deliverBody(_Dropping())
+    response.deliverBody(_DiscardingProtocol())
 
 
 def read_header(response: Any, name: str) -> str:
@@ -203,5 +203,5 @@
     return headers
 
 
-def _says_not_run(response: Any) -> bool:
+def _reports_not_run(response: Any) -> bool:
     return read_header(response, OUTCOME_HEADER) == "not_run"
--- a/src/waxwingwell/adapters/entry/web.py
+++ b/src/waxwingwell/adapters/entry/web.py
@@ -17,21 +17,21 @@
 from ...records import VersionStatus
 from .chat_answers import run_chat
 from .chat_answers import start_request_span
-from .chat_answers import write_stored
-from .chats import read_chat
+from .chat_answers import write_stored_response
+from .chats import parse_chat
 from .checks import assert_outcome
 from .checks import check_lease
-from .guards import answer_problems
-from .placement import leave_queue
+from .guards import respond_to_problems
+from .placement import remove_from_queue
 from .reading import find_config
+from .reading import parse_service_call
 from .reading import read_body
-from .reading import read_call
 from .reading import read_headers
 from .replies import JSON
 from .replies import Problem
 from .replies import make_problem
 from .replies import write_problem
-from .services import answer_service
+from .services import run_service_call
 
 
 if TYPE_CHECKING:
@@ -44,7 +44,7 @@
 
 Handler = Callable[..., Any]
 METHODS = ("GET", "POST", "PUT", "DELETE", "PATCH")
-REQUEST_LIMIT = 300.0
+REQUEST_TIMEOUT = 300.0
 """Seconds that a request may take in all."""
 
 
@@ -103,7 +103,7 @@
 
 def _add_chats(app: Klein, context: EntryContext, placements: Placements) -> None:
     @app.route("/v1/models", methods=["GET"])
-    @answer_problems(context)
+    @respond_to_problems(context)
     async def list_models(request: Request) -> bytes:
         config = find_config(context, request)
         models = tuple(
@@ -115,17 +115,17 @@
         return msgspec.json.encode(ModelList(data=models))
 
     @app.route("/v1/chat/completions", methods=["POST"])
-    @answer_problems(context)
+    @respond_to_problems(context)
     async def complete_chat(request: Request) -> bytes | None:
         check_lease(context)
         config = find_config(context, request)
         body = read_body(request, context, config)
-        chat = read_chat(
+        chat = parse_chat(
             body,
             read_headers(request),
             config,
             data_centre=context.settings.data_centre,
-            deadline=context.clock() + REQUEST_LIMIT,
+            deadline=context.clock() + REQUEST_TIMEOUT,
         )
         request.setHeader("x-request-id", chat.work.request)
 
@@ -143,21 +143,21 @@
         "/v1/services/<service>/<path:path>",
         methods=["GET", "POST", "PUT", "DELETE", "PATCH"],
     )
-    @answer_problems(context)
+    @respond_to_problems(context)
     async def call_service(request: Request, service: str, path: str) -> bytes:
         check_lease(context)
         config = find_config(context, request)
-        call = read_call(context, request, config, service, path)
+        call = parse_service_call(context, request, config, service, path)
         request.setHeader("x-request-id", call.work.request)
 
         async def run() -> bytes:
             span = start_request_span(context, request, call.work)
             try:
-                answer = await answer_service(context, placements, call, span)
+                answer = await run_service_call(context, placements, call, span)
             finally:
                 span.end()
 
-            return write_stored(request, answer)
+            return write_stored_response(request, answer)
 
         answer: bytes = await _run_admitted(
             context, placements, request, call.work, run
@@ -182,7 +182,7 @@
     note_request(context.budget, now)
     context.running += 1
     request.notifyFinish().addErrback(
-        lambda _: leave_queue(context, placements, work.request)
+        lambda _: remove_from_queue(context, placements, work.request)
     )
     try:
         return await run()
--- a/src/waxwingwell/adapters/entry/whole.py
+++ b/src/waxwingwell/adapters/entry/whole.py
@@ -18,17 +18,17 @@
 from ...records import UpstreamId
 from ...records import Usage
 from ...records import VersionId
-from .attempts import end_attempt
-from .attempts import read_answer_body
+from .attempts import finish_attempt
+from .attempts import read_response_body
 from .attempts import run_attempt
 from .chats import make_upstream_body
 from .checks import assert_dispatch
 from .checks import check_dispatch
 from .choice import price_usage
 from .placement import place_request
-from .ratings import RatedAnswer
+from .ratings import RatedResponse
 from .ratings import rate_answer
-from .ratings import rate_later
+from .ratings import rate_in_background
 from .replies import Problem
 from .streams import TokenCounts
 from .upstream_client import AttemptError
@@ -46,7 +46,7 @@
 
 
 CHAT_PATH = "/v1/chat/completions"
-MAX_ANSWER = 16_000_000
+MAX_RESPONSE_BYTES = 16_000_000
 """Bytes of a whole answer."""
 RETRY_AFTER_FAILURE = 1.0
 
@@ -65,7 +65,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WholeAnswer:
+class CompleteResponse:
     """A whole answer with what it used, over all versions that were tried."""
 
     body: bytes
@@ -86,20 +86,20 @@
     last: bool
 
 
-async def answer_whole(
+async def fetch_complete_response(
     context: EntryContext,
     placements: Placements,
     chat: Chat,
     chosen: ChosenWork,
     span: Span,
-) -> WholeAnswer:
+) -> CompleteResponse:
     """Run the plan's versions in turn until one answers well enough.
 
     Errors: ``Problem``. A later version that can't be had doesn't lose the answer of
     an earlier one: the best there is goes out.
     """
     spent = Usage()
-    best: WholeAnswer | None = None
+    best: CompleteResponse | None = None
     last = len(chosen.choice.plan) - 1
     for place, version in enumerate(chosen.choice.plan):
         step = CascadeStep(version=version, escalated=place > 0, last=place == last)
@@ -113,7 +113,7 @@
 
         spent = _add_usage(spent, answer.usage)
         best = answer
-        if step.last or _is_good(answer, chosen.choice.threshold):
+        if step.last or _meets_threshold(answer, chosen.choice.threshold):
             break
 
     assert best is not None
@@ -127,7 +127,7 @@
     chosen: ChosenWork,
     step: CascadeStep,
     span: Span,
-) -> WholeAnswer:
+) -> CompleteResponse:
     """Run one version; all but a plan's last are rated before they are served."""
     work, rate = chosen.work, chosen.choice.rate or not step.last
     note_sent(
@@ -141,7 +141,9 @@
         escalated=step.escalated,
     )
     try:
-        answer = await _answer_by(context, placements, chat, chosen, step.version, span)
+        answer = await _request_version(
+            context, placements, chat, chosen, step.version, span
+        )
     except Problem:
         if rate:
             note_unrated(
@@ -154,7 +156,7 @@
 
         raise
 
-    asked = RatedAnswer(
+    asked = RatedResponse(
         work=work,
         version=step.version,
         prompt=chat.prompt,
@@ -166,23 +168,23 @@
         return replace(answer, rating=await rate_answer(context, asked))
 
     if rate:
-        rate_later(context, asked)
+        rate_in_background(context, asked)
 
     return answer
 
 
-def _is_good(answer: WholeAnswer, threshold: float) -> bool:
+def _meets_threshold(answer: CompleteResponse, threshold: float) -> bool:
     return answer.rating is not None and answer.rating >= threshold
 
 
-async def _answer_by(
+async def _request_version(
     context: EntryContext,
     placements: Placements,
     chat: Chat,
     chosen: ChosenWork,
     version: VersionId,
     span: Span,
-) -> WholeAnswer:
+) -> CompleteResponse:
     work = chosen.work
     body = make_upstream_body(chat, version)
 
@@ -211,7 +213,7 @@
         if response.code != 200:
             raise make_upstream_problem(response.code, data)
 
-        return _read_answer(context, data, version, choice.upstream)
+        return _parse_completion(context, data, version, choice.upstream)
 
 
 def correct_outcome(problem: Problem, *, ran: bool) -> Problem:
@@ -270,18 +272,18 @@
     context: EntryContext, response: Any, upstream: UpstreamId
 ) -> bytes:
     limit = context.settings.progress_timeout * 4
-    data = await read_answer_body(context, response, upstream, limit=limit)
-    if len(data) > MAX_ANSWER:
-        end_attempt(context, upstream, failed=True)
+    data = await read_response_body(context, response, upstream, limit=limit)
+    if len(data) > MAX_RESPONSE_BYTES:
+        finish_attempt(context, upstream, failed=True)
         raise AttemptError("the answer is too long", may_have_run=True)
 
-    end_attempt(context, upstream, failed=response.code >= 500)
+    finish_attempt(context, upstream, failed=response.code >= 500)
     return data
 
 
-def _read_answer(
+def _parse_completion(
     context: EntryContext, data: bytes, version: VersionId, upstream: UpstreamId
-) -> WholeAnswer:
+) -> CompleteResponse:
     try:
         completion = msgspec.json.decode(data, type=_Completion)
         text = completion.choices[0].message.content or ""
@@ -298,7 +300,7 @@
     usage = Usage(
         prompt_tokens=tokens.prompt_tokens, answer_tokens=tokens.completion_tokens
     )
-    return WholeAnswer(
+    return CompleteResponse(
         body=data,
         text=text,
         version=version,
--- a/tests/adapters/entry/test_chats.py
+++ b/tests/adapters/entry/test_chats.py
@@ -8,7 +8,7 @@
 
 from waxwingwell.adapters.entry.chats import ChatHeaders
 from waxwingwell.adapters.entry.chats import make_upstream_body
-from waxwingwell.adapters.entry.chats import read_chat
+from waxwingwell.adapters.entry.chats import parse_chat
 from waxwingwell.adapters.entry.replies import Problem
 from waxwingwell.records import Priority
 from waxwingwell.records import VersionId
@@ -45,7 +45,7 @@
 
 def read(body: str, headers: ChatHeaders = ChatHeaders()) -> object:  # noqa: B008
     """Read a chat at a fixed place and deadline."""
-    return read_chat(body.encode(), headers, CONFIG, data_centre="d", deadline=9.0)
+    return parse_chat(body.encode(), headers, CONFIG, data_centre="d", deadline=9.0)
 
 
 class ReadChatTest(unittest.TestCase):
@@ -69,7 +69,7 @@
 
     def test_fields_reach_the_engine(self) -> None:
         body = "{" + MESSAGES + ',"temperature":0.5,"session":"s","stream":true}'
-        chat = read_chat(
+        chat = parse_chat(
             body.encode(), ChatHeaders(), CONFIG, data_centre="d", deadline=9.0
         )
         sent = msgspec.json.decode(make_upstream_body(chat, "a@1"))
@@ -80,10 +80,10 @@
 
     def test_prefixes_grow_with_the_prompt(self) -> None:
         first = '{"messages":[{"role":"user","content":"%s"}]}' % ("a" * 3000)
-        chat = read_chat(
+        chat = parse_chat(
             first.encode(), ChatHeaders(), CONFIG, data_centre="d", deadline=9.0
         )
-        longer = read_chat(
+        longer = parse_chat(
             first.replace("aaa", "aaa", 1).replace('a"}', 'abb"}').encode(),
             ChatHeaders(),
             CONFIG,
--- a/tests/adapters/entry/test_control_client.py
+++ b/tests/adapters/entry/test_control_client.py
@@ -14,10 +14,10 @@
 
 from waxwingwell.adapters.entry.control_client import ControlClient
 from waxwingwell.adapters.entry.control_client import ask_leader
-from waxwingwell.adapters.entry.upkeep import RENEW_LIMIT
-from waxwingwell.adapters.entry.upkeep import RENEW_RETRY
+from waxwingwell.adapters.entry.upkeep import RENEW_RETRY_DELAY
+from waxwingwell.adapters.entry.upkeep import RENEW_TIMEOUT
 from waxwingwell.adapters.entry.upkeep import Upkeep
-from waxwingwell.adapters.entry.upkeep import renew_on
+from waxwingwell.adapters.entry.upkeep import renew_periodically
 from waxwingwell.adapters.exceptions import LinkLostError
 from waxwingwell.messages import AskInForce
 from waxwingwell.messages import InForce
@@ -98,11 +98,11 @@
             metrics=SimpleNamespace(count=lambda name, _: counted.append(name)),
         )
         upkeep = Upkeep()
-        renew_on(cast("Any", context), upkeep)
+        renew_periodically(cast("Any", context), upkeep)
         while not counted:
             self.clock.advance(STEP)
 
-        self.assertLess(self.clock.seconds(), RENEW_LIMIT + 2 * STEP)
+        self.assertLess(self.clock.seconds(), RENEW_TIMEOUT + 2 * STEP)
         self.assertIsNotNone(upkeep.renewal)
         due = upkeep.renewal.getTime() - self.clock.seconds()
-        self.assertAlmostEqual(due, RENEW_RETRY)
+        self.assertAlmostEqual(due, RENEW_RETRY_DELAY)
--- a/tests/adapters/entry/test_streams.py
+++ b/tests/adapters/entry/test_streams.py
@@ -12,8 +12,8 @@
 from waxwingwell.adapters.entry.streams import EventStream
 from waxwingwell.adapters.entry.streams import Fault
 from waxwingwell.adapters.entry.streams import read_text
+from waxwingwell.adapters.entry.streams import receive_bytes
 from waxwingwell.adapters.entry.streams import start_connection
-from waxwingwell.adapters.entry.streams import take_bytes
 
 
 NAME = "req-1"
@@ -75,7 +75,7 @@
         for case in CASES:
             with self.subTest(case.name):
                 stream = EventStream(request=NAME)
-                taken = take_bytes(stream, case.data)
+                taken = receive_bytes(stream, case.data)
                 self.assertEqual(taken.forward, case.forward)
                 self.assertEqual(taken.fault, case.fault)
                 self.assertEqual(stream.last, case.last)
@@ -84,7 +84,7 @@
     def test_usage_is_read(self) -> None:
         stream = EventStream(request=NAME)
         usage = b'{"choices":[],"usage":{"prompt_tokens":3,"completion_tokens":4}}'
-        take_bytes(stream, make_event(1, usage))
+        receive_bytes(stream, make_event(1, usage))
         self.assertEqual(stream.usage.prompt_tokens, 3)
         self.assertEqual(stream.usage.answer_tokens, 4)
 
@@ -121,7 +121,7 @@
         seen, place, turn = b"", 0, 0
         while place < len(data):
             size = pieces[turn % len(pieces)]
-            taken = take_bytes(stream, data[place : place + size])
+            taken = receive_bytes(stream, data[place : place + size])
             self.assertIsNone(taken.fault)
             seen += taken.forward
             place, turn = place + size, turn + 1
