--- a/src/waxwingwell/adapters/entry/__init__.py
+++ b/src/waxwingwell/adapters/entry/__init__.py
@@ -1,3 +1,3 @@
-"""The entry: callers' and upstreams' connections around the decisions."""
+"""The entry: network connections to callers and upstreams around the decisions."""
 
 from __future__ import annotations
--- a/src/waxwingwell/adapters/entry/announcements.py
+++ b/src/waxwingwell/adapters/entry/announcements.py
@@ -1,4 +1,4 @@
-"""Where upstreams announce themselves."""
+"""HTTP API on which upstreams announce themselves."""
 
 from __future__ import annotations
 
@@ -22,40 +22,40 @@
 
 
 MAX_ANNOUNCEMENT_BYTES = 65_536
-"""Bytes."""
+"""Largest accepted body of an announcement."""
 
 
 class AnnouncementTaken(msgspec.Struct, frozen=True):
-    """Answer to an announcement."""
+    """Response to an announcement."""
 
     taken: bool
-    """False for one that is late, doubled or of an old incarnation."""
+    """False for a late or duplicate announcement, or one of an old incarnation."""
     lease: float
-    """Seconds that the announcement holds here."""
+    """Seconds for which the announcement is valid at this entry."""
 
 
 def make_upstream_app(context: EntryContext) -> Klein:
-    """Return the application that upstreams use."""
+    """Return the web application that upstreams call."""
     app = Klein()
 
     @app.route("/v1/upstreams/announce", methods=["POST"])
-    def take(request: Any) -> bytes:
+    def receive(request: Any) -> bytes:
         body = request.content.read(MAX_ANNOUNCEMENT_BYTES + 1)
         try:
             announcement = parse_announcement(body)
         except Problem as problem:
             return write_problem(request, problem)
 
-        taken = take_announcement(context.tables, announcement, 0.0, context.clock())
+        accepted = take_announcement(context.tables, announcement, 0.0, context.clock())
         request.setHeader("content-type", JSON)
-        reply = AnnouncementTaken(taken=taken, lease=get_lease(announcement))
+        reply = AnnouncementTaken(taken=accepted, lease=get_lease(announcement))
         return msgspec.json.encode(reply)
 
     return app
 
 
 def parse_announcement(body: bytes) -> Announcement:
-    """Return a checked announcement; ``Problem`` 400 names the fault's place."""
+    """Return a validated announcement; ``Problem`` 400 names each invalid field."""
     if len(body) > MAX_ANNOUNCEMENT_BYTES:
         raise Problem(
             status=413, code="body_too_large", message="body: too long", param="body"
@@ -82,20 +82,20 @@
 
 
 def _validate_announcement(announcement: Announcement) -> tuple[Finding, ...]:
-    faults = []
+    findings = []
     if not announcement.upstream:
-        faults.append(Finding(place="upstream", message="must not be empty"))
+        findings.append(Finding(place="upstream", message="must not be empty"))
 
     if not 0 < announcement.port < 65536:
-        faults.append(Finding(place="port", message="must be 1 to 65535"))
+        findings.append(Finding(place="port", message="must be 1 to 65535"))
 
     if not announcement.lease > 0:
-        faults.append(Finding(place="lease", message="must be above 0 seconds"))
+        findings.append(Finding(place="lease", message="must be above 0 seconds"))
 
     if announcement.capacity < 1:
-        faults.append(Finding(place="capacity", message="must be at least 1"))
+        findings.append(Finding(place="capacity", message="must be at least 1"))
 
     if not announcement.versions and not announcement.service:
-        faults.append(Finding(place="versions", message="name versions or a service"))
+        findings.append(Finding(place="versions", message="name versions or a service"))
 
-    return tuple(faults)
+    return tuple(findings)
--- a/src/waxwingwell/adapters/entry/attempts.py
+++ b/src/waxwingwell/adapters/entry/attempts.py
@@ -1,4 +1,4 @@
-"""One attempt at an upstream, counted in the tables and traced as a hop."""
+"""One attempt at an upstream, counted in the tables and traced as a span."""
 
 from __future__ import annotations
 
@@ -39,11 +39,14 @@
 
 
 HEADERS_TIMEOUT_FACTOR = 4.0
-"""Progress timeouts that response headers may take; a queue is ahead of them."""
+"""Limit for response headers as a multiple of the progress timeout.
+
+The upstream may queue the request before it sends them.
+"""
 
 
 def find_row(context: EntryContext, upstream: UpstreamId, now: float) -> UpstreamRow:
-    """Return a live upstream's row; ``AttemptError`` if it has left meanwhile."""
+    """Return a live upstream's row; ``AttemptError`` if it has left or expired."""
     row = context.tables.upstreams.get(upstream)
     if row is None or row.left or row.expires_at <= now:
         raise AttemptError(f"{upstream} has left", may_have_run=False)
@@ -51,7 +54,7 @@
     check(
         Promise.NO_NEW_WORK_WHEN_LEAVING,
         not row.announcement.leaving,
-        lambda: f"work for leaving {upstream}",
+        lambda: f"work was dispatched to leaving upstream {upstream}",
     )
     return row
 
@@ -65,8 +68,8 @@
 ) -> Any:
     """Dispatch to an upstream and return its response.
 
-    The caller of this function reports the end by ``finish_attempt``; a failure before
-    the response is counted here. Errors: ``AttemptError``.
+    The calling code reports the end with ``finish_attempt``; a failure before the
+    response is counted here. Errors: ``AttemptError``.
     """
     row = find_row(context, upstream, context.clock())
     attempt_span = start_span(
@@ -94,33 +97,34 @@
 
 
 def check_response_id(response: Any, call: UpstreamCall) -> None:
-    """Refuse an answer that names another request: it has crossed with ours."""
-    named = read_header(response, "x-request-id")
-    if named and named != call.request:
+    """Refuse a response that carries the id of another request."""
+    response_id = read_header(response, "x-request-id")
+    if response_id and response_id != call.request:
         discard_response(response)
-        # The caller is told the reason, and must not learn another request's id.
-        logger.warning("entry: {} was answered as {}.", call.request, named)
+        # The reason reaches the caller, so it must not contain another request's id.
+        logger.warning("entry: {} was answered as {}.", call.request, response_id)
         raise AttemptError("the answer was another request's", may_have_run=True)
 
 
 def finish_attempt(
     context: EntryContext, upstream: UpstreamId, *, failed: bool
 ) -> None:
-    """Count the end of an attempt; ``failed`` by the upstream's fault."""
+    """Count a finished attempt; ``failed`` if the upstream was at fault."""
     note_finish(context.tables, upstream, failed=failed, now=context.clock())
 
 
 async def read_response_body(
     context: EntryContext, response: Any, upstream: UpstreamId, *, limit: float
 ) -> bytes:
-    """Return a whole body within ``limit`` seconds; the attempt goes on if it came.
+    """Return the complete body, received within ``limit`` seconds.
 
-    Errors: ``AttemptError``, after the attempt was counted as failed.
+    On success the attempt stays open. Errors: ``AttemptError``, after the attempt was
+    counted as failed.
     """
-    reading = readBody(response)
-    reading.addTimeout(limit, context.reactor)
+    pending = readBody(response)
+    pending.addTimeout(limit, context.reactor)
     try:
-        data: bytes = await reading
+        data: bytes = await pending
     except Exception as error:
         finish_attempt(context, upstream, failed=True)
         raise AttemptError(repr(error), may_have_run=True) from error
@@ -131,7 +135,7 @@
 async def relay_body(
     context: EntryContext, response: Any, stream: EventStream, sink: Sink
 ) -> End:
-    """Relay a response's events until it ends, one way or another."""
+    """Relay a response's events; return the reason why the relay ended."""
     relay = RelayProtocol(
         stream,
         sink,
--- a/src/waxwingwell/adapters/entry/callers.py
+++ b/src/waxwingwell/adapters/entry/callers.py
@@ -1,4 +1,4 @@
-"""Who calls: keys to workspaces, hashed as they are stored."""
+"""Authentication of callers: digests of API keys, mapped to workspaces."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 
 @dataclass(slots=True)
 class CallerKeys:
-    """Index from a key's digest to its workspace, made anew with each change."""
+    """Index from a key's digest to its workspace, rebuilt on each change."""
 
     workspaces: dict[str, WorkspaceId] = field(default_factory=dict)
     extra: dict[str, WorkspaceId] = field(default_factory=dict)
-    """Keys that this process accepts beside the configured ones (embedded role)."""
+    """Keys that this process accepts besides the configured ones (embedded role)."""
 
 
 def index_keys(keys: CallerKeys, configs: dict[WorkspaceId, WorkspaceConfig]) -> None:
-    """Take the callers' keys of all workspaces; revoked ones stay out."""
+    """Rebuild the index from the caller keys of all workspaces, except revoked ones."""
     found = dict(keys.extra)
     for config in configs.values():
         for key in config.keys:
--- a/src/waxwingwell/adapters/entry/chat_answers.py
+++ b/src/waxwingwell/adapters/entry/chat_answers.py
@@ -1,4 +1,4 @@
-"""Chats answered to web requests, streamed or whole."""
+"""Chat responses to web requests, streaming or complete."""
 
 from __future__ import annotations
 
@@ -40,13 +40,13 @@
 """A request of twisted.web, whose methods carry no types."""
 
 MAX_STORED_CHAT_BYTES = 262_144
-"""Bytes of a whole chat answer kept for the resend of a caller's key."""
+"""Largest complete chat response stored for a retry with the caller's key."""
 
 
 async def run_chat(
     context: EntryContext, placements: Placements, request: Request, chat: Chat
 ) -> bytes | None:
-    """Choose a version, then answer streamed (returns None) or whole."""
+    """Choose a version, then send a stream (returns None) or a complete response."""
     span = start_request_span(context, request, chat.work)
     try:
         chosen = await choose_work(context, chat.work)
@@ -104,10 +104,11 @@
     chosen: ChosenWork,
     span: Span,
 ) -> bytes:
-    """Answer whole and settle before the answer goes.
+    """Return a complete response after its row is settled.
 
     A key that the caller may send twice is reserved before the dispatch. Without one
-    the row is opened and settled by one command: nothing of the answer is out yet.
+    a single command opens and settles the row, since no part of the response has been
+    sent yet.
     """
     work = chosen.work
     reservation = Reservation(
@@ -131,16 +132,16 @@
 
         raise
 
-    kept = None
+    stored_answer = None
     if chat.keyed and len(answer.body) <= MAX_STORED_CHAT_BYTES:
-        kept = StoredAnswer(status=200, content_type=JSON, body=answer.body)
+        stored_answer = StoredAnswer(status=200, content_type=JSON, body=answer.body)
 
     ending = Ending(
         outcome=OutcomeKind.COMPLETED,
         version=answer.version,
         upstream=answer.upstream,
         usage=answer.usage,
-        answer=kept,
+        answer=stored_answer,
     )
     row = None if chat.keyed else make_row(context, reservation)
     await settle_row(context, work.workspace, chat.key, work.request, ending, row=row)
@@ -150,7 +151,7 @@
 
 
 def start_request_span(context: EntryContext, request: Request, work: Work) -> Span:
-    """Start the entry's own span, below the caller's if it sent one."""
+    """Start the entry's span, as a child of the caller's span if it sent one."""
     span = start_span(
         context.traces,
         "entry.request",
@@ -163,7 +164,7 @@
 
 
 def write_stored_response(request: Request, answer: StoredAnswer) -> bytes:
-    """Write a stored answer as it was given the first time."""
+    """Write a stored response as it was sent the first time."""
     request.setResponseCode(answer.status)
     request.setHeader("content-type", answer.content_type)
     request.setHeader("x-outcome", OutcomeKind.COMPLETED.value)
--- a/src/waxwingwell/adapters/entry/chats.py
+++ b/src/waxwingwell/adapters/entry/chats.py
@@ -1,4 +1,4 @@
-"""Chat requests as callers send them: checked, then turned into work."""
+"""Validation of callers' chat requests and their conversion to work."""
 
 from __future__ import annotations
 
@@ -25,15 +25,15 @@
 
 
 BYTES_PER_TOKEN = 4
-"""Rough size of a token, for estimates before the engine has counted."""
+"""Estimated size of a token, used until the engine reports token counts."""
 DEFAULT_ANSWER_TOKENS = 256
 MAX_KEY = 200
 """Characters of a request key or session name."""
 PREFIX_STEP = 1024
-"""Characters between two prompt prefixes that are compared."""
+"""Characters by which each hashed prompt prefix is longer than the one before."""
 MAX_PREFIXES = 16
 AUTO_MODEL = "auto"
-"""Model name that leaves the choice to the router, as does leaving it out."""
+"""Model name that lets the router choose; a missing name has the same effect."""
 
 
 class ChatMessage(BaseModel):
@@ -46,7 +46,7 @@
 
 
 class StreamOptions(BaseModel):
-    """What the caller asked of the stream."""
+    """The caller's options for a stream."""
 
     model_config = ConfigDict(extra="allow")
 
@@ -54,7 +54,7 @@
 
 
 class ChatBody(BaseModel):
-    """The fields of a chat request that the router reads."""
+    """The fields of a chat request that the router uses."""
 
     model_config = ConfigDict(extra="allow")
 
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChatHeaders:
-    """The request headers that matter to a chat, decoded."""
+    """The request headers that apply to a chat, decoded."""
 
     key: str = ""
     session: str = ""
@@ -80,19 +80,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Chat:
-    """A checked chat request."""
+    """A validated chat request."""
 
     work: Work
     key: str
-    """Request key; made here if the caller gave none."""
+    """Request key; the request id if the caller sent none."""
     keyed: bool
-    """The caller gave the key, so that it may come back."""
+    """The caller sent the key, so that it may retry the request."""
     digest: str
     fields: dict[str, Any]
-    """The body as decoded, to be sent on with the model filled in."""
+    """The decoded body, forwarded with the model filled in."""
     prompt: str
     last_event_id: str = ""
-    """``Last-Event-ID`` of a caller that comes back."""
+    """``Last-Event-ID`` of a caller that reconnects."""
 
 
 def make_request_id() -> str:
@@ -108,7 +108,7 @@
     data_centre: str,
     deadline: float,
 ) -> Chat:
-    """Check a chat request; ``Problem`` lists every fault with its place."""
+    """Validate a chat request; ``Problem`` lists every invalid field."""
     try:
         checked = ChatBody.model_validate_json(body)
     except ValidationError as error:
--- a/src/waxwingwell/adapters/entry/checks.py
+++ b/src/waxwingwell/adapters/entry/checks.py
@@ -1,4 +1,4 @@
-"""Checks at admission and again at dispatch, after every wait."""
+"""Checks at admission, repeated at dispatch after every wait."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 
 
 LEASE_RETRY_AFTER = 2.0
-"""Seconds until an entry that lost its lease has had time to renew it."""
+"""Seconds in which an entry that lost its lease has time to renew it."""
 
 
 def check_lease(context: EntryContext) -> None:
-    """Refuse work while this entry's configuration may be out of date."""
+    """Refuse work while this entry's configuration may be outdated."""
     if may_admit(context.lease, context.clock()):
         return
 
@@ -55,9 +55,9 @@
 def check_dispatch(context: EntryContext, work: Work, version: VersionId) -> None:
     """Check lease, allowance and withdrawal at the moment of dispatch.
 
-    A version may be withdrawn while a request waits in the queue or for its row; it
-    was open at admission and is not any more. The sleep of a frozen process ends
-    here too: its lease has run out.
+    A version that was open at admission may be withdrawn while the request waits in
+    the queue or for its row. A process that was suspended in between is also stopped
+    here, since its lease has expired.
     """
     check_lease(context)
     refusal = find_refusal(context.tables, work, version)
@@ -66,26 +66,26 @@
 
 
 def assert_dispatch(context: EntryContext, work: Work, version: VersionId) -> None:
-    """Assert the promises about versions where work leaves for an upstream."""
+    """Assert the invariants about versions before work is sent to an upstream."""
     config = context.tables.workspaces.get(work.workspace)
     check(
         Promise.ALLOWED_VERSION,
         config is not None and version in config.allowed,
-        lambda: f"{work.request} left for {version}, not allowed there",
+        lambda: f"{work.request} was sent to {version}, which its workspace forbids",
     )
     check(
         Promise.NO_NEW_WORK_WHEN_WITHDRAWN,
         _accepts_work(context, version, pinned=work.pinned == version),
-        lambda: f"{work.request} left for withdrawn {version}",
+        lambda: f"{work.request} was sent to withdrawn version {version}",
     )
 
 
 def assert_outcome(context: EntryContext, request: str, problem: Problem) -> None:
-    """Assert that a request that is told "not run" reached no upstream."""
+    """Assert that a request that is reported as "not run" reached no upstream."""
     check(
         Promise.NOT_RUN_DID_NOT_RUN,
         problem.outcome is not OutcomeKind.NOT_RUN or request not in context.ran,
-        lambda: f"{request} refused as not run after an attempt: {problem.code}",
+        lambda: f"{request} was reported as not run after an attempt: {problem.code}",
     )
 
 
--- a/src/waxwingwell/adapters/entry/choice.py
+++ b/src/waxwingwell/adapters/entry/choice.py
@@ -1,4 +1,4 @@
-"""Choice of a chat's version: decided here, pinned in the ledger for sessions."""
+"""Choice of a chat's version, pinned in the ledger for sessions."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChosenWork:
-    """Work with its version plan; the pin is filled in for sessions."""
+    """Work and its version plan; for sessions the work holds the pinned version."""
 
     work: Work
     choice: VersionChoice
@@ -33,16 +33,16 @@
 async def choose_work(context: EntryContext, work: Work) -> ChosenWork:
     """Return the version plan; a session's first request pins its version.
 
-    Two entries may choose for one session at once. The first pin wins in the ledger,
-    and the other's choice is made again under it.
+    Two entries may choose for one session at the same time. The first pin in the
+    ledger wins, and the other entry chooses again with that pin.
     """
     pinned = replace(work, pinned=find_pin(context, work))
     choice = _choose(context, pinned)
     if not work.session or pinned.pinned:
         return ChosenWork(work=pinned, choice=choice)
 
-    held = await pin_session(context, work, choice.plan[0])
-    pinned = replace(work, pinned=held)
+    pinned_version = await pin_session(context, work, choice.plan[0])
+    pinned = replace(work, pinned=pinned_version)
     return ChosenWork(work=pinned, choice=_choose(context, pinned))
 
 
--- a/src/waxwingwell/adapters/entry/context.py
+++ b/src/waxwingwell/adapters/entry/context.py
@@ -1,4 +1,4 @@
-"""What all parts of one entry share."""
+"""State shared by all parts of one entry."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 MAX_PINS = 100_000
-"""Session pins cached at one entry; the ledger holds all of them."""
+"""Session pins cached at one entry; the ledger holds every pin."""
 
 
 @dataclass(slots=True)
@@ -51,19 +51,19 @@
     )
     draining: bool = False
     running: int = 0
-    """Requests that must end before a planned stop."""
+    """Requests that a planned stop waits for."""
     ran: set[str] = field(default_factory=set)
-    """Ids of running requests of which an attempt has reached an upstream."""
+    """Ids of running requests with an attempt that may have run at an upstream."""
     pending_settlements: int = 0
-    """Rows whose settling is still being tried."""
+    """Rows that are being settled in the background."""
     pending_ratings: int = 0
-    """Answers whose rating was asked for in the background."""
+    """Responses that are being rated in the background."""
 
 
 def remember_pin(
     context: EntryContext, workspace: WorkspaceId, session: str, version: VersionId
 ) -> None:
-    """Cache a session's pin, dropping the least recently used beyond the bound."""
+    """Cache a session's pin; the least recently used one is evicted at the limit."""
     context.pins[workspace, session] = version
     context.pins.move_to_end((workspace, session))
     if len(context.pins) > MAX_PINS:
--- a/src/waxwingwell/adapters/entry/control_calls.py
+++ b/src/waxwingwell/adapters/entry/control_calls.py
@@ -1,4 +1,4 @@
-"""What an entry answers when a control process calls it."""
+"""Calls from control processes to an entry."""
 
 from __future__ import annotations
 
@@ -35,11 +35,11 @@
 
 ORDER_PATH = "/v1/versions"
 ORDER_TIMEOUT = 2.0
-"""Seconds within which an engine answers an order."""
+"""Seconds within which an engine must respond to an order."""
 
 
 class EngineOrder(msgspec.Struct, frozen=True):
-    """An order as engines take it: desired state under a fencing number."""
+    """Desired state of an engine, with a fencing number, as sent to engines."""
 
     fencing: int
     versions: tuple[str, ...]
@@ -48,7 +48,7 @@
 def handle_control_call(
     context: EntryContext, sender: str, body: Any, stop: Callable[[], None]
 ) -> Deferred[Message]:
-    """Answer a control process; ``stop`` begins the planned stop."""
+    """Handle a control process's call; ``stop`` starts the planned stop."""
     if isinstance(body, AskUpstreams):
         return succeed(list_upstreams(context))
 
@@ -65,11 +65,11 @@
 
 
 async def pass_order(context: EntryContext, order: OrderVersions) -> Message:
-    """Pass an order on to an engine, unless a later leader has been heard of.
+    """Forward an order to an engine, unless a later leader is known.
 
-    Failure guarded against: a leader that was cut off wakes up and orders a withdrawn
-    version loaded at an engine that ignores fencing numbers. An entry without a lease
-    passes nothing on, and one with a lease knows the term of the leader in charge.
+    Otherwise a former leader that was partitioned could load a withdrawn version on
+    an engine that ignores fencing numbers. An entry without a lease forwards nothing,
+    and an entry with a lease knows the term of the current leader.
     """
     if not may_admit(context.lease, context.clock()):
         return OrderPassed(status=0, reason="this entry has no lease")
@@ -100,7 +100,7 @@
 
 
 def list_upstreams(context: EntryContext) -> KnownUpstreams:
-    """Return what this entry knows of the upstreams."""
+    """Return the upstreams as this entry's tables hold them."""
     now = context.clock()
     return KnownUpstreams(
         upstreams=tuple(
--- a/src/waxwingwell/adapters/entry/control_client.py
+++ b/src/waxwingwell/adapters/entry/control_client.py
@@ -1,4 +1,4 @@
-"""How an entry reaches the control leader, whichever process leads."""
+"""Client for the control leader, which may be any of the control processes."""
 
 from __future__ import annotations
 
@@ -28,35 +28,35 @@
 
 
 CALL_TIMEOUT = 1.0
-"""Seconds for one attempt."""
+"""Timeout of one attempt in seconds."""
 RETRY_DELAY = 0.05
 """Seconds between attempts while no leader is known."""
 AVOID_SECONDS = 0.5
-"""Seconds for which a process that did not answer in time is not asked again."""
+"""Seconds for which a process is not called again after a timeout."""
 
 
 @dataclass(slots=True)
 class ControlClient:
-    """Links to all control processes and the one believed to lead."""
+    """Links to all control processes and the name of the presumed leader."""
 
     reactor: Any
     clock: Callable[[], float]
     links: dict[str, Link] = field(default_factory=dict)
     leader: str = ""
     rotation: int = 0
-    """Rotates the guesses while no leader is known."""
+    """Counter that selects the next process while no leader is known."""
     avoided_peer: str = ""
-    """The process that did not answer in time."""
+    """The process whose last call timed out or whose link was lost."""
     avoided_until: float = 0.0
 
 
 async def submit_command(
     client: ControlClient, command: Command, *, limit: float
 ) -> Any:
-    """Put a command through the log and return its outcome.
+    """Submit a command to the replicated log and return its outcome.
 
-    Every command is idempotent (keys, change ids, sequences), so that attempts are
-    repeated freely for ``limit`` seconds. Errors: ``ControlUnavailableError``.
+    Every command is idempotent (keys, change ids, sequences), so it is retried for
+    up to ``limit`` seconds. Errors: ``ControlUnavailableError``.
     """
     return await ask_leader(client, Submit(command=command), limit=limit)
 
@@ -70,7 +70,7 @@
         left = deadline - client.clock()
         if left <= 0:
             raise ControlUnavailableError(
-                "no control leader", may_have_run=may_have_run
+                "no control leader replied in time", may_have_run=may_have_run
             )
 
         if link is not None:
@@ -95,8 +95,8 @@
         return Failed(reason=str(error), may_have_run=False)
     except LinkLostError as error:
         client.leader = ""
-        # Whatever took this connection may have taken the others at the same time;
-        # asking each in turn would cost the caller a call's time for each.
+        # The same fault may have broken the other connections; calling each of them
+        # in turn would cost the caller one timeout per process.
         for other in client.links.values():
             replace_silent_link(other)
 
@@ -113,9 +113,9 @@
 def _pick_link(client: ControlClient) -> Link | None:
     """Return the link to the leader, or to a process that may know it.
 
-    Failure guarded against: a leader stands still, and those that have not replaced
-    it yet still name it. Asked again at once it would cost its caller a whole call's
-    time once more, while the others elect a new one.
+    When a leader stalls, the other processes name it until they have elected a new
+    one. It is avoided for a while, since another call at once would cost the caller a
+    second full timeout.
     """
     known = client.links.get(client.leader)
     if known is not None and is_link_up(known) and not _is_avoided(client, known):
