--- a/src/waxwingwell/adapters/entry/daemon.py
+++ b/src/waxwingwell/adapters/entry/daemon.py
@@ -1,4 +1,4 @@
-"""The entry daemon: listeners, links, periodic work, and the planned stop."""
+"""The entry daemon: listeners, links, periodic tasks and the planned stop."""
 
 from __future__ import annotations
 
@@ -70,7 +70,7 @@
 
 
 DRAIN_POLL_INTERVAL = 0.05
-"""Seconds between two looks at what still runs."""
+"""Seconds between two checks for running requests and open connections."""
 
 
 @dataclass(slots=True)
@@ -95,7 +95,7 @@
 ) -> EntryDaemon:
     """Open listeners and links; work is admitted once a lease is granted.
 
-    ``stop`` is called when control asks for a planned stop. Errors:
+    ``stop`` is called when control requests a planned stop. Errors:
     ``SettingsError`` for TLS files, and ``CannotListenError``.
     """
     tls = open_tls(
@@ -157,10 +157,10 @@
 
 
 async def stop_entry(daemon: EntryDaemon) -> None:
-    """Stop without cutting a request.
+    """Stop after all running requests have ended.
 
-    The health check goes red first and new connections are served on until the
-    balancer has noticed; connections close at a response boundary; what runs ends.
+    The readiness check fails first, and new connections are served until the load
+    balancer has noticed. Connections close between two responses.
     """
     context = daemon.context
     settings = context.settings
@@ -177,19 +177,19 @@
     check(
         Promise.STOP_CUTS_NOTHING,
         context.running + left == 0,
-        lambda: f"{context.running} requests, {left} answers cut by the limit",
+        lambda: f"the limit cut {context.running} requests and {left} responses",
     )
     await flush_evidence(context, daemon.upkeep)
     await close_entry(daemon)
 
 
 def is_busy(context: EntryContext) -> bool:
-    """Tell whether something is under way that a planned stop waits for."""
+    """Return whether requests, settlements or ratings are pending."""
     return context.running + context.pending_settlements + context.pending_ratings > 0
 
 
 async def _close_connections(daemon: EntryDaemon, deadline: float) -> None:
-    """Close the callers' connections once their callers have read what came."""
+    """Close each caller's connection once the caller has read its response."""
     context = daemon.context
     site = get_factory(daemon.caller_port)
     close_connections(site)
@@ -198,7 +198,7 @@
 
 
 async def close_entry(daemon: EntryDaemon) -> None:
-    """Close everything; what others asked of this process is answered first."""
+    """Close everything, after replies to pending calls of other processes."""
     context = daemon.context
     stop_upkeep(daemon.upkeep)
     for loop in daemon.loops:
@@ -274,13 +274,13 @@
     _start_loop(daemon, EVIDENCE_EVERY, flush)
 
 
-def _start_loop(daemon: EntryDaemon, every: float, work: Any) -> None:
-    loop = LoopingCall(work)
-    loop.start(every).addErrback(partial(_stop_on_failure, daemon))
+def _start_loop(daemon: EntryDaemon, interval: float, task: Any) -> None:
+    loop = LoopingCall(task)
+    loop.start(interval).addErrback(partial(_stop_on_failure, daemon))
     daemon.loops.append(loop)
 
 
 def _stop_on_failure(daemon: EntryDaemon, failure: Any) -> None:
-    """Stop the process: without its upkeep an entry must not go on serving."""
+    """Stop the process: an entry must not serve without its periodic tasks."""
     logger.critical("entry: Stopped by a fault: {}.", failure.getTraceback())
     daemon.context.reactor.stop()
--- a/src/waxwingwell/adapters/entry/guards.py
+++ b/src/waxwingwell/adapters/entry/guards.py
@@ -1,4 +1,4 @@
-"""What stands around every route: problems become answers, faults are told once."""
+"""Error handling around every route: problems and exceptions become responses."""
 
 from __future__ import annotations
 
@@ -27,13 +27,13 @@
 
 
 def respond_to_problems(context: EntryContext) -> Callable[[Handler], Handler]:
-    """Return a decorator that turns problems into answers, and faults into one."""
+    """Return a decorator that turns ``Problem`` and other exceptions into responses."""
 
     def decorate(handler: Handler) -> Handler:
         @wraps(handler)
         def run(request: Request, **names: str) -> Deferred[bytes | None]:
             if context.draining:
-                # The balancer has been told; the caller opens a new connection.
+                # The load balancer was notified, so the caller can reconnect elsewhere.
                 request.setHeader("connection", "close")
 
             return _shield(_run_handler(context, handler, request, names))
@@ -44,11 +44,12 @@
 
 
 def _shield(work: Coroutine[Any, Any, bytes | None]) -> Deferred[bytes | None]:
-    """Run work that goes on when the web library cancels its result.
+    """Run work that continues when the web library cancels its result.
 
-    Klein cancels a handler once its caller is gone. That would stop an order between
-    its dispatch and its row: the row would stay open and the order be lost to view.
-    The work ends by itself; only its answer has no reader any more.
+    Klein cancels a handler once its caller has disconnected. That could stop an order
+    between its dispatch and the settling of its row: the row would stay open, and the
+    outcome of the order would be lost. So the work runs to its end, and only its
+    response is dropped.
     """
     result: Deferred[bytes | None] = Deferred()
     Deferred.fromCoroutine(work).addCallbacks(result.callback, result.errback)
@@ -83,7 +84,7 @@
 
 
 def _set_content_length(request: Request, body: bytes | None) -> bytes | None:
-    """State the length of a whole body; streams have none."""
+    """Set the length of a complete body; streams have none."""
     if body is not None and not request.startedWriting:
         request.setHeader("content-length", str(len(body)))
 
--- a/src/waxwingwell/adapters/entry/ledger.py
+++ b/src/waxwingwell/adapters/entry/ledger.py
@@ -1,4 +1,4 @@
-"""The entry's dealings with the ledger: reserve, settle, pin."""
+"""The entry's commands to the ledger: reserve, settle, pin."""
 
 from __future__ import annotations
 
@@ -36,23 +36,23 @@
 
 
 RESERVE_LIMIT = 3.0
-"""Seconds within which a row must be durable; a fail-over fits in."""
+"""Seconds within which a row must be durable; long enough for a fail-over."""
 SETTLE_LIMIT = 3.0
-"""Seconds that an answer's end waits for its billing row."""
+"""Seconds for which the end of a response waits for its billing row."""
 SETTLE_ATTEMPTS = 200
-"""Further attempts in the background, ``SETTLE_LIMIT`` seconds each."""
+"""Further attempts in the background, of ``SETTLE_LIMIT`` seconds each."""
 CONTROL_UNAVAILABLE = "control_unavailable"
 RETRY_AFTER_NO_LEADER = 2.0
-"""Seconds after which a caller may come back when no leader answered."""
+"""Seconds after which a caller may retry when no leader replied."""
 
 
 ReserveOutcome = Reserved | AlreadyOpen | AlreadySettled
-"""What a reservation finds: its own new row, or that of its key."""
+"""Result of a reservation: its own new row, or the existing row of its key."""
 
 
 @dataclass(frozen=True, slots=True)
 class Ending:
-    """How a request ended, for its row."""
+    """How a request ended, as settled in its row."""
 
     outcome: OutcomeKind
     version: VersionId = VersionId("")
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reservation:
-    """What a row is reserved for."""
+    """The request for which a row is reserved."""
 
     work: Work
     key: str
@@ -72,17 +72,17 @@
     version: VersionId = VersionId("")
     upstream: UpstreamId = UpstreamId("")
     unconfirmed_outcome: OutcomeKind = OutcomeKind.NOT_RUN
-    """How the row ends if it was recorded and the word of it never came back."""
+    """Outcome to settle if the row may exist but the leader's reply was lost."""
 
 
 async def reserve_row(
     context: EntryContext, reservation: Reservation
 ) -> ReserveOutcome:
-    """Make the row durable; ``Problem`` if the key is misused or control is away.
+    """Make the row durable; ``Problem`` if the key is misused or control unavailable.
 
-    Failure guarded against: the leader records the row and its answer comes too late.
-    The caller is refused, and each resend of its key would find the row open, and so
-    "running", for as long as this entry lives. A row that may exist is closed.
+    A row that may exist is closed when the leader's reply arrives too late. The caller
+    is refused then, and each retry of its key would otherwise find the row open, and so
+    "running", for the lifetime of this entry.
     """
     work = reservation.work
     row = make_row(context, reservation)
@@ -101,7 +101,7 @@
             retry_after=RETRY_AFTER_NO_LEADER,
         ) from error
 
-    # A resend of our own reservation, after a lost answer, finds its own row.
+    # A retry of this reservation, after a lost reply, finds its own row.
     if isinstance(outcome, AlreadyOpen) and outcome.row.request == work.request:
         return Reserved()
 
@@ -120,7 +120,7 @@
 
 
 def make_row(context: EntryContext, reservation: Reservation) -> LedgerRow:
-    """Return the open row of a request at this entry."""
+    """Return an open row for a request at this entry."""
     work = reservation.work
     return LedgerRow(
         workspace=work.workspace,
@@ -142,27 +142,27 @@
     workspace: WorkspaceId,
     key: str,
     request: str,
-    end: Ending,
+    ending: Ending,
     *,
     row: LedgerRow | None = None,
 ) -> bool:
-    """Settle a row; true once durable, false while it goes on in the background.
+    """Settle a row; true once durable, false if settling continues in the background.
 
-    ``row`` is given where none was reserved: it is opened by the same command.
+    ``row`` is passed if none was reserved; the same command opens it.
 
-    Settling is idempotent. It is tried until control answers, so that an answer
-    given while no leader could be reached is still billed once.
+    Settling is idempotent. It is retried until control replies, so that a response
+    sent while no leader was reachable is still billed once.
     """
     command = Settle(
         workspace=workspace,
         key=key,
         request=request,
-        outcome=end.outcome,
+        outcome=ending.outcome,
         at=context.wall_clock(),
-        version=end.version,
-        upstream=end.upstream,
-        usage=end.usage,
-        answer=end.answer,
+        version=ending.version,
+        upstream=ending.upstream,
+        usage=ending.usage,
+        answer=ending.answer,
         row=row,
     )
     try:
@@ -179,7 +179,7 @@
 
 
 def _handle_rejected_settle(command: Settle, refused: Rejected) -> None:
-    """Log a refused settle; ``Problem`` if the answer would go out without a row."""
+    """Log a rejected settle; ``Problem`` if the response would have no row."""
     text = "; ".join(f"{item.place}: {item.message}" for item in refused.findings)
     logger.error("ledger: {} was not settled: {}.", command.request, text)
     if command.row is not None:
@@ -195,7 +195,7 @@
 def _close_unconfirmed_row(
     context: EntryContext, row: LedgerRow, outcome: OutcomeKind
 ) -> None:
-    """Close a row that may have been recorded, beside the answer to its caller."""
+    """Close a row that may exist, without delaying the response to its caller."""
     command = Settle(
         workspace=row.workspace,
         key=row.key,
@@ -233,7 +233,7 @@
 async def pin_session(
     context: EntryContext, work: Work, version: VersionId
 ) -> VersionId:
-    """Pin the session unless it is pinned; return the version that holds for it."""
+    """Pin the session unless it is pinned; return its pinned version."""
     command = PinSession(
         workspace=work.workspace,
         session=work.session,
--- a/src/waxwingwell/adapters/entry/placement.py
+++ b/src/waxwingwell/adapters/entry/placement.py
@@ -1,4 +1,4 @@
-"""Placement of work: an upstream now, a wait in the queue, or a refusal."""
+"""Placement of work: an upstream at once, a wait in the queue, or a refusal."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True)
 class Placements:
-    """Requests that wait for a place, by request id."""
+    """Requests that wait in the queue, by request id."""
 
     waiting: dict[str, Deferred[UpstreamChoice | Refusal]] = field(default_factory=dict)
 
@@ -43,7 +43,7 @@
     version: VersionId,
     exclude: frozenset[UpstreamId],
 ) -> UpstreamChoice:
-    """Return where to dispatch; ``Problem`` is the final refusal."""
+    """Return the chosen upstream; ``Problem`` if the request is refused."""
     now = context.clock()
     draw = context.random.random()
     result: UpstreamChoice | Refusal | Waiting
@@ -55,10 +55,10 @@
         result = place_work(context.tables, work, version, now=now, draw=draw)
 
     if isinstance(result, Waiting):
-        answer: Deferred[UpstreamChoice | Refusal] = Deferred()
-        placements.waiting[work.request] = answer
+        placement: Deferred[UpstreamChoice | Refusal] = Deferred()
+        placements.waiting[work.request] = placement
         run_queue(context, placements)
-        result = await answer
+        result = await placement
 
     if isinstance(result, Refusal):
         raise make_problem(result)
@@ -67,23 +67,23 @@
 
 
 def run_queue(context: EntryContext, placements: Placements) -> None:
-    """Hand out what has room and refuse what can't be served in time."""
+    """Place requests for which there is capacity; refuse those past their deadline."""
     now = context.clock()
-    for taken in shed_expired(context.tables, now):
-        _resolve(placements, taken.waiting.work.request, taken.result)
+    for expired in shed_expired(context.tables, now):
+        _resolve(placements, expired.waiting.work.request, expired.result)
 
     while context.tables.waiting:
-        next_one = take_next(context.tables, now, context.random.random())
-        if next_one is None:
+        placed = take_next(context.tables, now, context.random.random())
+        if placed is None:
             return
 
-        _resolve(placements, next_one.waiting.work.request, next_one.result)
+        _resolve(placements, placed.waiting.work.request, placed.result)
 
 
 def remove_from_queue(
     context: EntryContext, placements: Placements, request: str
 ) -> None:
-    """Drop a waiting request whose caller has gone."""
+    """Remove a waiting request whose caller has disconnected."""
     if remove_waiting(context.tables, request) is not None:
         _resolve(placements, request, CALLER_GONE)
 
--- a/src/waxwingwell/adapters/entry/ratings.py
+++ b/src/waxwingwell/adapters/entry/ratings.py
@@ -1,4 +1,4 @@
-"""Ratings of answers: asked of the rating service, noted as evidence."""
+"""Ratings of responses, requested from the rating service, recorded as evidence."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 RATING_TIMEOUT = 5.0
-"""Seconds; beyond them a cascade goes on without the rating."""
+"""Seconds after which a cascade continues without the rating."""
 
 
 class RatingAsked(msgspec.Struct, frozen=True):
@@ -36,36 +36,36 @@
 
 
 class RatingGiven(msgspec.Struct, frozen=True):
-    """The rating service's answer; ``rating`` is 0 to 1."""
+    """The rating service's response; ``rating`` is 0 to 1."""
 
     rating: float
 
 
 @dataclass(frozen=True, slots=True)
 class RatedResponse:
-    """An answer to be rated, and what its rating counts for."""
+    """A response to be rated, with the context in which its rating counts."""
 
     work: Work
     version: VersionId
     prompt: str
     text: str
     escalated: bool = False
-    """An earlier version's answer was rated too low, so this prompt is a hard one."""
+    """An earlier version's response was rated too low, so this prompt is hard."""
     threshold: float = 0.0
-    """Rating from which the answer is served; a cascade passes over lower ones."""
+    """Lowest rating that is served; with a lower one a cascade continues."""
 
 
 async def rate_answer(context: EntryContext, answer: RatedResponse) -> float | None:
-    """Return the rating and note it; None if the service gives none in time."""
+    """Return the rating and record it; None if the service has none in time."""
     work = answer.work
-    asked = RatingAsked(
+    rating_request = RatingAsked(
         version=answer.version,
         kind=work.kind.name,
         prompt=answer.prompt,
         answer=answer.text,
     )
     try:
-        rating = await _fetch_rating(context, asked)
+        rating = await _fetch_rating(context, rating_request)
     except Exception as error:
         logger.debug("rating: No rating of {}: {}.", answer.version, error)
         context.metrics.count("ratings.missing", 1)
@@ -92,30 +92,30 @@
 
 
 def rate_in_background(context: EntryContext, answer: RatedResponse) -> None:
-    """Ask for a rating in the background; a planned stop waits for it."""
+    """Request a rating in the background; a planned stop waits for it."""
     context.pending_ratings += 1
 
-    def forget(_: object) -> None:
+    def decrement(_: object) -> None:
         context.pending_ratings -= 1
 
-    Deferred.fromCoroutine(rate_answer(context, answer)).addBoth(forget)
+    Deferred.fromCoroutine(rate_answer(context, answer)).addBoth(decrement)
 
 
-async def _fetch_rating(context: EntryContext, asked: RatingAsked) -> float:
+async def _fetch_rating(context: EntryContext, rating_request: RatingAsked) -> float:
     address = context.settings.rating
     if address is None:
-        raise LookupError("no rating service in the settings")
+        raise LookupError("no rating service is configured")
 
-    answering = context.client.pooled.request(
+    pending = context.client.pooled.request(
         b"POST",
         f"http://{address.host}:{address.port}/v1/ratings".encode(),
         Headers({"content-type": ["application/json"]}),
-        BytesProducer(msgspec.json.encode(asked)),
+        BytesProducer(msgspec.json.encode(rating_request)),
     )
-    answering.addTimeout(RATING_TIMEOUT, context.reactor)
-    response = await answering
+    pending.addTimeout(RATING_TIMEOUT, context.reactor)
+    response = await pending
     data = await readBody(response)
     if response.code != 200:
-        raise LookupError(f"the rating service answered {response.code}")
+        raise LookupError(f"the rating service responded with status {response.code}")
 
     return msgspec.json.decode(data, type=RatingGiven).rating
--- a/src/waxwingwell/adapters/entry/reading.py
+++ b/src/waxwingwell/adapters/entry/reading.py
@@ -1,4 +1,4 @@
-"""Web requests read into calls and chats, with bounds and clear refusals."""
+"""Parsing of web requests, with size limits."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 def read_body(
     request: Request, context: EntryContext, config: WorkspaceConfig
 ) -> bytes:
-    """Return the body; ``Problem`` 413 beyond the workspace's or our own limit."""
+    """Return the body; ``Problem`` 413 above the workspace's or the entry's limit."""
     limit = min(config.limits.max_body, context.settings.max_body)
     body: bytes = request.content.read(limit + 1)
     if len(body) > limit:
@@ -52,7 +52,7 @@
 
 
 def read_headers(request: Request) -> ChatHeaders:
-    """Return the headers that matter to a chat."""
+    """Return the headers that apply to a chat."""
     return ChatHeaders(
         key=read_key(request),
         session=(request.getHeader("x-session-id") or "")[:MAX_KEY],
@@ -62,7 +62,7 @@
 
 
 def read_key(request: Request) -> str:
-    """Return the request key, or an empty text; ``Problem`` 400 if it is too long."""
+    """Return the request key, empty if none; ``Problem`` 400 if it is too long."""
     key: str = request.getHeader("idempotency-key") or ""
     if len(key) > MAX_KEY:
         raise Problem(
@@ -87,7 +87,7 @@
     rule = find_rule(config, service, method, path)
     body = read_body(request, context, config)
     query = request.uri.partition(b"?")[2].decode(errors="replace")
-    name = make_request_id()
+    request_id = make_request_id()
     digest = xxhash.xxh3_128()
     for part in (method, service, path, query):
         digest.update(part.encode() + b"\0")
@@ -95,7 +95,7 @@
     digest.update(body)
     return ServiceCall(
         work=make_service_work(
-            name, config, rule, data_centre=context.settings.data_centre
+            request_id, config, rule, data_centre=context.settings.data_centre
         ),
         rule=rule,
         method=method,
@@ -103,6 +103,6 @@
         query=query,
         body=body,
         content_type=request.getHeader("content-type") or JSON,
-        key=read_key(request) or name,
+        key=read_key(request) or request_id,
         digest=digest.hexdigest(),
     )
--- a/src/waxwingwell/adapters/entry/relay.py
+++ b/src/waxwingwell/adapters/entry/relay.py
@@ -1,6 +1,6 @@
-"""Relay of one answer's bytes from an engine's connection to the caller's.
+"""Relay of a response's bytes from an engine's connection to the caller's.
 
-The sink outlives connections to engines: an answer that is cut goes on over a new
+The sink outlives connections to engines: a response that is cut is resumed on a new
 connection, and the caller sees one unbroken stream.
 """
 
@@ -30,7 +30,7 @@
 
 
 class End(Enum):
-    """Why a connection to an engine stopped giving events."""
+    """Reason why the relay from a connection to an engine ended."""
 
     DONE = "done"
     CUT = "cut"
@@ -42,7 +42,7 @@
 @implementer(IPushProducer)
 @dataclass(slots=True, eq=False)
 class Sink:
-    """The caller's end of a stream: gated, bounded, and aware of its loss.
+    """The caller's side of a stream, with backpressure towards the engine.
 
     Bytes wait in ``held`` until the gate opens (the ledger row is durable). The
     engine is paused while the caller reads slowly, so that memory stays bounded.
@@ -54,34 +54,34 @@
     paused: bool = False
     held: list[bytes] = field(default_factory=list)
     final_bytes: bytes = b""
-    """The end of the answer, kept back until the request is settled."""
+    """The last bytes of the response, held back until the request is settled."""
     recording: bool = False
-    """Keep a copy of what goes out, for the rating service."""
+    """Keep a copy of the forwarded bytes for the rating service."""
     record: list[bytes] = field(default_factory=list)
     first_at: float | None = None
-    """When the first event came from an engine."""
+    """Time of the first event from an engine, in seconds of the reactor's clock."""
     source: Any = None
-    """Transport of the present connection to an engine."""
+    """Transport of the current connection to an engine."""
 
     def pauseProducing(self) -> None:  # noqa: N802
-        """Stop reading from the engine: the caller lags."""
+        """Stop reading from the engine while the caller reads slowly."""
         self.paused = True
         if self.source is not None:
             self.source.pauseProducing()
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Read on: the caller has caught up."""
+        """Resume reading from the engine once the caller has caught up."""
         self.paused = False
         if self.source is not None:
             self.source.resumeProducing()
 
     def stopProducing(self) -> None:  # noqa: N802
-        """Note that the caller is gone."""
+        """Record that the caller has disconnected."""
         self.gone = True
 
 
 def open_gate(sink: Sink) -> None:
-    """Let bytes through, those held so far first."""
+    """Forward the bytes held so far, and all later ones at once."""
     sink.open = True
     held, sink.held = sink.held, []
     if held and not sink.gone:
@@ -89,7 +89,7 @@
 
 
 def push_bytes(sink: Sink, data: bytes) -> None:
-    """Send bytes to the caller, or hold them while the gate is shut."""
+    """Send bytes to the caller, or hold them while the gate is closed."""
     if sink.recording:
         sink.record.append(data)
 
@@ -103,7 +103,7 @@
 
 
 class RelayProtocol(Protocol):
-    """Takes one connection's body; fires ``ended`` with the reason it stopped."""
+    """Receives the body of one connection; fires ``ended`` with the reason it ended."""
 
     def __init__(
         self,
@@ -123,7 +123,7 @@
         start_connection(stream)
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Attach to the sink and watch for silence."""
+        """Become the sink's source and start to check for progress."""
         self.sink.source = self.transport
         if self.sink.paused and self.transport is not None:
             cast("IPushProducer", self.transport).pauseProducing()
@@ -131,33 +131,33 @@
         self._check_progress()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Forward whole new events; keep back the last until settled."""
+        """Forward complete new events; hold the last back until settled."""
         if self.ended.called:
             return
 
         now = float(self._reactor.seconds())
         self._last_data_at = now
-        taken = receive_bytes(self.stream, data)
-        if taken.forward and self.sink.first_at is None:
+        received = receive_bytes(self.stream, data)
+        if received.forward and self.sink.first_at is None:
             self.sink.first_at = now
 
         if self.stream.done:
-            self.sink.final_bytes = taken.forward
+            self.sink.final_bytes = received.forward
             self._finish(End.DONE)
             return
 
-        push_bytes(self.sink, taken.forward)
-        if taken.fault is not None:
+        push_bytes(self.sink, received.forward)
+        if received.fault is not None:
             self._finish(End.FAULTY)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
-        """Report a cut, unless the answer had ended."""
+        """Report a cut, unless the response had ended."""
         self._finish(End.CUT)
 
     def _check_progress(self) -> None:
-        silent = float(self._reactor.seconds()) - self._last_data_at
-        # A paused engine is silent because of the caller, not by its own fault.
-        if silent > self._timeout and not self.sink.paused:
+        idle = float(self._reactor.seconds()) - self._last_data_at
+        # A paused engine is idle because of the caller, not through a fault of its own.
+        if idle > self._timeout and not self.sink.paused:
             self._finish(End.SILENT)
             return
 
@@ -171,8 +171,8 @@
             self._timer.cancel()
 
         self.sink.source = None
-        # A whole answer ends the HTTP response by itself: the connection is reused.
-        # Any other end leaves bytes of an unknown state: the connection is dropped.
+        # After a complete response the connection can be reused. After any other end
+        # the state of its remaining bytes is unknown, so it is closed.
         if end in (End.SILENT, End.FAULTY) and self.transport is not None:
             self.transport.loseConnection()
 
--- a/src/waxwingwell/adapters/entry/replies.py
+++ b/src/waxwingwell/adapters/entry/replies.py
@@ -1,4 +1,4 @@
-"""Answers of the entry itself: errors in the OpenAI shape, and their headers."""
+"""Error responses of the entry, in the OpenAI format, and their headers."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class ErrorBody(msgspec.Struct, frozen=True, omit_defaults=True):
-    """The ``error`` object of the OpenAI API, with ours added."""
+    """The ``error`` object of the OpenAI API, with additional fields of the router."""
 
     message: str
     type: str
@@ -42,14 +42,14 @@
 
 
 class ErrorReply(msgspec.Struct, frozen=True):
-    """The body of an error answer."""
+    """The body of an error response."""
 
     error: ErrorBody
 
 
 @dataclass(frozen=True, slots=True)
 class Problem(Exception):  # noqa: N818
-    """A final error answer to a caller."""
+    """A final error response to a caller."""
 
     status: int
     code: str
@@ -61,7 +61,7 @@
 
 
 def make_problem(refusal: Refusal) -> Problem:
-    """Turn a decision's refusal into the answer that tells it."""
+    """Return the error response for a refusal."""
     return Problem(
         status=refusal.status,
         code=refusal.code,
@@ -88,7 +88,8 @@
     request.setResponseCode(problem.status)
     request.setHeader("content-type", JSON)
     request.setHeader("x-outcome", problem.outcome.value)
-    # The official client retries by itself: what must not be sent again says so.
+    # The official OpenAI client retries by itself. This header prevents it for
+    # requests that must not be sent again.
     if problem.retry_after is None or problem.outcome != OutcomeKind.NOT_RUN:
         request.setHeader("x-should-retry", "false")
 
