--- a/src/waxwingwell/adapters/entry/resuming.py
+++ b/src/waxwingwell/adapters/entry/resuming.py
@@ -1,8 +1,9 @@
-"""An answer goes on over a new connection, or at another entry.
+"""Resumption of streams over a new connection, or at another entry.
 
-The engine keeps the events of an answer for a while. After a cut, a silence or a
-faulty event this entry asks it for the rest; when a caller comes back with its key
-after losing its entry, any entry fetches the same answer and never runs it again.
+An engine keeps the events of a response for a while. After a cut, a stall or an
+invalid event this entry requests the remaining events. When a caller reconnects with
+its key after losing its entry, any entry fetches the same response and never runs
+the request again.
 """
 
 from __future__ import annotations
@@ -36,16 +37,16 @@
 
 
 MAX_RESUMES = 8
-"""Connections over which one answer may be resumed."""
+"""Limit of connections over which one response may be resumed."""
 RESUME_DELAY = 0.05
-"""Seconds, times the tries so far, before an engine is asked again."""
+"""Seconds before an engine is called again, multiplied by the attempts so far."""
 
 
 def attach_run(context: EntryContext, run: StreamRun, row: LedgerRow) -> None:
-    """Turn a run to the answer that its key has already, here or elsewhere.
+    """Attach a run to the existing response of its key, at this entry or another.
 
-    Events that the caller named as received are read for the usage and not sent
-    again. ``Problem`` if the row has no answer to fetch.
+    Events that the caller reported as received are parsed for the usage and not sent
+    again. ``Problem`` if the row has no response to fetch.
     """
     if row.status is RowStatus.UNKNOWN or row.outcome is OutcomeKind.MAY_HAVE_RUN:
         raise make_unavailable_problem(row)
@@ -60,7 +61,7 @@
 
 
 def find_next_engine(context: EntryContext, run: StreamRun) -> None:
-    """Turn an attached run to the next engine that may hold its answer."""
+    """Select the next engine that may hold the response of an attached run."""
     for upstream, row in context.tables.upstreams.items():
         if upstream in run.excluded or row.left:
             continue
@@ -74,7 +75,7 @@
 
 
 def make_unavailable_problem(row: LedgerRow) -> Problem:
-    """Return the problem of a key whose answer can't be fetched."""
+    """Return the problem for a key whose response can't be fetched."""
     running = row.status is RowStatus.OPEN
     return Problem(
         status=409,
@@ -87,7 +88,7 @@
 
 
 def parse_last_event_id(header: str, request: str) -> int:
-    """Return the number of the last event that a caller has of this request."""
+    """Return the number of the last event of this request that the caller received."""
     name, _, number = header.rpartition(":")
     if name != request or not number.isdigit():
         return 0
@@ -96,7 +97,7 @@
 
 
 def may_resume(context: EntryContext, run: StreamRun) -> bool:
-    """Tell whether one more try at the same engine is due, and count it."""
+    """Return whether to attempt a resume at the same engine, and count the attempt."""
     if not can_resume(context, run.upstream):
         return False
 
@@ -108,10 +109,10 @@
 
 
 async def resume_stream(context: EntryContext, run: StreamRun) -> Any:
-    """Ask the same engine for the rest; None if this try failed.
+    """Request the remaining events from the same engine; None if this failed.
 
-    It is no new work for the engine: it goes on with what it holds, so that a
-    withdrawn version or a leaving engine still ends what it began.
+    This is no new work for the engine, which continues what it has started. So
+    withdrawn versions and leaving engines still finish their responses.
     """
     upstream = run.upstream
     row = context.tables.upstreams[upstream]
@@ -131,8 +132,8 @@
         if run.stream.last == 0:
             leave_upstream(run)
         else:
-            pause = RESUME_DELAY * run.resumes
-            await deferLater(context.reactor, pause, lambda: None)
+            delay = RESUME_DELAY * run.resumes
+            await deferLater(context.reactor, delay, lambda: None)
 
         return None
 
@@ -146,7 +147,7 @@
 
 
 async def cancel_stream(context: EntryContext, run: StreamRun) -> None:
-    """Tell the engine to stop; a best effort, it ends by itself otherwise."""
+    """Cancel the stream at the engine; best effort, as it also ends by itself."""
     try:
         row = find_row(context, run.upstream, context.clock())
         if not row.announcement.capabilities.cancel:
--- a/src/waxwingwell/adapters/entry/services.py
+++ b/src/waxwingwell/adapters/entry/services.py
@@ -1,4 +1,4 @@
-"""Calls to plain services; those that may not be repeated run at most once."""
+"""Calls to plain services; those that may not be retried run at most once."""
 
 from __future__ import annotations
 
@@ -46,13 +46,14 @@
 
 
 MAX_STORED_SERVICE_BYTES = 1_000_000
-"""Bytes of an answer kept for replay; a longer one is replayed without its body."""
+"""Largest response body stored for replay. A retry of a call whose response was longer
+gets an error instead."""
 NO_VERSION = VersionId("")
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceCall:
-    """A caller's call of a plain service."""
+    """A caller's call to a plain service."""
 
     work: Work
     rule: ServiceRule
@@ -68,7 +69,7 @@
 def find_rule(
     config: WorkspaceConfig, service: str, method: str, path: str
 ) -> ServiceRule:
-    """Return the rule with the longest fitting prefix; ``Problem`` if none fits."""
+    """Return the rule with the longest matching prefix; ``Problem`` if none matches."""
     rules = [rule for rule in config.services if rule.service == service]
     if not rules:
         raise Problem(
@@ -77,25 +78,25 @@
             message=f"service {service!r} is not open to this workspace",
         )
 
-    fitting = [
+    matching = [
         rule
         for rule in rules
         if _matches_prefix(path, rule.path_prefix) and method in rule.methods
     ]
-    if not fitting:
+    if not matching:
         raise Problem(
             status=403,
             code="call_not_allowed",
             message=f"{method} {path} of {service!r} is not open to this workspace",
         )
 
-    return max(fitting, key=lambda rule: len(rule.path_prefix))
+    return max(matching, key=lambda rule: len(rule.path_prefix))
 
 
 def make_service_work(
     request: str, config: WorkspaceConfig, rule: ServiceRule, *, data_centre: str
 ) -> Work:
-    """Return the work of a plain call."""
+    """Return the work of a call to a plain service."""
     kind = WorkKind(name=rule.service, priority=rule.priority, quality_target=0.0)
     return Work(
         request=request,
@@ -112,9 +113,9 @@
 async def run_service_call(
     context: EntryContext, placements: Placements, call: ServiceCall, span: Span
 ) -> StoredAnswer:
-    """Run the call and return the service's answer, or the stored one of its key.
+    """Run the call and return the service's response, or the stored one of its key.
 
-    Errors: ``Problem``, whose outcome tells whether the call ran.
+    Errors: ``Problem``, whose outcome states whether the call ran.
     """
     choice = await place_request(
         context, placements, call.work, NO_VERSION, frozenset()
@@ -145,9 +146,9 @@
 
 
 def find_stored_response(outcome: ReserveOutcome) -> StoredAnswer | None:
-    """Return the stored answer of a reserved key, or None if its row is new.
+    """Return the stored response of a reserved key, or None if its row is new.
 
-    ``Problem`` while the key's request runs, or if its answer is not kept.
+    ``Problem`` while the key's request runs, or if its response is not stored.
     """
     if isinstance(outcome, AlreadyOpen):
         raise make_in_progress_problem(outcome.row)
@@ -159,7 +160,10 @@
 
 
 def replay_row(row: LedgerRow) -> StoredAnswer:
-    """Return the stored answer of a settled row, or tell that it may have run."""
+    """Return the stored response of a settled row.
+
+    ``Problem`` if none is stored; its outcome states whether the request may have run.
+    """
     if row.status == RowStatus.SETTLED and row.answer is not None:
         return row.answer
 
@@ -180,7 +184,7 @@
 
 
 def make_in_progress_problem(row: LedgerRow) -> Problem:
-    """Return the problem of a key whose first request is still running."""
+    """Return the problem for a key whose first request is still running."""
     outcome = OutcomeKind.FAILED if row.repeatable else OutcomeKind.MAY_HAVE_RUN
     return Problem(
         status=409,
@@ -195,11 +199,11 @@
     context: EntryContext,
     placements: Placements,
     call: ServiceCall,
-    first: UpstreamId,
+    first_upstream: UpstreamId,
     span: Span,
 ) -> StoredAnswer:
-    """Dispatch the call; a non-idempotent one again only if it did not run."""
-    upstream = first
+    """Dispatch the call; retry a non-idempotent one only if it did not run."""
+    upstream = first_upstream
     excluded: frozenset[UpstreamId] = frozenset()
     sent = ran = False
 
@@ -220,7 +224,9 @@
         check(
             Promise.AT_MOST_ONCE,
             call.rule.repeatable or not sent,
-            lambda: f"{call.work.request} would be dispatched twice",
+            lambda: (
+                f"{call.work.request} is not repeatable, but would be dispatched twice"
+            ),
         )
         try:
             response = await run_attempt(context, call.work, upstream, build, span)
@@ -262,15 +268,17 @@
     outcome: OutcomeKind,
     answer: StoredAnswer | None,
 ) -> None:
-    kept = answer
+    stored_answer = answer
     if answer is not None and len(answer.body) > MAX_STORED_SERVICE_BYTES:
-        kept = None
+        stored_answer = None
 
     work = call.work
-    ending = Ending(outcome=outcome, answer=None if call.rule.repeatable else kept)
+    ending = Ending(
+        outcome=outcome, answer=None if call.rule.repeatable else stored_answer
+    )
     await settle_row(context, work.workspace, call.key, work.request, ending)
 
 
 def _matches_prefix(path: str, prefix: str) -> bool:
-    wanted = prefix.strip("/")
-    return not wanted or path == wanted or path.startswith(wanted + "/")
+    base = prefix.strip("/")
+    return not base or path == base or path.startswith(base + "/")
--- a/src/waxwingwell/adapters/entry/sites.py
+++ b/src/waxwingwell/adapters/entry/sites.py
@@ -1,4 +1,4 @@
-"""HTTP sites with bounds: body size, silence, headers."""
+"""HTTP sites with limits on body size and idle time."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 
 class BoundedRequest(Request):
-    """A request refused as soon as its body is known to be too long.
+    """A request that is refused as soon as its body is known to be too long.
 
-    Failure guarded against: a caller that sends gigabytes fills the disk, since
-    twisted.web spools a body before any route sees it.
+    Otherwise a caller that sends gigabytes would fill the disk, since twisted.web
+    spools a body before any route handles it.
     """
 
     max_body = 0
     _refused = False
 
     def gotLength(self, length: int | None) -> None:  # noqa: N802
-        """Refuse a body whose stated length is over the limit."""
+        """Refuse a body whose declared length exceeds the limit."""
         if length is not None and length > self.max_body:
             self._refuse()
             return
@@ -31,7 +31,7 @@
         super().gotLength(length)  # type: ignore[no-untyped-call]
 
     def handleContentChunk(self, data: bytes) -> None:  # noqa: N802
-        """Count a chunked body, and refuse it once it is over the limit."""
+        """Measure a chunked body, and refuse it once it exceeds the limit."""
         if self._refused:
             return
 
@@ -60,7 +60,7 @@
 
 
 def make_site(app: Any, *, max_body: int, timeout: float) -> CountingSite:
-    """Return a site with limits; silence of ``timeout`` seconds ends a connection."""
+    """Return a site with limits; ``timeout`` is the idle time in seconds."""
     request_type = type("LimitedRequest", (BoundedRequest,), {"max_body": max_body})
     site = CountingSite(app.resource(), requestFactory=request_type, timeout=timeout)
     site.noisy = False
--- a/src/waxwingwell/adapters/entry/stream_runs.py
+++ b/src/waxwingwell/adapters/entry/stream_runs.py
@@ -1,4 +1,4 @@
-"""One streamed answer under way, over however many connections."""
+"""State of one streaming response, over any number of engine connections."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True)
 class StreamRun:
-    """One streamed answer under way."""
+    """State of one streaming response."""
 
     chat: Chat
     chosen: ChosenWork
@@ -36,27 +36,27 @@
     version: VersionId
     reserved: Deferred[Any] | None = None
     refusal: Problem | None = None
-    """Why the row could not be reserved while the engine was at work."""
+    """Reason why the row could not be reserved while the engine was running."""
     upstream: UpstreamId = UpstreamId("")
     ran: bool = False
-    """An engine may have begun: "not run" would be untrue from here on."""
+    """An engine may have started, so the outcome can no longer be "not run"."""
     resumes: int = 0
     excluded: frozenset[UpstreamId] = frozenset()
     attached: LedgerRow | None = None
-    """Row of the same key that runs or ended elsewhere; its answer is fetched."""
+    """Existing row of the same key, running or ended, whose response is fetched."""
     evidence_recorded: bool = False
-    """The dispatch was noted as evidence."""
-    set_request_id: Callable[[str], None] = lambda name: None
-    """Tells the caller the request id under which the answer runs."""
+    """The dispatch was recorded as evidence."""
+    set_request_id: Callable[[str], None] = lambda request_id: None
+    """Sets the request id that the caller sees, once another row is attached."""
 
 
 def leave_upstream(run: StreamRun) -> None:
-    """Ask this engine no more for this answer."""
+    """Exclude the current engine from further attempts of this run."""
     run.excluded |= {run.upstream}
     run.upstream = UpstreamId("")
 
 
 def can_resume(context: EntryContext, upstream: UpstreamId) -> bool:
-    """Tell whether an engine keeps answers for a new connection."""
+    """Return whether an engine keeps responses for a resume."""
     row = context.tables.upstreams.get(upstream)
     return row is not None and row.announcement.capabilities.resume
--- a/src/waxwingwell/adapters/entry/streaming.py
+++ b/src/waxwingwell/adapters/entry/streaming.py
@@ -1,7 +1,8 @@
-"""Chats answered as a stream: begun quickly, whole whatever cuts it.
+"""Streaming chat responses that start early and survive cut connections.
 
-The row is reserved beside the dispatch; no byte goes out before it is durable, and
-the end goes out once the request is settled. See docs/design/streams.md.
+The row is reserved in parallel with the dispatch. No byte is sent to the caller
+before the row is durable, and the last bytes are sent once the request is settled.
+See docs/design/streams.md.
 """
 
 from __future__ import annotations
@@ -71,9 +72,9 @@
 async def answer_stream(
     context: EntryContext, placements: Placements, run: StreamRun
 ) -> None:
-    """Stream an answer to its end and settle it; ``Problem`` before the first byte.
+    """Stream a response and settle it; ``Problem`` before the first byte.
 
-    After the first byte a failure is told by an error event in the stream.
+    After the first byte a failure is reported by an error event in the stream.
     """
     try:
         await _stream_until_done(context, placements, run)
@@ -115,7 +116,7 @@
 async def _stream_once(
     context: EntryContext, placements: Placements, run: StreamRun
 ) -> End:
-    """Run or resume the answer over one connection; return how that ended."""
+    """Run or resume the response over one connection; return how that ended."""
     if run.upstream and may_resume(context, run):
         response = await resume_stream(context, run)
     else:
@@ -160,7 +161,7 @@
             retry_after=1.0,
         )
 
-    # An engine that could not be resumed is not asked for the same work again.
+    # An engine at which the stream could not be resumed gets no second attempt.
     if run.upstream:
         leave_upstream(run)
 
@@ -188,7 +189,7 @@
         response = await run_attempt(context, work, run.upstream, build, run.span)
     except AttemptError as error:
         run.ran |= error.may_have_run
-        # The engine may hold the answer: only the connection went wrong.
+        # The engine may hold the response if only the connection failed.
         if not (error.may_have_run and can_resume(context, run.upstream)):
             leave_upstream(run)
             check_retry(context, error, repeatable=True)
@@ -200,7 +201,7 @@
 
 
 async def _reserve(context: EntryContext, run: StreamRun) -> None:
-    """Start the reservation; only a key that may come twice waits for it here."""
+    """Start the reservation; with a caller's key, wait for it here."""
     if run.reserved is not None:
         return
 
@@ -211,7 +212,7 @@
         repeatable=True,
         version=run.version,
         upstream=run.upstream,
-        # Without a key of the caller's the engine is at work meanwhile.
+        # Without a caller's key the engine runs during the reservation.
         unconfirmed_outcome=OutcomeKind.NOT_RUN
         if run.chat.keyed
         else OutcomeKind.FAILED,
@@ -243,11 +244,11 @@
 
 
 def _abort_stream(run: StreamRun, error: Exception) -> None:
-    """Stop the engine's stream: without a row nothing of it may go out."""
+    """Stop the engine's stream: no part of it may be sent without a row."""
     if not isinstance(error, Problem):
         error = Problem(status=500, code="internal", message=REFUSED)
 
-    # The engine is at work already, so "not run" would be untrue.
+    # The engine has already started, so "not run" would be wrong.
     run.refusal = replace(error, outcome=OutcomeKind.FAILED)
     if run.sink.source is not None:
         run.sink.source.loseConnection()
@@ -263,7 +264,7 @@
     check(
         Promise.BILLED_ONCE,
         run.sink.open,
-        lambda: f"{run.stream.request} ended without a row",
+        lambda: f"{run.stream.request} ended without a durable ledger row",
     )
 
 
@@ -272,7 +273,7 @@
     check(
         Promise.WHOLE_OWN_ANSWER,
         run.stream.done,
-        lambda: f"{run.stream.request} settled without its end",
+        lambda: f"{run.stream.request} was settled before its last event",
     )
     ending = Ending(
         outcome=OutcomeKind.COMPLETED,
@@ -292,7 +293,7 @@
 
 
 def _record_dispatch(context: EntryContext, run: StreamRun) -> None:
-    """Note the dispatch as evidence, once however often it is retried."""
+    """Record the dispatch as evidence, once over all retries."""
     if run.evidence_recorded:
         return
 
@@ -311,12 +312,13 @@
 async def _settle_failed(
     context: EntryContext, run: StreamRun, problem: Problem
 ) -> None:
-    """Close the row of a request that ended without its whole answer."""
+    """Close the row of a request without a complete response."""
     if run.evidence_recorded and run.chosen.choice.rate:
         work = run.chosen.work
         note_unrated(context.tables, work.workspace, work.kind, run.version)
 
-    # An attached answer is another request's: its own entry or control settles it.
+    # An attached response belongs to another request, which its own entry or control
+    # settles.
     if run.reserved is None or run.attached is not None or problem.code == "key_reused":
         return
 
@@ -324,7 +326,7 @@
     ending = Ending(outcome=problem.outcome, version=run.version, upstream=run.upstream)
     settling = settle_row(context, work.workspace, run.chat.key, work.request, ending)
     if problem.code == CONTROL_UNAVAILABLE:
-        # The caller's final answer must not wait for a leader that isn't there.
+        # The caller's final response must not wait for an unavailable leader.
         Deferred.fromCoroutine(settling)
         return
 
--- a/src/waxwingwell/adapters/entry/streams.py
+++ b/src/waxwingwell/adapters/entry/streams.py
@@ -1,7 +1,7 @@
-"""Event streams from engines: each event checked, then forwarded as it came.
+"""Event streams from engines: each event is checked, then forwarded unchanged.
 
-An event starts with ``id: <request id>:<n>``. Foreign, doubled and missing events
-are told apart here; the bytes of good ones are passed on without decoding.
+An event starts with ``id: <request id>:<n>``. This detects foreign, duplicate and
+missing events; the bytes of valid ones are forwarded without decoding.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 DONE_MARK = b"data: [DONE]"
 USAGE_MARK = b'"usage"'
 MAX_EVENT = 1_000_000
-"""Bytes of one event; a longer one is a fault of the upstream."""
+"""Largest event in bytes; a longer one is a fault of the upstream."""
 
 
 class Fault(Enum):
-    """What is wrong with a stream."""
+    """Faults that end the relay of a stream."""
 
     CROSSED = "an event of another request"
     GAP = "an event is missing"
@@ -33,7 +33,7 @@
 
 
 class TokenCounts(msgspec.Struct):
-    """Tokens used, as an engine counts them at the end of an answer."""
+    """Token usage, as an engine reports it at the end of a response."""
 
     prompt_tokens: int = 0
     completion_tokens: int = 0
@@ -54,22 +54,22 @@
 
 @dataclass(slots=True)
 class EventStream:
-    """What was seen of one answer; survives a change of connection."""
+    """State of one event stream, kept when the connection changes."""
 
     request: str
     last: int = 0
     """Number of the last event forwarded."""
     skip: int = 0
-    """Events up to this number are read and not forwarded: the caller has them."""
+    """Events up to this number are not forwarded, since the caller has them."""
     done: bool = False
     usage: Usage = field(default_factory=Usage)
     duplicates: int = 0
-    """Events dropped because they had been forwarded before."""
+    """Events dropped because they had already been received."""
     partial_event: bytes = b""
     prefix: bytes = b""
 
     def __post_init__(self) -> None:
-        """Make the prefix that each event of this request starts with."""
+        """Build the prefix with which each event of this request starts."""
         self.prefix = f"id: {self.request}:".encode()
 
 
@@ -82,43 +82,43 @@
 
 
 def receive_bytes(stream: EventStream, data: bytes) -> Taken:
-    """Return the whole new events in ``data``, in order and of this request.
+    """Return the complete new events of this request in ``data``, in order.
 
-    Events before a faulty one go out; nothing of the faulty one or behind it does:
-    the caller drops the connection and resumes after ``stream.last``.
+    Events before an invalid one are returned, the invalid one and all later ones are
+    not. The calling code then closes the connection and resumes after ``stream.last``.
     """
     blocks = (stream.partial_event + data).split(EVENT_END)
     stream.partial_event = blocks.pop()
-    good: list[bytes] = []
+    valid: list[bytes] = []
     for block in blocks:
         number = _read_number(stream, block)
         if isinstance(number, Fault):
-            return Taken(_join(good), number)
+            return Taken(_join(valid), number)
 
-        # A resumed or doubled delivery repeats events that the caller has.
+        # A resumed or duplicate delivery contains events that were already received.
         if number <= stream.last:
             stream.duplicates += 1
             continue
 
         if number > stream.last + 1:
-            return Taken(_join(good), Fault.GAP)
+            return Taken(_join(valid), Fault.GAP)
 
         stream.last = number
         _record_end(stream, block)
         if number > stream.skip:
-            good.append(block)
+            valid.append(block)
 
     fault = Fault.OVERSIZED if len(stream.partial_event) > MAX_EVENT else None
-    return Taken(_join(good), fault)
+    return Taken(_join(valid), fault)
 
 
 def start_connection(stream: EventStream) -> None:
-    """Forget the half event of a connection that is gone."""
+    """Discard the partial event of the previous connection."""
     stream.partial_event = b""
 
 
 def read_text(data: bytes) -> str:
-    """Return the answer's text from forwarded events; unreadable ones are skipped."""
+    """Return the text of forwarded events; malformed ones are skipped."""
     parts = []
     for block in data.split(EVENT_END):
         chunk = _read_chunk(block)
--- a/src/waxwingwell/adapters/entry/upkeep.py
+++ b/src/waxwingwell/adapters/entry/upkeep.py
@@ -1,4 +1,4 @@
-"""What an entry does of its own accord: lease, evidence, spread, queue."""
+"""Periodic tasks of an entry: lease, evidence, spreading of state, queue, tables."""
 
 from __future__ import annotations
 
@@ -59,20 +59,20 @@
 SPREAD_INTERVAL = 0.5
 NEVER_ANNOUNCED = float("-inf")
 QUEUE_INTERVAL = 0.01
-"""Seconds between two runs of the queue's systems."""
+"""Seconds between two runs of the queue."""
 TABLES_INTERVAL = 0.25
-"""Seconds between two runs of the systems that go over all upstreams. Whether one
-upstream's lease still holds is looked at again with each dispatch."""
+"""Seconds between two passes over all upstreams. The lease of a single upstream is
+also checked at each dispatch."""
 
 
 @dataclass(slots=True)
 class Upkeep:
-    """What the periodic work of one entry remembers."""
+    """State of the periodic tasks of one entry."""
 
     entries: dict[str, Link] = field(default_factory=dict)
     memory: DemandMemory = field(default_factory=DemandMemory)
     announced_at: dict[str, float] = field(default_factory=dict)
-    """When each other entry was last told the news."""
+    """Time at which announcements were last sent to each other entry."""
     sequence: int = 0
     demand_sequence: int = 0
     stopped: bool = False
@@ -81,11 +81,12 @@
 
 
 def renew_periodically(context: EntryContext, upkeep: Upkeep) -> None:
-    """Renew the configuration lease now, and again in due time.
+    """Renew the configuration lease now, and schedule the next renewal.
 
-    Failure guarded against: renewals go unanswered while the leader changes. With the
-    usual pause after each, a lease runs out on two or three of them, and the entry
-    refuses work though a leader was there for most of that time.
+    A failed renewal is retried after a short delay. While the leader changes renewals
+    get no reply; with the usual interval after each, two or three of them would use up
+    the lease, and the entry would refuse work although a leader was available for
+    most of that time.
     """
     if upkeep.stopped:
         return
@@ -93,18 +94,18 @@
     done = Deferred.fromCoroutine(renew_once(context))
     done.addErrback(_report_renewal)
 
-    def again(granted: bool) -> None:
-        pause = RENEW_INTERVAL if granted else RENEW_RETRY_DELAY
+    def schedule_next(granted: bool) -> None:
+        delay = RENEW_INTERVAL if granted else RENEW_RETRY_DELAY
         if not upkeep.stopped:
             upkeep.renewal = context.reactor.callLater(
-                pause, renew_periodically, context, upkeep
+                delay, renew_periodically, context, upkeep
             )
 
-    done.addCallback(again)
+    done.addCallback(schedule_next)
 
 
 def stop_upkeep(upkeep: Upkeep) -> None:
-    """Renew no more; the lease runs out by itself."""
+    """Stop the renewals; the lease expires by itself."""
     upkeep.stopped = True
     if upkeep.renewal is not None and upkeep.renewal.active():
         upkeep.renewal.cancel()
@@ -116,9 +117,9 @@
 
 
 async def renew_once(context: EntryContext) -> bool:
-    """Ask for the lease, taking newer configuration first where there is any.
+    """Request the lease, after applying a newer configuration if there is one.
 
-    True if it was granted.
+    Return whether the lease was granted.
     """
     for _ in range(2):
         renewal = begin_renewal(context.lease, context.clock())
@@ -166,7 +167,7 @@
 
 
 async def flush_evidence(context: EntryContext, upkeep: Upkeep) -> None:
-    """Send what was learnt of versions; a resend carries the same sequence."""
+    """Send new evidence about versions; a retry carries the same sequence number."""
     rows = take_increments(context.tables)
     if not rows:
         return
@@ -187,10 +188,10 @@
 
 
 def spread_news(context: EntryContext, upkeep: Upkeep) -> None:
-    """Tell the other entries of upstreams and demand heard of here.
+    """Send announcements and demand known at this entry to the other entries.
 
-    Each is told what is new since it was last told. What was under way when a
-    connection broke may be lost, so that a new connection is told everything.
+    Each entry receives what is new since the last message to it. Messages in transit
+    may be lost when a connection breaks, so a new connection receives everything.
     """
     now = context.clock()
     upkeep.demand_sequence += 1
@@ -210,12 +211,12 @@
 
 
 def reset_announced(upkeep: Upkeep, name: str) -> None:
-    """Note that an entry must be told everything: its connection is new."""
+    """Send all announcements again to an entry, as its connection is new."""
     upkeep.announced_at.pop(name, None)
 
 
 def take_news(context: EntryContext, upkeep: Upkeep, body: Any) -> None:
-    """Take in what another entry tells."""
+    """Apply a message from another entry."""
     now = context.clock()
     if isinstance(body, SpreadAnnouncements):
         take_spread(context.tables, body, 0.0, now)
@@ -224,13 +225,13 @@
 
 
 def run_queue_tick(context: EntryContext, placements: Placements) -> None:
-    """Hand out waiting requests; costs nothing while none waits."""
+    """Place waiting requests; costs nothing while none waits."""
     if context.tables.waiting:
         run_queue(context, placements)
 
 
 def run_tables_tick(context: EntryContext, upkeep: Upkeep) -> None:
-    """Run the systems that go over whole tables."""
+    """Run the periodic passes over whole tables."""
     now = context.clock()
     expire_upstreams(context.tables, now)
     index_upstreams(context.tables, now)
--- a/src/waxwingwell/adapters/entry/upstream_client.py
+++ b/src/waxwingwell/adapters/entry/upstream_client.py
@@ -1,4 +1,4 @@
-"""Calls to upstreams, with what is known of a failure: did it run or not."""
+"""HTTP calls to upstreams; failures state whether the request may have run."""
 
 from __future__ import annotations
 
@@ -27,17 +27,17 @@
 
 
 CONNECT_TIMEOUT = 1.0
-"""Seconds; data centres are milliseconds apart."""
+"""Seconds; round trips between data centres take milliseconds."""
 MAX_IDLE_PER_HOST = 64
 IDLE_TIMEOUT = 20
 """Seconds; shorter than the idle timeout of common servers."""
 NOT_RUN_STATUSES = frozenset({429, 503})
-"""Statuses by which an upstream says that it refused before running."""
+"""Statuses with which an upstream may refuse a request before running it."""
 OUTCOME_HEADER = "x-outcome"
 
 
 class AttemptError(Exception):
-    """One attempt at an upstream failed."""
+    """An attempt at an upstream failed."""
 
     def __init__(self, reason: str, *, may_have_run: bool) -> None:
         super().__init__(reason)
@@ -46,7 +46,7 @@
 
 @implementer(IBodyProducer)
 class BytesProducer:
-    """A request body that is in memory already."""
+    """A request body that is held in memory."""
 
     def __init__(self, body: bytes) -> None:
         self.body = body
@@ -69,12 +69,12 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamClient:
-    """Two ways to reach an upstream, both without silent retries.
+    """Two HTTP agents, with and without a connection pool, both without retries.
 
-    The HTTP client repeats a request by itself when a pooled connection turns out
-    dead; that would run an order twice, so it is off. Orders use a new connection
-    each time: on a reused one, a close by the other end can't be told from a loss
-    after the order was read.
+    By default the HTTP client retries a request by itself when a pooled connection
+    proves to be dead. That could run an order twice, so it is disabled. Orders use a
+    new connection each time: on a reused one, a close by the peer can't be
+    distinguished from a loss after the order was read.
     """
 
     pooled: Any
@@ -96,11 +96,11 @@
     key: str = ""
     repeatable: bool = True
     fencing: int = 0
-    """Sent with orders; 0 sends none."""
+    """Fencing number of an order; with 0 no header is sent."""
 
 
 def open_upstream_client(reactor: Any) -> UpstreamClient:
-    """Return a client whose pool never repeats a request by itself."""
+    """Return a client whose agents never retry a request by themselves."""
     pool = HTTPConnectionPool(reactor, persistent=True)
     pool.maxPersistentPerHost = MAX_IDLE_PER_HOST
     pool.cachedConnectionTimeout = IDLE_TIMEOUT
@@ -131,24 +131,24 @@
 async def send_call(
     context: EntryContext, row: UpstreamRow, call: UpstreamCall, *, limit: float
 ) -> Any:
-    """Send a call and return the response once its headers are here.
+    """Send a call and return the response once its headers have arrived.
 
-    Errors: ``AttemptError``; ``may_have_run`` is false only where the upstream
-    provably did no work: no connection was made, or it said so. ``limit`` is in
-    seconds up to the headers.
+    ``limit`` is the time in seconds up to the headers. Errors: ``AttemptError``;
+    ``may_have_run`` is false only if the upstream provably did no work: no connection
+    was made, or its response states so.
     """
     client = context.client
     agent = client.pooled if call.repeatable else client.unpooled
     url = f"http://{row.announcement.host}:{row.announcement.port}{call.path}"
-    # Not through treq: it parses and encodes each address anew, which took a third
-    # of a whole request's processor time (docs/design/streams.md).
+    # The agent is used without treq, which parses and encodes each URL anew: that took
+    # a third of a request's total processor time (docs/design/streams.md).
     producer = BytesProducer(call.body) if call.body else None
-    asked = agent.request(
+    pending = agent.request(
         call.method.encode(), url.encode(), _make_headers(call), producer
     )
-    asked.addTimeout(limit, context.reactor)
+    pending.addTimeout(limit, context.reactor)
     try:
-        response = await asked
+        response = await pending
     except (
         ConnectError,
         ConnectTimeoutError,
@@ -173,12 +173,12 @@
 
 
 def discard_response(response: Any) -> None:
-    """Give a response up together with its connection."""
+    """Discard a response and close its connection."""
     response.deliverBody(_DiscardingProtocol())
 
 
 def read_header(response: Any, name: str) -> str:
-    """Return a response header, or an empty text."""
+    """Return a response header, or an empty string."""
     values = response.headers.getRawHeaders(name)
     return str(values[0]) if values else ""
 
--- a/src/waxwingwell/adapters/entry/web.py
+++ b/src/waxwingwell/adapters/entry/web.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP API: OpenAI-compatible chats, models, plain services."""
+"""HTTP API for callers: OpenAI-compatible chats, models and plain services."""
 
 from __future__ import annotations
 
@@ -45,11 +45,11 @@
 Handler = Callable[..., Any]
 METHODS = ("GET", "POST", "PUT", "DELETE", "PATCH")
 REQUEST_TIMEOUT = 300.0
-"""Seconds that a request may take in all."""
+"""Seconds that a request may take in total."""
 
 
 class Model(msgspec.Struct, frozen=True):
-    """One version as ``GET /v1/models`` lists it."""
+    """A version as listed by ``GET /v1/models``."""
 
     id: str
     created: int = 0
@@ -58,14 +58,14 @@
 
 
 class ModelList(msgspec.Struct, frozen=True):
-    """The versions that a workspace allows."""
+    """The versions that a workspace allows, as listed by ``GET /v1/models``."""
 
     data: tuple[Model, ...]
     object: str = "list"
 
 
 def make_caller_app(context: EntryContext, placements: Placements) -> Klein:
-    """Return the application that callers use."""
+    """Return the web application that callers use."""
     app = Klein()
     _add_health(app, context)
     _add_chats(app, context, placements)
@@ -172,7 +172,7 @@
     work: Work,
     run: Callable[[], Any],
 ) -> Any:
-    """Admit, run and release one request; the planned stop waits for it."""
+    """Admit, run and release one request; a planned stop waits for it."""
     now = context.clock()
     admitted = admit(context.tables, work, now)
     if isinstance(admitted, Refusal):
--- a/src/waxwingwell/adapters/entry/whole.py
+++ b/src/waxwingwell/adapters/entry/whole.py
@@ -1,4 +1,4 @@
-"""Chats answered whole: one version, or a cascade that rates and escalates."""
+"""Non-streaming chats: one version, or a cascade that rates and escalates."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 CHAT_PATH = "/v1/chat/completions"
 MAX_RESPONSE_BYTES = 16_000_000
-"""Bytes of a whole answer."""
+"""Largest complete response of an upstream."""
 RETRY_AFTER_FAILURE = 1.0
 
 
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CompleteResponse:
-    """A whole answer with what it used, over all versions that were tried."""
+    """A complete response with its usage, summed over all versions that ran."""
 
     body: bytes
     text: str
@@ -82,7 +82,7 @@
 
     version: VersionId
     escalated: bool
-    """An earlier version's answer was rated too low."""
+    """An earlier version's response was rated too low."""
     last: bool
 
 
@@ -93,16 +93,16 @@
     chosen: ChosenWork,
     span: Span,
 ) -> CompleteResponse:
-    """Run the plan's versions in turn until one answers well enough.
+    """Run the plan's versions in turn until a response is rated high enough.
 
-    Errors: ``Problem``. A later version that can't be had doesn't lose the answer of
-    an earlier one: the best there is goes out.
+    Errors: ``Problem``. If a later version fails, the response of the version before
+    it is returned.
     """
     spent = Usage()
     best: CompleteResponse | None = None
     last = len(chosen.choice.plan) - 1
-    for place, version in enumerate(chosen.choice.plan):
-        step = CascadeStep(version=version, escalated=place > 0, last=place == last)
+    for index, version in enumerate(chosen.choice.plan):
+        step = CascadeStep(version=version, escalated=index > 0, last=index == last)
         try:
             answer = await _run_step(context, placements, chat, chosen, step, span)
         except Problem:
@@ -156,7 +156,7 @@
 
         raise
 
-    asked = RatedResponse(
+    rated = RatedResponse(
         work=work,
         version=step.version,
         prompt=chat.prompt,
@@ -165,10 +165,10 @@
         threshold=0.0 if step.last else chosen.choice.threshold,
     )
     if not step.last:
-        return replace(answer, rating=await rate_answer(context, asked))
+        return replace(answer, rating=await rate_answer(context, rated))
 
     if rate:
-        rate_in_background(context, asked)
+        rate_in_background(context, rated)
 
     return answer
 
@@ -217,10 +217,10 @@
 
 
 def correct_outcome(problem: Problem, *, ran: bool) -> Problem:
-    """Return the problem with an outcome that is true of all attempts so far.
+    """Return the problem with an outcome that holds for all attempts so far.
 
-    Failure guarded against: an engine takes the request and falls silent, no other
-    is free, and the refusal for want of a place says "not run" of work that ran.
+    Otherwise, if an engine accepts the request and then stalls and no other one has
+    capacity, the refusal would report work that ran as "not run".
     """
     if not ran or problem.outcome is not OutcomeKind.NOT_RUN:
         return problem
@@ -231,9 +231,9 @@
 def check_retry(
     context: EntryContext, error: AttemptError, *, repeatable: bool, ran: bool = False
 ) -> None:
-    """Return if one more attempt is safe and within the budget, or raise.
+    """Return if another attempt is safe and within the retry budget, or raise.
 
-    ``ran`` tells whether an earlier attempt may have run.
+    ``ran`` states whether an earlier attempt may have run.
     """
     state = DispatchState.SENT if error.may_have_run else DispatchState.NOT_SENT
     safe = is_retry_safe(repeatable, state)
@@ -258,7 +258,7 @@
 
 
 def make_upstream_problem(status: int, data: bytes) -> Problem:
-    """Return the problem that tells a caller of an engine's own error answer."""
+    """Return the problem that reports an engine's error response to the caller."""
     return Problem(
         status=status if 400 <= status < 500 else 502,
         code="upstream_error",
