--- a/tests/adapters/entry/test_chats.py
+++ b/tests/adapters/entry/test_chats.py
@@ -1,4 +1,4 @@
-"""Chat requests are checked as a whole, with the place of every fault."""
+"""Validation of chat requests, which reports every invalid field."""
 
 from __future__ import annotations
 
@@ -28,46 +28,46 @@
 )
 MESSAGES = '"messages":[{"role":"user","content":"hi"}]'
 
-BAD = (
+INVALID_BODIES = (
     ("not JSON", "{", ("(whole)",)),
     ("not an object", "[]", ("(whole)",)),
     ("no messages", "{}", ("messages",)),
     ("empty messages", '{"messages":[]}', ("messages",)),
     ("no role", '{"messages":[{"content":"x"}]}', ("messages.0.role",)),
     (
-        "two faults at once",
+        "two invalid fields",
         '{"messages":[{"role":""}],"max_tokens":0}',
         ("messages.0.role", "max_tokens"),
     ),
-    ("stream no flag", "{" + MESSAGES + ',"stream":"maybe"}', ("stream",)),
+    ("stream not a boolean", "{" + MESSAGES + ',"stream":"maybe"}', ("stream",)),
 )
 
 
-def read(body: str, headers: ChatHeaders = ChatHeaders()) -> object:  # noqa: B008
-    """Read a chat at a fixed place and deadline."""
+def parse(body: str, headers: ChatHeaders = ChatHeaders()) -> object:  # noqa: B008
+    """Parse a chat with a fixed data centre and deadline."""
     return parse_chat(body.encode(), headers, CONFIG, data_centre="d", deadline=9.0)
 
 
-class ReadChatTest(unittest.TestCase):
-    """Good and bad bodies."""
+class ParseChatTest(unittest.TestCase):
+    """Valid and invalid bodies."""
 
-    def test_bad_bodies_name_every_place(self) -> None:
-        for name, body, places in BAD:
+    def test_invalid_bodies_report_every_field(self) -> None:
+        for name, body, places in INVALID_BODIES:
             with self.subTest(name):
                 with self.assertRaises(Problem) as caught:
-                    read(body)
+                    parse(body)
 
                 problem = caught.exception
                 self.assertEqual(problem.status, 400)
                 self.assertEqual(tuple(f.place for f in problem.findings), places)
 
-    def test_unknown_kind_names_the_known(self) -> None:
+    def test_unknown_kind_lists_known_kinds(self) -> None:
         with self.assertRaises(Problem) as caught:
-            read("{" + MESSAGES + "}", ChatHeaders(kind="poem"))
+            parse("{" + MESSAGES + "}", ChatHeaders(kind="poem"))
 
         self.assertIn("question, report", caught.exception.message)
 
-    def test_fields_reach_the_engine(self) -> None:
+    def test_fields_are_forwarded_to_the_engine(self) -> None:
         body = "{" + MESSAGES + ',"temperature":0.5,"session":"s","stream":true}'
         chat = parse_chat(
             body.encode(), ChatHeaders(), CONFIG, data_centre="d", deadline=9.0
@@ -78,7 +78,7 @@
         self.assertNotIn("session", sent)
         self.assertTrue(sent["stream_options"]["include_usage"])
 
-    def test_prefixes_grow_with_the_prompt(self) -> None:
+    def test_prompts_share_the_digests_of_common_prefixes(self) -> None:
         first = '{"messages":[{"role":"user","content":"%s"}]}' % ("a" * 3000)
         chat = parse_chat(
             first.encode(), ChatHeaders(), CONFIG, data_centre="d", deadline=9.0
--- a/tests/adapters/entry/test_control_client.py
+++ b/tests/adapters/entry/test_control_client.py
@@ -1,4 +1,4 @@
-"""An entry's calls to control while a leader stands still or none answers."""
+"""An entry's calls to control while the leader stalls or none replies."""
 
 from __future__ import annotations
 
@@ -30,61 +30,61 @@
 
 
 class ControlClientTest(unittest.TestCase):
-    """The clock is moved by hand; links are stubs that note who is asked."""
+    """The clock is advanced by the test; links are stubs that record each call."""
 
     def setUp(self) -> None:
         self.clock = Clock()
-        self.asked: list[str] = []
+        self.called: list[str] = []
         self.client = ControlClient(reactor=self.clock, clock=self.clock.seconds)
 
-    def add_link(self, name: str, answer: Any) -> None:
+    def add_link(self, name: str, reply: Any) -> None:
         def call(body: Any, *, timeout: float) -> Deferred[Any]:
-            self.asked.append(name)
-            return cast("Deferred[Any]", answer(timeout))
+            self.called.append(name)
+            return cast("Deferred[Any]", reply(timeout))
 
         protocol = SimpleNamespace(call=call, replace_silent=lambda: None)
         link = SimpleNamespace(name=name, protocol=protocol)
         self.client.links[name] = cast("Any", link)
 
-    def lose_later(self, timeout: float) -> Deferred[Any]:
-        lost: Deferred[Any] = Deferred()
-        self.clock.callLater(timeout, lost.errback, LinkLostError("no answer"))
-        return lost
+    def time_out(self, timeout: float) -> Deferred[Any]:
+        pending: Deferred[Any] = Deferred()
+        self.clock.callLater(timeout, pending.errback, LinkLostError("no reply"))
+        return pending
 
-    def test_frozen_leader_is_not_asked_again_at_once(self) -> None:
-        """The leader stands still, and the others still name it for a while.
+    def test_stalled_leader_is_not_called_again_at_once(self) -> None:
+        """The leader stalls, and the other processes still name it for a while.
 
-        An entry whose call ran out its time must not be sent back to it by them:
-        its caller would wait a whole call's time once more.
+        After a timeout an entry must not let them redirect it to that leader: its caller
+        would wait for a second full timeout.
         """
-        self.add_link("frozen", self.lose_later)
+        self.add_link("stalled", self.time_out)
         elected_at = 1.3
 
-        def tell(timeout: float) -> Deferred[Any]:
+        def reply(timeout: float) -> Deferred[Any]:
             elected = self.clock.seconds() >= elected_at
             return succeed(
-                InForce(in_force=True) if elected else NotLeader(leader="frozen")
+                InForce(in_force=True) if elected else NotLeader(leader="stalled")
             )
 
-        self.add_link("other", tell)
-        self.client.leader = "frozen"
-        asking = Deferred.fromCoroutine(
+        self.add_link("other", reply)
+        self.client.leader = "stalled"
+        pending = Deferred.fromCoroutine(
             ask_leader(self.client, AskInForce(config_version=1), limit=3.0)
         )
-        found: list[Any] = []
-        asking.addBoth(found.append)
-        while not found:
+        replies: list[Any] = []
+        pending.addBoth(replies.append)
+        while not replies:
             self.clock.advance(STEP)
 
-        self.assertEqual(found, [InForce(in_force=True)])
-        self.assertEqual(self.asked.count("frozen"), 1)
+        self.assertEqual(replies, [InForce(in_force=True)])
+        self.assertEqual(self.called.count("stalled"), 1)
         self.assertLess(self.clock.seconds(), elected_at + 3 * STEP)
 
-    def test_renewal_that_was_not_granted_is_repeated_soon(self) -> None:
-        """The leader changes, and an entry's renewal goes unanswered.
+    def test_renewal_that_was_not_granted_is_retried_soon(self) -> None:
+        """The leader changes, and a renewal of the entry's lease gets no reply.
 
-        The entry holds its lease still. If it paused as after a grant, two or three
-        such renewals would use the lease up.
+        The entry still holds its lease. If it waited as long as after a grant, two or
+        three such renewals would use the lease up.
         """
         self.add_link("none", lambda timeout: fail(LinkLostError("down")))
         lease = ConfigLease(entry=EntryId("entry-1"), incarnation=1)
@@ -104,5 +104,5 @@
 
         self.assertLess(self.clock.seconds(), RENEW_TIMEOUT + 2 * STEP)
         self.assertIsNotNone(upkeep.renewal)
-        due = upkeep.renewal.getTime() - self.clock.seconds()
-        self.assertAlmostEqual(due, RENEW_RETRY_DELAY)
+        delay = upkeep.renewal.getTime() - self.clock.seconds()
+        self.assertAlmostEqual(delay, RENEW_RETRY_DELAY)
--- a/tests/adapters/entry/test_sites.py
+++ b/tests/adapters/entry/test_sites.py
@@ -1,4 +1,4 @@
-"""Closing the connections of a site: callers that read slowly get all, then it ends."""
+"""Closing of a site's connections: slow callers receive the complete response first."""
 
 from __future__ import annotations
 
@@ -28,26 +28,26 @@
 reactor: Any = default_reactor
 ADDRESS = "127.0.0.1"
 IDLE = 30.0
-"""Seconds of silence."""
+"""Idle timeout in seconds."""
 CLOSE_LIMIT = 5.0
-"""Seconds after which a connection counts as never closed; no pass mark."""
+"""Seconds after which the test fails because a connection was not closed."""
 
 
 class CloseTest(AsyncTestCase):
     """A planned stop closes connections after their last byte."""
 
-    async def test_a_caller_that_reads_slowly(self) -> None:
-        """An entry is stopped while a caller still reads a long answer.
+    async def test_slow_caller_receives_the_complete_response(self) -> None:
+        """An entry is stopped while a caller still reads a long response.
 
-        The connection must close once the answer has left. If it stays open the entry
-        waits until its time is over, and reports an answer cut that was whole.
+        The connection must close once the response was sent. If it stayed open, the
+        entry would wait for its limit and report a complete response as cut.
         """
-        asked: Deferred[None] = Deferred()
+        requested: Deferred[None] = Deferred()
         app = Klein()
 
         @app.route("/")
-        def answer(request: Any) -> bytes:
-            reactor.callLater(0, asked.callback, None)
+        def respond(request: Any) -> bytes:
+            reactor.callLater(0, requested.callback, None)
             return b"x" * LARGE
 
         site = make_site(app, max_body=1, timeout=60.0)
@@ -56,7 +56,7 @@
         endpoint = TCP4ClientEndpoint(reactor, ADDRESS, port.getHost().port)
         caller: Any = await endpoint.connect(Factory.forProtocol(Caller))
         self.addCleanup(caller.transport.abortConnection)
-        await asked
+        await requested
         close_connections(site)
         caller.transport.resumeProducing()
         received = await caller.ended.addTimeout(CLOSE_LIMIT, reactor)
@@ -64,14 +64,14 @@
         self.assertEqual(site.transports, set())
 
 
-class SilenceTest(unittest.TestCase):
-    """When a connection counts as idle."""
+class IdleTimeoutTest(unittest.TestCase):
+    """Conditions under which a connection counts as idle."""
 
-    def test_a_caller_that_takes_a_long_answer_for_long(self) -> None:
-        """A caller reads a long answer slowly, and sends nothing meanwhile.
+    def test_slow_reader_is_not_idle(self) -> None:
+        """A caller reads a long response slowly, and sends nothing meanwhile.
 
-        The request has ended long ago. Were the connection taken for an idle one, the
-        answer would end in the middle. Once the answer has left, silence counts.
+        The request has ended long before. If the connection counted as idle, the
+        response would be cut. The idle timeout applies once the response was sent.
         """
         clock = Clock()
         app = Klein()
@@ -92,8 +92,8 @@
         self.assertFalse(transport.connected)
         self.assertFalse(transport.aborted)
 
-    def test_a_caller_that_takes_nothing_is_left_to_the_kernel(self) -> None:
-        """A caller stops reading for good: its answer must not be held for ever."""
+    def test_kernel_times_out_a_caller_that_reads_nothing(self) -> None:
+        """A caller stops reading for good: its response must not be held for ever."""
         options: list[tuple[int, int, int]] = []
         site = CountingSite(Klein().resource(), reactor=Clock(), timeout=IDLE)
         channel: Any = site.buildProtocol(None)
@@ -103,5 +103,5 @@
         ):
             channel.makeConnection(transport)
 
-        wanted = (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, round(IDLE * 1000))
-        self.assertEqual(options, [wanted])
+        expected = (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, round(IDLE * 1000))
+        self.assertEqual(options, [expected])
