--- a/src/waxwingwell/adapters/entry/announcements.py
+++ b/src/waxwingwell/adapters/entry/announcements.py
@@ -46,9 +46,9 @@
         except Problem as problem:
             return write_problem(request, problem)
 
-        accepted = take_announcement(context.tables, announcement, 0.0, context.clock())
+        taken = take_announcement(context.tables, announcement, 0.0, context.clock())
         request.setHeader("content-type", JSON)
-        reply = AnnouncementTaken(taken=accepted, lease=get_lease(announcement))
+        reply = AnnouncementTaken(taken=taken, lease=get_lease(announcement))
         return msgspec.json.encode(reply)
 
     return app
--- a/src/waxwingwell/adapters/entry/chat_answers.py
+++ b/src/waxwingwell/adapters/entry/chat_answers.py
@@ -163,9 +163,9 @@
     return span
 
 
-def write_stored_response(request: Request, answer: StoredAnswer) -> bytes:
+def write_stored_response(request: Request, response: StoredAnswer) -> bytes:
     """Write a stored response as it was sent the first time."""
-    request.setResponseCode(answer.status)
-    request.setHeader("content-type", answer.content_type)
+    request.setResponseCode(response.status)
+    request.setHeader("content-type", response.content_type)
     request.setHeader("x-outcome", OutcomeKind.COMPLETED.value)
-    return answer.body
+    return response.body
--- a/src/waxwingwell/adapters/entry/daemon.py
+++ b/src/waxwingwell/adapters/entry/daemon.py
@@ -177,7 +177,7 @@
     check(
         Promise.STOP_CUTS_NOTHING,
         context.running + left == 0,
-        lambda: f"the limit cut {context.running} requests and {left} responses",
+        lambda: f"{context.running} requests, {left} responses cut by the drain limit",
     )
     await flush_evidence(context, daemon.upkeep)
     await close_entry(daemon)
--- a/src/waxwingwell/adapters/entry/guards.py
+++ b/src/waxwingwell/adapters/entry/guards.py
@@ -60,8 +60,8 @@
     context: EntryContext, handler: Handler, request: Request, names: dict[str, str]
 ) -> bytes | None:
     try:
-        answer: bytes | None = await handler(request, **names)
-        return _set_content_length(request, answer)
+        body: bytes | None = await handler(request, **names)
+        return _set_content_length(request, body)
     except Problem as problem:
         context.metrics.count(f"problems.{problem.code}", 1)
         return _respond_with_problem(request, problem)
--- a/src/waxwingwell/adapters/entry/ratings.py
+++ b/src/waxwingwell/adapters/entry/ratings.py
@@ -91,14 +91,14 @@
     return rating
 
 
-def rate_in_background(context: EntryContext, answer: RatedResponse) -> None:
+def rate_in_background(context: EntryContext, response: RatedResponse) -> None:
     """Request a rating in the background; a planned stop waits for it."""
     context.pending_ratings += 1
 
     def decrement(_: object) -> None:
         context.pending_ratings -= 1
 
-    Deferred.fromCoroutine(rate_answer(context, answer)).addBoth(decrement)
+    Deferred.fromCoroutine(rate_answer(context, response)).addBoth(decrement)
 
 
 async def _fetch_rating(context: EntryContext, rating_request: RatingAsked) -> float:
--- a/src/waxwingwell/adapters/entry/services.py
+++ b/src/waxwingwell/adapters/entry/services.py
@@ -136,13 +136,15 @@
 
     try:
         check_lease(context)
-        answer = await _dispatch_call(context, placements, call, choice.upstream, span)
+        response = await _dispatch_call(
+            context, placements, call, choice.upstream, span
+        )
     except Problem as problem:
         await _settle(context, call, problem.outcome, None)
         raise
 
-    await _settle(context, call, OutcomeKind.COMPLETED, answer)
-    return answer
+    await _settle(context, call, OutcomeKind.COMPLETED, response)
+    return response
 
 
 def find_stored_response(outcome: ReserveOutcome) -> StoredAnswer | None:
--- a/src/waxwingwell/adapters/entry/upkeep.py
+++ b/src/waxwingwell/adapters/entry/upkeep.py
@@ -203,8 +203,8 @@
     )
     for name, link in upkeep.entries.items():
         since = upkeep.announced_at.get(name, NEVER_ANNOUNCED)
-        news = list_spread(context.tables, since, now)
-        if not news.announcements or cast_link(link, news):
+        update = list_spread(context.tables, since, now)
+        if not update.announcements or cast_link(link, update):
             upkeep.announced_at[name] = now
 
         cast_link(link, demand)
--- a/src/waxwingwell/adapters/entry/web.py
+++ b/src/waxwingwell/adapters/entry/web.py
@@ -132,10 +132,10 @@
         async def run() -> bytes | None:
             return await run_chat(context, placements, request, chat)
 
-        answer: bytes | None = await _run_admitted(
+        response: bytes | None = await _run_admitted(
             context, placements, request, chat.work, run
         )
-        return answer
+        return response
 
 
 def _add_services(app: Klein, context: EntryContext, placements: Placements) -> None:
@@ -153,16 +153,16 @@
         async def run() -> bytes:
             span = start_request_span(context, request, call.work)
             try:
-                answer = await run_service_call(context, placements, call, span)
+                response = await run_service_call(context, placements, call, span)
             finally:
                 span.end()
 
-            return write_stored_response(request, answer)
+            return write_stored_response(request, response)
 
-        answer: bytes = await _run_admitted(
+        response: bytes = await _run_admitted(
             context, placements, request, call.work, run
         )
-        return answer
+        return response
 
 
 async def _run_admitted(
--- a/src/waxwingwell/adapters/entry/whole.py
+++ b/src/waxwingwell/adapters/entry/whole.py
@@ -104,16 +104,16 @@
     for index, version in enumerate(chosen.choice.plan):
         step = CascadeStep(version=version, escalated=index > 0, last=index == last)
         try:
-            answer = await _run_step(context, placements, chat, chosen, step, span)
+            response = await _run_step(context, placements, chat, chosen, step, span)
         except Problem:
             if best is None:
                 raise
 
             break
 
-        spent = _add_usage(spent, answer.usage)
-        best = answer
-        if step.last or _meets_threshold(answer, chosen.choice.threshold):
+        spent = _add_usage(spent, response.usage)
+        best = response
+        if step.last or _meets_threshold(response, chosen.choice.threshold):
             break
 
     assert best is not None
@@ -141,7 +141,7 @@
         escalated=step.escalated,
     )
     try:
-        answer = await _request_version(
+        response = await _request_version(
             context, placements, chat, chosen, step.version, span
         )
     except Problem:
@@ -160,21 +160,21 @@
         work=work,
         version=step.version,
         prompt=chat.prompt,
-        text=answer.text,
+        text=response.text,
         escalated=step.escalated,
         threshold=0.0 if step.last else chosen.choice.threshold,
     )
     if not step.last:
-        return replace(answer, rating=await rate_answer(context, rated))
+        return replace(response, rating=await rate_answer(context, rated))
 
     if rate:
         rate_in_background(context, rated)
 
-    return answer
+    return response
 
 
-def _meets_threshold(answer: CompleteResponse, threshold: float) -> bool:
-    return answer.rating is not None and answer.rating >= threshold
+def _meets_threshold(response: CompleteResponse, threshold: float) -> bool:
+    return response.rating is not None and response.rating >= threshold
 
 
 async def _request_version(
--- a/tests/adapters/entry/test_control_client.py
+++ b/tests/adapters/entry/test_control_client.py
@@ -54,7 +54,7 @@
     def test_stalled_leader_is_not_called_again_at_once(self) -> None:
         """The leader stalls, and the other processes still name it for a while.
 
-        After a timeout an entry must not let them redirect it to that leader: its caller
+        After a timeout the entry must not let them redirect it there again: its caller
         would wait for a second full timeout.
         """
         self.add_link("stalled", self.time_out)
