--- a/src/waxwingwell/adapters/entry/chats.py
+++ b/src/waxwingwell/adapters/entry/chats.py
@@ -27,11 +27,13 @@
 BYTES_PER_TOKEN = 4
 """Estimated size of a token, used until the engine reports token counts."""
 DEFAULT_ANSWER_TOKENS = 256
+"""Assumed length of a response if the caller sets no limit."""
 MAX_KEY = 200
 """Characters of a request key or session name."""
 PREFIX_STEP = 1024
 """Characters by which each hashed prompt prefix is longer than the one before."""
 MAX_PREFIXES = 16
+"""Limit of hashed prefixes of one prompt."""
 AUTO_MODEL = "auto"
 """Model name that lets the router choose; a missing name has the same effect."""
 
--- a/src/waxwingwell/adapters/entry/daemon.py
+++ b/src/waxwingwell/adapters/entry/daemon.py
@@ -157,10 +157,11 @@
 
 
 async def stop_entry(daemon: EntryDaemon) -> None:
-    """Stop after all running requests have ended.
+    """Stop without cutting a request.
 
     The readiness check fails first, and new connections are served until the load
-    balancer has noticed. Connections close between two responses.
+    balancer has noticed. Running requests end, and connections close after a complete
+    response.
     """
     context = daemon.context
     settings = context.settings
--- a/src/waxwingwell/adapters/entry/placement.py
+++ b/src/waxwingwell/adapters/entry/placement.py
@@ -67,7 +67,7 @@
 
 
 def run_queue(context: EntryContext, placements: Placements) -> None:
-    """Place requests for which there is capacity; refuse those past their deadline."""
+    """Place requests while there is capacity; refuse those that can't start in time."""
     now = context.clock()
     for expired in shed_expired(context.tables, now):
         _resolve(placements, expired.waiting.work.request, expired.result)
--- a/src/waxwingwell/adapters/entry/upkeep.py
+++ b/src/waxwingwell/adapters/entry/upkeep.py
@@ -51,12 +51,17 @@
 
 
 RENEW_INTERVAL = 1.0
+"""Seconds until the next renewal after one that was granted."""
 RENEW_RETRY_DELAY = 0.1
 """Seconds until the next renewal after one that was not granted."""
 RENEW_TIMEOUT = 1.0
+"""Seconds for which a renewal waits for a leader's reply."""
 EVIDENCE_EVERY = 1.0
+"""Seconds between two reports of evidence."""
 EVIDENCE_TIMEOUT = 2.0
+"""Seconds for which a report of evidence waits for a leader's reply."""
 SPREAD_INTERVAL = 0.5
+"""Seconds between two messages to the other entries."""
 NEVER_ANNOUNCED = float("-inf")
 QUEUE_INTERVAL = 0.01
 """Seconds between two runs of the queue."""
--- a/src/waxwingwell/adapters/entry/upstream_client.py
+++ b/src/waxwingwell/adapters/entry/upstream_client.py
@@ -29,6 +29,7 @@
 CONNECT_TIMEOUT = 1.0
 """Seconds; round trips between data centres take milliseconds."""
 MAX_IDLE_PER_HOST = 64
+"""Idle connections kept open to one upstream."""
 IDLE_TIMEOUT = 20
 """Seconds; shorter than the idle timeout of common servers."""
 NOT_RUN_STATUSES = frozenset({429, 503})
--- a/src/waxwingwell/adapters/entry/whole.py
+++ b/src/waxwingwell/adapters/entry/whole.py
@@ -49,6 +49,7 @@
 MAX_RESPONSE_BYTES = 16_000_000
 """Largest complete response of an upstream."""
 RETRY_AFTER_FAILURE = 1.0
+"""Seconds after which a caller may retry when an upstream failed."""
 
 
 class _Message(msgspec.Struct):
