--- a/src/waxwingwell/adapters/entry/control_client.py
+++ b/src/waxwingwell/adapters/entry/control_client.py
@@ -1,4 +1,4 @@
-"""How an entry reaches the control leader, whichever process leads."""
+"""Client for the control leader, which may be any of the control processes."""
 
 from __future__ import annotations
 
@@ -28,35 +28,35 @@
 
 
 CALL_TIMEOUT = 1.0
-"""Seconds for one attempt."""
-RETRY_PAUSE = 0.05
+"""Timeout of one attempt in seconds."""
+RETRY_DELAY = 0.05
 """Seconds between attempts while no leader is known."""
-AVOID = 0.5
-"""Seconds for which a process that did not answer in time is not asked again."""
+AVOID_SECONDS = 0.5
+"""Seconds for which a process is not called again after a timeout."""
 
 
 @dataclass(slots=True)
 class ControlClient:
-    """Links to all control processes and the one believed to lead."""
+    """Links to all control processes and the name of the presumed leader."""
 
     reactor: Any
     clock: Callable[[], float]
     links: dict[str, Link] = field(default_factory=dict)
     leader: str = ""
-    turn: int = 0
-    """Rotates the guesses while no leader is known."""
-    avoided: str = ""
-    """The process that did not answer in time."""
+    rotation: int = 0
+    """Counter that selects the next process while no leader is known."""
+    avoided_peer: str = ""
+    """The process whose last call timed out or whose link was lost."""
     avoided_until: float = 0.0
 
 
 async def submit_command(
     client: ControlClient, command: Command, *, limit: float
 ) -> Any:
-    """Put a command through the log and return its outcome.
+    """Submit a command to the replicated log and return its outcome.
 
-    Every command is idempotent (keys, change ids, sequences), so that attempts are
-    repeated freely for ``limit`` seconds. Errors: ``ControlUnavailableError``.
+    Every command is idempotent (keys, change ids, sequences), so it is retried for
+    up to ``limit`` seconds. Errors: ``ControlUnavailableError``.
     """
     return await ask_leader(client, Submit(command=command), limit=limit)
 
@@ -70,11 +70,11 @@
         left = deadline - client.clock()
         if left <= 0:
             raise ControlUnavailableError(
-                "no control leader", may_have_run=may_have_run
+                "no control leader replied in time", may_have_run=may_have_run
             )
 
         if link is not None:
-            reply = await _try_call(client, link, body, min(left, CALL_TIMEOUT))
+            reply = await _call_once(client, link, body, min(left, CALL_TIMEOUT))
             if isinstance(reply, Failed) and reply.may_have_run:
                 may_have_run = True
 
@@ -82,10 +82,10 @@
                 client.leader = link.name
                 return reply
 
-        await deferLater(client.reactor, min(RETRY_PAUSE, left), lambda: None)
+        await deferLater(client.reactor, min(RETRY_DELAY, left), lambda: None)
 
 
-async def _try_call(
+async def _call_once(
     client: ControlClient, link: Link, body: Message, timeout: float
 ) -> Any:
     try:
@@ -95,13 +95,13 @@
         return Failed(reason=str(error), may_have_run=False)
     except LinkLostError as error:
         client.leader = ""
-        # Whatever took this connection may have taken the others at the same time;
-        # asking each in turn would cost the caller a call's time for each.
+        # The same fault may have broken the other connections; calling each of them
+        # in turn would cost the caller one timeout per process.
         for other in client.links.values():
             replace_silent_link(other)
 
-        client.avoided = link.name
-        client.avoided_until = client.clock() + AVOID
+        client.avoided_peer = link.name
+        client.avoided_until = client.clock() + AVOID_SECONDS
         return Failed(reason=str(error), may_have_run=True)
 
     if isinstance(reply, NotLeader):
@@ -113,9 +113,9 @@
 def _pick_link(client: ControlClient) -> Link | None:
     """Return the link to the leader, or to a process that may know it.
 
-    Failure guarded against: a leader stands still, and those that have not replaced
-    it yet still name it. Asked again at once it would cost its caller a whole call's
-    time once more, while the others elect a new one.
+    When a leader stalls, the other processes name it until they have elected a new
+    one. It is avoided for a while, since another call at once would cost the caller a
+    second full timeout.
     """
     known = client.links.get(client.leader)
     if known is not None and is_link_up(known) and not _is_avoided(client, known):
@@ -126,9 +126,9 @@
     if not up:
         return None
 
-    client.turn += 1
-    return up[client.turn % len(up)]
+    client.rotation += 1
+    return up[client.rotation % len(up)]
 
 
 def _is_avoided(client: ControlClient, link: Link) -> bool:
-    return link.name == client.avoided and client.clock() < client.avoided_until
+    return link.name == client.avoided_peer and client.clock() < client.avoided_until
--- a/src/waxwingwell/adapters/entry/guards.py
+++ b/src/waxwingwell/adapters/entry/guards.py
@@ -1,4 +1,4 @@
-"""What stands around every route: problems become answers, faults are told once."""
+"""Error handling around every route: problems and exceptions become responses."""
 
 from __future__ import annotations
 
@@ -26,17 +26,17 @@
 Handler = Callable[..., Any]
 
 
-def answer_problems(context: EntryContext) -> Callable[[Handler], Handler]:
-    """Return a decorator that turns problems into answers, and faults into one."""
+def respond_to_problems(context: EntryContext) -> Callable[[Handler], Handler]:
+    """Return a decorator that turns ``Problem`` and other exceptions into responses."""
 
     def decorate(handler: Handler) -> Handler:
         @wraps(handler)
         def run(request: Request, **names: str) -> Deferred[bytes | None]:
             if context.draining:
-                # The balancer has been told; the caller opens a new connection.
+                # The load balancer was notified, so the caller can reconnect elsewhere.
                 request.setHeader("connection", "close")
 
-            return _shield(_guard(context, handler, request, names))
+            return _shield(_run_handler(context, handler, request, names))
 
         return run
 
@@ -44,26 +44,27 @@
 
 
 def _shield(work: Coroutine[Any, Any, bytes | None]) -> Deferred[bytes | None]:
-    """Run work that goes on when the web library cancels its result.
+    """Run work that continues when the web library cancels its result.
 
-    Klein cancels a handler once its caller is gone. That would stop an order between
-    its dispatch and its row: the row would stay open and the order be lost to view.
-    The work ends by itself; only its answer has no reader any more.
+    Klein cancels a handler once its caller has disconnected. That could stop an order
+    between its dispatch and the settling of its row: the row would stay open, and the
+    outcome of the order would be lost. So the work runs to its end, and only its
+    response is dropped.
     """
     result: Deferred[bytes | None] = Deferred()
     Deferred.fromCoroutine(work).addCallbacks(result.callback, result.errback)
     return result
 
 
-async def _guard(
+async def _run_handler(
     context: EntryContext, handler: Handler, request: Request, names: dict[str, str]
 ) -> bytes | None:
     try:
-        answer: bytes | None = await handler(request, **names)
-        return _measure(request, answer)
+        body: bytes | None = await handler(request, **names)
+        return _set_content_length(request, body)
     except Problem as problem:
         context.metrics.count(f"problems.{problem.code}", 1)
-        return _tell(request, problem)
+        return _respond_with_problem(request, problem)
     except Exception as error:
         logger.opt(exception=error).error("entry: A request failed by our fault.")
         fault = Problem(
@@ -72,18 +73,18 @@
             message="an error of the router; it has been logged",
             outcome=OutcomeKind.MAY_HAVE_RUN,
         )
-        return _tell(request, fault)
+        return _respond_with_problem(request, fault)
 
 
-def _tell(request: Request, problem: Problem) -> bytes | None:
+def _respond_with_problem(request: Request, problem: Problem) -> bytes | None:
     if request.startedWriting:
         return b""
 
-    return _measure(request, write_problem(request, problem))
+    return _set_content_length(request, write_problem(request, problem))
 
 
-def _measure(request: Request, body: bytes | None) -> bytes | None:
-    """State the length of a whole body; streams have none."""
+def _set_content_length(request: Request, body: bytes | None) -> bytes | None:
+    """Set the length of a complete body; streams have none."""
     if body is not None and not request.startedWriting:
         request.setHeader("content-length", str(len(body)))
 
