--- a/src/waxwingwell/adapters/__init__.py
+++ b/src/waxwingwell/adapters/__init__.py
@@ -1,3 +1,3 @@
-"""Adapters: HTTP, msgpack streams, metrics and traces around the inner layers."""
+"""Adapters between the inner layers and HTTP, links, log lines, metrics and traces."""
 
 from __future__ import annotations
--- a/src/waxwingwell/adapters/admin_client.py
+++ b/src/waxwingwell/adapters/admin_client.py
@@ -1,4 +1,4 @@
-"""Client of the administration API: views, and changes that may be resent."""
+"""Client of the administration API: reads views and sends idempotent changes."""
 
 from __future__ import annotations
 
@@ -34,26 +34,26 @@
 ViewT = TypeVar("ViewT")
 
 API = "/admin/v1"
-GIVE_UP_AFTER = 15.0
-"""Seconds for which a request is sent again; elections fit well inside."""
+RETRY_SECONDS = 15.0
+"""Seconds for which a request is retried; several times as long as an election."""
 
-PAUSE = 0.5
-"""Seconds between two rounds if the API names none."""
+DEFAULT_PAUSE_SECONDS = 0.5
+"""Seconds between two rounds of attempts if the API sends no ``Retry-After``."""
 
-LONGEST_PAUSE = 3.0
+MAX_PAUSE_SECONDS = 3.0
 
-TRY_AGAIN = frozenset((502, 503, 504))
-"""Statuses after which another address, or the same later, may answer."""
+RETRY_STATUSES = frozenset((502, 503, 504))
+"""Statuses after which another address, or the same one later, may succeed."""
 
-ANSWERED = frozenset((200, 409, 422))
-"""Statuses whose body is an outcome."""
+OUTCOME_STATUSES = frozenset((200, 409, 422))
+"""Statuses whose body holds the outcome of a command."""
 
 ChangeOutcome = Accepted | Conflict | Rejected
 AnyOutcome = Accepted | Conflict | Rejected | NotLeader | Failed
 
 
 class ProblemKind(Enum):
-    """Why there is no answer."""
+    """Why a request failed."""
 
     REFUSED = "refused"
     UNAVAILABLE = "unavailable"
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """A request without the answer that it asked for."""
+    """A request that failed, with the reason to show to the operator."""
 
     kind: ProblemKind
     message: str
@@ -70,10 +70,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AdminClient:
-    """Where the administration API is, and how to reach it."""
+    """Addresses and key of the administration API, and the functions to reach it."""
 
     addresses: tuple[str, ...]
-    """Base addresses of the control processes; each is tried in turn."""
+    """Base URLs of the control processes, tried in this order."""
     key: str
     send: Callable[[WireRequest], WireReply | Unreachable]
     clock: Callable[[], float] = time.monotonic
@@ -83,113 +83,118 @@
 def fetch_view(
     client: AdminClient, path: str, kind: type[ViewT]
 ) -> Result[ViewT, Problem]:
-    """GET a view, decoded."""
-    reply = send_anywhere(client, "GET", path)
-    if isinstance(reply, Problem):
-        return Failure(reply)
+    """GET a view and decode it as ``kind``."""
+    response = send_with_failover(client, "GET", path)
+    if isinstance(response, Problem):
+        return Failure(response)
 
-    if reply.status != 200:
-        return Failure(read_refusal(reply))
+    if response.status != 200:
+        return Failure(decode_error(response))
 
-    return decode_body(reply, kind)
+    return decode_body(response, kind)
 
 
 def send_change(
     client: AdminClient, command: Command
 ) -> Result[ChangeOutcome, Problem]:
-    """Send a change until its outcome is known.
+    """Send a change, with retries, until its outcome is known.
 
-    Failure guarded against: the answer to a change is lost, the operator sends it
-    again, and it is made twice or conflicts with itself. Each resend here carries
-    the same change id, by which the first outcome comes back.
+    If a response is lost, a repeated change could be applied twice or conflict with
+    itself. Every retry therefore carries the same change id, for which the API
+    returns the first outcome.
     """
     body = msgspec.json.encode(command)
-    reply = send_anywhere(client, "POST", "/commands", body)
-    if isinstance(reply, Problem):
-        return Failure(reply)
+    response = send_with_failover(client, "POST", "/commands", body)
+    if isinstance(response, Problem):
+        return Failure(response)
 
-    if reply.status not in ANSWERED:
-        return Failure(read_refusal(reply))
+    if response.status not in OUTCOME_STATUSES:
+        return Failure(decode_error(response))
 
-    outcome: Result[Any, Problem] = decode_body(reply, AnyOutcome)  # type: ignore[arg-type]
+    outcome: Result[Any, Problem] = decode_body(response, AnyOutcome)  # type: ignore[arg-type]
     return outcome.bind(narrow_outcome)
 
 
 def narrow_outcome(outcome: AnyOutcome) -> Result[ChangeOutcome, Problem]:
-    """Return an outcome of the log; what came in its place is a problem."""
+    """Return the outcome of a change; any other outcome becomes a problem."""
     if isinstance(outcome, Accepted | Conflict | Rejected):
         return Success(outcome)
 
-    return Failure(Problem(ProblemKind.UNAVAILABLE, f"no outcome: {outcome}"))
+    return Failure(
+        Problem(ProblemKind.UNAVAILABLE, f"the change has no outcome: {outcome}")
+    )
 
 
 def post_view(
     client: AdminClient, path: str, body: object, kind: type[ViewT]
 ) -> Result[ViewT, Problem]:
-    """POST a body and return the view that answers it; safe to resend."""
-    reply = send_anywhere(client, "POST", path, msgspec.json.encode(body))
-    if isinstance(reply, Problem):
-        return Failure(reply)
+    """POST a body, with retries, and return the view in the response.
 
-    if reply.status != 200:
-        return Failure(read_refusal(reply))
+    Only for requests that are safe to repeat.
+    """
+    response = send_with_failover(client, "POST", path, msgspec.json.encode(body))
+    if isinstance(response, Problem):
+        return Failure(response)
+
+    if response.status != 200:
+        return Failure(decode_error(response))
 
-    return decode_body(reply, kind)
+    return decode_body(response, kind)
 
 
 def ask_in_force(client: AdminClient, config_version: int) -> Result[InForce, Problem]:
-    """Ask whether a configuration version is in force at every entry."""
+    """Fetch whether a configuration version is in force at every entry."""
     return fetch_view(client, f"/in-force?config_version={config_version}", InForce)
 
 
-def send_anywhere(
+def send_with_failover(
     client: AdminClient, method: str, path: str, body: bytes | None = None
 ) -> WireReply | Problem:
-    """Try each address in turn, round after round, until one answers."""
-    deadline = client.clock() + GIVE_UP_AFTER
-    trouble = "no address is known"
+    """Send a request to each address in turn, in rounds, until one responds."""
+    deadline = client.clock() + RETRY_SECONDS
+    last_error = "no address of the administration API is configured"
     while client.addresses:
-        wait = PAUSE
+        wait = DEFAULT_PAUSE_SECONDS
         for address in client.addresses:
             url = address.rstrip("/") + API + path
-            reply = client.send(WireRequest(method, url, client.key, body))
-            if isinstance(reply, Unreachable):
-                trouble = reply.reason
+            response = client.send(WireRequest(method, url, client.key, body))
+            if isinstance(response, Unreachable):
+                last_error = response.reason
                 continue
 
-            if reply.status not in TRY_AGAIN:
-                return reply
+            if response.status not in RETRY_STATUSES:
+                return response
 
-            trouble = f"{address}: {read_refusal(reply).message}"
-            wait = reply.retry_after or PAUSE
+            last_error = f"{address}: {decode_error(response).message}"
+            wait = response.retry_after or DEFAULT_PAUSE_SECONDS
 
-        wait = min(wait, LONGEST_PAUSE)
+        wait = min(wait, MAX_PAUSE_SECONDS)
         if client.clock() + wait >= deadline:
             break
 
         client.pause(wait)
 
-    return Problem(ProblemKind.UNAVAILABLE, trouble)
+    return Problem(ProblemKind.UNAVAILABLE, last_error)
 
 
-def decode_body(reply: WireReply, kind: type[ViewT]) -> Result[ViewT, Problem]:
-    """Decode an answer; one of another shape is a problem of the API."""
+def decode_body(response: WireReply, kind: type[ViewT]) -> Result[ViewT, Problem]:
+    """Decode the body of a response; a malformed body is a problem."""
     try:
-        return Success(msgspec.json.decode(reply.body, type=kind))
+        return Success(msgspec.json.decode(response.body, type=kind))
     except msgspec.DecodeError as error:
-        message = f"the answer cannot be read: {error}"
+        message = f"the response of the administration API cannot be decoded: {error}"
         return Failure(Problem(ProblemKind.UNAVAILABLE, message))
 
 
-def read_refusal(reply: WireReply) -> Problem:
-    """Return what an answer other than the wished one says."""
+def decode_error(response: WireReply) -> Problem:
+    """Return the problem that an error response describes."""
     try:
-        view = msgspec.json.decode(reply.body, type=ErrorView)
+        view = msgspec.json.decode(response.body, type=ErrorView)
     except msgspec.DecodeError:
         view = ErrorView()
 
     message = view.error or view.reason
     if not message:
-        message = f"the administration API answers with status {reply.status}"
+        message = f"the administration API responded with status {response.status}"
 
     return Problem(ProblemKind.REFUSED, message, view.findings)
--- a/src/waxwingwell/adapters/admin_transport.py
+++ b/src/waxwingwell/adapters/admin_transport.py
@@ -1,4 +1,4 @@
-"""One HTTP request to the administration API, blocking, by the standard library."""
+"""Blocking HTTP requests to the administration API, with the standard library."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
     from collections.abc import Callable
 
 
-MAX_REPLY = 64_000_000
-"""Bytes of an answer; a larger one is cut, and then fails to decode."""
+MAX_RESPONSE_BYTES = 64_000_000
+"""Bytes read of a response; a larger one is truncated and then fails to decode."""
 
 
 @dataclass(frozen=True, slots=True)
 class WireRequest:
-    """One request."""
+    """An HTTP request with the operator's key."""
 
     method: str
     url: str
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WireReply:
-    """One answer."""
+    """An HTTP response."""
 
     status: int
     body: bytes
@@ -42,16 +42,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Unreachable:
-    """No answer came; the request may have been taken in all the same."""
+    """No response arrived; the request may have been applied all the same."""
 
     reason: str
 
 
 class _NoRedirects(urllib.request.HTTPRedirectHandler):
-    """Follows no redirect, since that would carry the operator's key elsewhere."""
+    """Follows no redirect: it would send the operator's key to another server."""
 
     def redirect_request(self, *_: Any, **__: Any) -> None:
-        """Return nothing, so that the redirect itself is the answer."""
+        """Return nothing, so that the redirect itself is the response."""
 
 
 def make_transport(
@@ -59,7 +59,7 @@
 ) -> Callable[[WireRequest], WireReply | Unreachable]:
     """Return a function that sends a request.
 
-    ``ca_file`` holds the certificates to trust; empty trusts the machine's.
+    ``ca_file`` holds the trusted certificates; empty for those of the system.
     """
     context = ssl.create_default_context(cafile=ca_file or None)
     opener = urllib.request.build_opener(
@@ -69,7 +69,7 @@
     )
 
     def send(request: WireRequest) -> WireReply | Unreachable:
-        wire = urllib.request.Request(
+        http_request = urllib.request.Request(
             request.url,
             data=request.body,
             method=request.method,
@@ -79,18 +79,18 @@
             },
         )
         try:
-            with opener.open(wire, timeout=request.timeout) as answer:
-                return WireReply(answer.status, answer.read(MAX_REPLY))
+            with opener.open(http_request, timeout=request.timeout) as response:
+                return WireReply(response.status, response.read(MAX_RESPONSE_BYTES))
         except urllib.error.HTTPError as error:
             with error:
-                wait = read_seconds(error.headers.get("Retry-After", ""))
-                return WireReply(error.code, error.read(MAX_REPLY), wait)
+                wait = parse_retry_after(error.headers.get("Retry-After", ""))
+                return WireReply(error.code, error.read(MAX_RESPONSE_BYTES), wait)
         except (OSError, ValueError) as error:
             return Unreachable(f"{request.url}: {error}")
 
     return send
 
 
-def read_seconds(text: str) -> float | None:
-    """Return a ``Retry-After`` in seconds, or None if it is none."""
+def parse_retry_after(text: str) -> float | None:
+    """Return the seconds of a ``Retry-After`` header, or None if it holds no number."""
     return float(text) if text.isdigit() else None
--- a/src/waxwingwell/adapters/admin_views.py
+++ b/src/waxwingwell/adapters/admin_views.py
@@ -1,4 +1,4 @@
-"""What the administration API shows, as JSON; the command line reads the same."""
+"""JSON bodies of the administration API, shared with the command line."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 
 class ErrorView(msgspec.Struct, frozen=True):
-    """Body of an answer that is neither a view nor an outcome."""
+    """Body of a response that is neither a view nor an outcome."""
 
     error: str = ""
     reason: str = ""
-    """Of a ``Failed`` outcome."""
+    """Reason of a ``Failed`` outcome."""
     findings: tuple[Finding, ...] = ()
 
 
 class ConfigView(msgspec.Struct, frozen=True):
-    """All configuration."""
+    """The whole configuration."""
 
     config_version: int
     workspaces: tuple[WorkspaceConfig, ...] = ()
@@ -30,7 +30,7 @@
 
 
 class AnswersView(msgspec.Struct, frozen=True):
-    """A workspace's answers and the revision they stand at."""
+    """A workspace's answers and their current revision."""
 
     revision: int
     answers: msgspec.Raw
@@ -47,7 +47,7 @@
 
 
 class AuditView(msgspec.Struct, frozen=True):
-    """One change on the audit trail, whatever became of it."""
+    """One change on the audit trail, accepted or not."""
 
     at: float
     operator: str
@@ -58,14 +58,14 @@
 
 
 class UpstreamView(msgspec.Struct, frozen=True):
-    """One upstream, as the entries know it."""
+    """One upstream, as the entries see it."""
 
     upstream: str
     kind: UpstreamKind
     data_centre: str
     address: str
     lease_left: float
-    """Seconds; 0 or less once it has run out."""
+    """Seconds until the lease expires; 0 or less once it has expired."""
     versions: tuple[str, ...] = ()
     service: str = ""
     capacity: int = 0
@@ -76,13 +76,13 @@
 
 
 class SessionView(msgspec.Struct, frozen=True):
-    """One session and the version that it keeps."""
+    """One session and the version that it is pinned to."""
 
     workspace: str
     session: str
     version: str
     at: float
-    """Start in seconds since the epoch."""
+    """Start of the session in seconds since the epoch."""
 
 
 class MemberView(msgspec.Struct, frozen=True):
@@ -109,6 +109,6 @@
 
 
 class MembersReply(msgspec.Struct, frozen=True):
-    """The members after a change was taken in; it may take time to be done."""
+    """The members after a change was accepted; it may not be complete yet."""
 
     members: tuple[MemberView, ...] = ()
--- a/src/waxwingwell/adapters/bodies.py
+++ b/src/waxwingwell/adapters/bodies.py
@@ -1,4 +1,4 @@
-"""Every message that may travel over a link, as one union."""
+"""Union of all messages that may be sent over a link."""
 
 from __future__ import annotations
 
--- a/src/waxwingwell/adapters/clock.py
+++ b/src/waxwingwell/adapters/clock.py
@@ -1,4 +1,4 @@
-"""The clocks that adapters read and pass inwards as ``now``."""
+"""Clocks that adapters read and pass to the inner layers as ``now``."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 
 def read_clock() -> float:
-    """Return seconds that never step back and go on while the VM is suspended.
+    """Return seconds of a monotonic clock that also counts while the VM is suspended.
 
-    CLOCK_MONOTONIC stands still during a suspend, so that a VM resumed after an
-    hour would believe its lease still runs; CLOCK_BOOTTIME counts that hour.
+    CLOCK_MONOTONIC stops during a suspend, so a VM that is resumed after an hour
+    would treat an expired lease as valid. CLOCK_BOOTTIME counts that hour.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def read_wall_clock() -> float:
-    """Return seconds since the epoch, for records that people read."""
+    """Return seconds since the epoch, for timestamps that people read."""
     return time.time()
--- a/src/waxwingwell/adapters/connections.py
+++ b/src/waxwingwell/adapters/connections.py
@@ -1,7 +1,7 @@
-"""Connecting to other processes of ours by address, without endpoints.
+"""TCP connections to other processes of the system, without Twisted's endpoints.
 
-Twisted's endpoints import TLS and more, about 10 MB of resident memory that a small
-VM does not have to spare.
+Endpoints import TLS among other modules, which takes about 10 MB of resident memory:
+too much for a small VM.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 
 
 CONNECT_SECONDS = 1.0
-UNACKNOWLEDGED_MS = 2_000
-"""Bytes that stay unacknowledged for so long end a connection: one that went silent
-would otherwise hold them for minutes."""
+USER_TIMEOUT_MS = 2_000
+"""Milliseconds without an acknowledgement after which the kernel closes a connection.
+By default, a dead connection would hold its unsent bytes for minutes."""
 
 
-class _OneConnection(ClientFactory):
+class _SingleConnectionFactory(ClientFactory):
     noisy = False
 
     def __init__(self, factory: Factory, connected: Deferred[Any]) -> None:
@@ -36,15 +36,15 @@
 
     def buildProtocol(self, addr: Any) -> Any:  # noqa: N802
         protocol: Any = self._factory.buildProtocol(addr)
-        greet = protocol.wait_greeted()
-        greet.addCallbacks(self._succeed, self._fail)
+        greeting = protocol.wait_for_greeting()
+        greeting.addCallbacks(self._succeed, self._fail)
         return protocol
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:  # noqa: N802
         self._fail(reason)
 
     def _succeed(self, protocol: Any) -> None:
-        limit_silence(protocol.transport)
+        set_user_timeout(protocol.transport)
         if not self._connected.called:
             self._connected.callback(protocol)
 
@@ -56,23 +56,26 @@
 def make_tcp_connector(
     reactor: Any, host: str, port: int
 ) -> Callable[[Factory], Deferred[Any]]:
-    """Return a function that connects a factory of links to a process of ours.
+    """Return a function that connects a factory of links to a process of the system.
 
-    The result is the protocol once the other end has greeted.
+    The result is the protocol, once the peer's greeting has arrived.
     """
 
     def connect(factory: Factory) -> Deferred[Any]:
         connected: Deferred[Any] = Deferred(lambda _: connector.disconnect())
         connector = reactor.connectTCP(
-            host, port, _OneConnection(factory, connected), timeout=CONNECT_SECONDS
+            host,
+            port,
+            _SingleConnectionFactory(factory, connected),
+            timeout=CONNECT_SECONDS,
         )
         return connected
 
     return connect
 
 
-def limit_silence(transport: Any, milliseconds: int = UNACKNOWLEDGED_MS) -> None:
-    """Let the kernel end a connection whose bytes nobody acknowledges or takes."""
+def set_user_timeout(transport: Any, milliseconds: int = USER_TIMEOUT_MS) -> None:
+    """Let the kernel close a connection whose peer acknowledges or reads no bytes."""
     transport.getHandle().setsockopt(
         socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, milliseconds
     )
--- a/src/waxwingwell/adapters/counting.py
+++ b/src/waxwingwell/adapters/counting.py
@@ -1,4 +1,4 @@
-"""HTTP sites that know their open connections, so that a stop can wait for them."""
+"""HTTP sites that track their open connections, so that a stop can wait for them."""
 
 from __future__ import annotations
 
@@ -8,32 +8,32 @@
 from twisted.web.http import HTTPChannel
 from twisted.web.server import Site
 
-from .connections import limit_silence
+from .connections import set_user_timeout
 
 
-class PatientChannel(HTTPChannel):
-    """A connection on which silence counts only once every answer has left.
+class SlowReaderChannel(HTTPChannel):
+    """A connection whose idle timeout runs only while no bytes are left to send.
 
-    Failure: a request has ended, and its caller reads the answer slowly. It sends
-    nothing meanwhile, so that the connection would count as idle and be cut in the
-    middle of the answer. A caller that takes no bytes at all is ended by the kernel.
+    A caller that reads a long response slowly sends nothing meanwhile; the plain idle
+    timeout would close its connection in the middle of the response. A caller that
+    reads nothing at all is disconnected by the kernel.
     """
 
-    _is_behind = False
+    _has_unsent_bytes = False
 
     def pauseProducing(self) -> None:  # noqa: N802
-        """Note that the transport holds bytes back."""
-        self._is_behind = True
+        """Record that the transport buffers bytes."""
+        self._has_unsent_bytes = True
         super().pauseProducing()  # type: ignore[no-untyped-call]
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Note that all bytes have left; from now on silence counts."""
-        self._is_behind = False
+        """Record that all bytes were sent; the idle timeout applies again."""
+        self._has_unsent_bytes = False
         super().resumeProducing()  # type: ignore[no-untyped-call]
 
     def timeoutConnection(self) -> None:  # noqa: N802
-        """Close the connection, unless its caller is still taking bytes."""
-        if self._is_behind:
+        """Close the connection unless its caller is still reading."""
+        if self._has_unsent_bytes:
             self.setTimeout(self.timeOut)  # type: ignore[no-untyped-call]
             return
 
@@ -41,13 +41,13 @@
 
 
 class CountingSite(Site):
-    """A site that knows its open connections, so that a stop can wait for them.
+    """A site that tracks its open connections, so that a stop can wait for them.
 
-    Failure guarded against: a request has ended, its answer waits in memory for a
-    slow reader, and the process leaves; the answer is cut, though nothing runs.
+    After a request has finished, its response may still be buffered for a slow
+    reader; a process that only waits for running requests would truncate it.
     """
 
-    protocol = PatientChannel  # type: ignore[assignment]
+    protocol = SlowReaderChannel  # type: ignore[assignment]
 
     def __init__(self, resource: Any, **options: Any) -> None:
         """Serve ``resource``."""
@@ -55,29 +55,34 @@
         self.transports: set[Any] = set()
 
     def buildProtocol(self, addr: Any) -> Any:  # noqa: N802
-        """Build a channel whose transport is known until it is lost."""
+        """Build a channel whose transport is tracked until the connection is lost."""
         channel: Any = super().buildProtocol(addr)  # type: ignore[no-untyped-call]
-        connect, lose = channel.makeConnection, channel.connectionLost
+        make_connection, lose_connection = (
+            channel.makeConnection,
+            channel.connectionLost,
+        )
 
-        def remember(transport: Any) -> None:
+        def track(transport: Any) -> None:
             self.transports.add(transport)
             if self.timeOut is not None:
-                limit_silence(_get_lowest(transport), round(self.timeOut * 1000))
+                set_user_timeout(
+                    _get_socket_transport(transport), round(self.timeOut * 1000)
+                )
 
-            channel.kept_transport = transport
-            connect(transport)
+            channel.tracked_transport = transport
+            make_connection(transport)
 
-        def forget(reason: Any) -> None:
-            self.transports.discard(channel.kept_transport)
-            lose(reason)
+        def untrack(reason: Any) -> None:
+            self.transports.discard(channel.tracked_transport)
+            lose_connection(reason)
 
-        channel.makeConnection = remember
-        channel.connectionLost = forget
+        channel.makeConnection = track
+        channel.connectionLost = untrack
         return channel
 
 
-def _get_lowest(transport: Any) -> Any:
-    """Return the transport that has the socket, below TLS."""
+def _get_socket_transport(transport: Any) -> Any:
+    """Return the transport that owns the socket, below any TLS wrapper."""
     while isinstance(transport, ProtocolWrapper):
         transport = transport.transport
 
@@ -85,11 +90,11 @@
 
 
 def close_connections(site: CountingSite) -> None:
-    """Close every connection once all that was written to it has gone out.
+    """Close every connection once all bytes written to it were sent.
 
-    Failure: a caller reads slowly, so that the transport has paused its producer. It
-    would ask it for more after the last byte instead of closing, and the stop would
-    wait on a connection that has nothing left to send.
+    The producer is unregistered first: if a slow reader has paused it, the transport
+    would resume the producer after the last byte instead of closing, and the stop
+    would wait for a connection that has nothing left to send.
     """
     for transport in list(site.transports):
         transport.unregisterProducer()
--- a/src/waxwingwell/adapters/endings.py
+++ b/src/waxwingwell/adapters/endings.py
@@ -1,4 +1,4 @@
-"""The end of a process's connections: each closes after its last byte."""
+"""Graceful shutdown of a process's connections: each closes after its last byte."""
 
 from __future__ import annotations
 
@@ -22,41 +22,44 @@
 
 
 CLOSE_LIMIT = 3.0
-"""Seconds that connections may take to close; a silent link ends before."""
+"""Seconds that connections may take to close; an unresponsive link is closed sooner."""
 LOOK_SECONDS = 0.05
+"""Seconds between two checks for open connections."""
 
 
 async def end_links(
     node: LinkNode, links: Iterable[Link], clock: Callable[[], float]
 ) -> int:
-    """Close all links of a process; return how many had to be cut.
+    """Close all links of a process; return how many had to be aborted.
 
-    Each ends when its calls are answered and its bytes have left.
+    Each closes once its calls have their replies and its bytes were sent.
     """
     links = list(links)
     finish_links(node, links)
-    await _wait(node.reactor, clock, lambda: not list_protocols(node, links))
-    left = list_protocols(node, links)
-    for protocol in left:
+    await _wait_until_closed(
+        node.reactor, clock, lambda: not list_protocols(node, links)
+    )
+    remaining = list_protocols(node, links)
+    for protocol in remaining:
         protocol.abort()
 
-    return len(left)
+    return len(remaining)
 
 
 async def end_site(site: CountingSite, reactor: Any, clock: Callable[[], float]) -> int:
-    """Close all connections of a site; return how many had to be cut."""
+    """Close all connections of a site; return how many had to be aborted."""
     close_connections(site)
-    await _wait(reactor, clock, lambda: not site.transports)
-    left = list(site.transports)
-    for transport in left:
+    await _wait_until_closed(reactor, clock, lambda: not site.transports)
+    remaining = list(site.transports)
+    for transport in remaining:
         transport.abortConnection()
 
-    return len(left)
+    return len(remaining)
 
 
-async def _wait(
-    reactor: Any, clock: Callable[[], float], closed: Callable[[], bool]
+async def _wait_until_closed(
+    reactor: Any, clock: Callable[[], float], are_closed: Callable[[], bool]
 ) -> None:
     deadline = clock() + CLOSE_LIMIT
-    while not closed() and clock() < deadline:
+    while not are_closed() and clock() < deadline:
         await deferLater(reactor, LOOK_SECONDS, lambda: None)
--- a/src/waxwingwell/adapters/events.py
+++ b/src/waxwingwell/adapters/events.py
@@ -1,7 +1,7 @@
-"""Structured log lines: one JSON object a line on standard output.
+"""Structured log lines: one JSON object per line on standard output.
 
-A line is dropped, and counted, when the reader of the pipe lags or when lines of its
-kind come too fast; writing never blocks the process.
+Writing never blocks the process: a line is dropped and counted if the reader of the
+pipe lags, or if routine events exceed their rate limit.
 """
 
 from __future__ import annotations
@@ -26,47 +26,50 @@
 
 
 MAX_PENDING = 512
-"""Lines kept for a reader that lags; about 128 KB."""
-RATE = 200
-"""Lines a second above which routine ones are dropped. A line takes 320 bytes and 72
-us of processor time (20,000 lines to a pipe, one run): 64 KB and 14 ms a second.
+"""Lines buffered for a reader that lags; about 128 KB."""
+MAX_ROUTINE_LINES_PER_SECOND = 200
+"""Lines per second above which routine events are dropped. A line takes 320 bytes and
+72 us of processor time, so this rate takes 64 KB and 14 ms per second.
 """
-LAST_SECONDS = 0.2
-"""For the last lines of a process that ends, whose reader lags."""
-ROUTINE = frozenset({"gateway: Placed", "gateway: Larger model"})
-"""Events of requests that go well; the line of a request's end tells the rest."""
+FLUSH_SECONDS = 0.2
+"""Seconds that a process that exits waits for a lagging reader of its last lines."""
+ROUTINE_EVENTS = frozenset({"gateway: Placed", "gateway: Larger model"})
+"""Rate-limited events of requests that succeed; a request's last line has the rest."""
 
 
-class Output:
-    """Lines on their way to a descriptor that may not take them."""
+class LogOutput:
+    """Buffered, rate-limited log lines for a non-blocking descriptor."""
 
     def __init__(self, descriptor: int) -> None:
         self.descriptor = descriptor
         self.pending: deque[bytes] = deque()
         self.dropped = 0
-        self.second = 0
-        self.lines = 0
+        self.current_second = 0
+        self.lines_this_second = 0
 
     def admits(self, event: str, now: float) -> bool:
-        """Tell whether a line is written, and count it."""
-        if int(now) != self.second:
-            self.second = int(now)
-            self.lines = 0
-
-        self.lines += 1
-        if event not in ROUTINE or self.lines <= RATE:
+        """Return whether a line is within the rate limit, and count it."""
+        if int(now) != self.current_second:
+            self.current_second = int(now)
+            self.lines_this_second = 0
+
+        self.lines_this_second += 1
+        if (
+            event not in ROUTINE_EVENTS
+            or self.lines_this_second <= MAX_ROUTINE_LINES_PER_SECOND
+        ):
             return True
 
         self.drop()
         return False
 
     def drop(self, count: int = 1) -> None:
-        """Count lines that nobody will read."""
+        """Count lines as dropped."""
         self.dropped += count
         LINES_DROPPED.inc(count)
 
     def write(self, line: bytes) -> None:
-        """Write a line, or keep it for later."""
+        """Write a line, or buffer it if the reader lags."""
         self.pending.append(line)
         if len(self.pending) > MAX_PENDING:
             self.pending.popleft()
@@ -75,7 +78,7 @@
         self.drain()
 
     def drain(self) -> None:
-        """Write what the reader takes now."""
+        """Write buffered lines until the descriptor would block."""
         while self.pending:
             line = self.pending[0]
             try:
@@ -83,7 +86,7 @@
             except BlockingIOError:
                 return
             except OSError:
-                # The reader is gone: nobody is left to tell.
+                # The reader is gone, so there is nowhere to report this.
                 self.drop(len(self.pending))
                 self.pending.clear()
                 return
@@ -94,28 +97,31 @@
                 return
 
 
-def finish_output(output: Output, clock: Callable[[], float], limit: float) -> None:
-    """Wait up to ``limit`` on the clock for a reader that lags, as the process ends.
+def flush_output(
+    output: LogOutput, clock: Callable[[], float], deadline: float
+) -> None:
+    """Write the buffered lines before the process exits, until ``deadline`` at most.
 
-    Failure: lines that waited for the reader were lost with the process. They are those
-    of its stop, which tell what became of the last requests.
+    Otherwise the lines of the stop, which report the outcomes of the last requests,
+    would be lost if the reader lags.
     """
     poll = select.poll()
     poll.register(output.descriptor, select.POLLOUT)
     output.drain()
-    while output.pending and clock() < limit:
-        poll.poll(max(limit - clock(), 0.0) * 1000)
+    while output.pending and clock() < deadline:
+        poll.poll(max(deadline - clock(), 0.0) * 1000)
         output.drain()
 
 
 def open_log(node: str) -> Callable[[], None]:
     """Send all log lines of this process to standard output as JSON.
 
-    The result is called last, and writes the lines that still wait.
+    Returns a function that writes the buffered lines; call it before the process
+    exits.
     """
     descriptor = sys.stdout.fileno()
     os.set_blocking(descriptor, False)
-    output = Output(descriptor)
+    output = LogOutput(descriptor)
 
     def sink(message: Any) -> None:
         record = message.record
@@ -140,16 +146,16 @@
 
     logger.remove()
     logger.add(sink, level="INFO", format="{message}", catch=False)
-    twisted_log.startLoggingWithObserver(take_twisted_event, setStdout=False)
+    twisted_log.startLoggingWithObserver(log_twisted_error, setStdout=False)
 
-    def finish() -> None:
-        finish_output(output, time.monotonic, time.monotonic() + LAST_SECONDS)
+    def flush() -> None:
+        flush_output(output, time.monotonic, time.monotonic() + FLUSH_SECONDS)
 
-    return finish
+    return flush
 
 
-def take_twisted_event(event: dict[str, Any]) -> None:
-    """Log an error that no code of ours caught, with its traceback on one line."""
+def log_twisted_error(event: dict[str, Any]) -> None:
+    """Log an error that only Twisted caught, with its traceback on one line."""
     if not event.get("isError"):
         return
 
@@ -158,17 +164,17 @@
     logger.bind(traceback=text).error("unhandled error")
 
 
-def run_logged(step: Callable[[], object], failed: str) -> None:
-    """Run a step; an error of it is logged as ``failed``, and the caller goes on.
+def run_logged(step: Callable[[], object], error_event: str) -> None:
+    """Run a step and log an exception of it as ``error_event``.
 
-    Failure: one step's error would end a loop, or a stop, that others depend on.
+    An error in one step must not end the loop or the stop that runs the other steps.
     """
     try:
         step()
-    except Exception as error:  # any fault of the step
-        logger.opt(depth=1, exception=error).error(failed)
+    except Exception as error:  # a step may raise anything
+        logger.opt(depth=1, exception=error).error(error_event)
 
 
 def log_event(event: str, **fields: Any) -> None:
-    """Write one line: what happened, with the inputs that decided it."""
+    """Log an event with its fields, such as the inputs of a decision."""
     logger.bind(**fields).info(event)
--- a/src/waxwingwell/adapters/exceptions.py
+++ b/src/waxwingwell/adapters/exceptions.py
@@ -4,23 +4,23 @@
 
 
 class LinkError(Exception):
-    """A call over a link between two of our processes failed."""
+    """A call over a link between two processes of the system failed."""
 
 
 class LinkDownError(LinkError):
-    """There was no connection: the call was never sent."""
+    """The call was not sent: the link is down, closing or congested."""
 
 
 class LinkLostError(LinkError):
-    """The connection went away, or the time ran out, after the call was sent."""
+    """The connection was lost, or the call timed out, after the call was sent."""
 
 
 class SettingsError(Exception):
-    """The settings have faults; the text lists every one with its place."""
+    """The settings are invalid; the text lists every fault with its place."""
 
 
 class TlsFileError(Exception):
-    """A certificate or key can't be used; the text names the path."""
+    """A certificate or key cannot be used; the text names the path."""
 
     def __init__(self, place: str, reason: str) -> None:
         super().__init__(reason)
@@ -29,7 +29,7 @@
 
 
 class ControlUnavailableError(Exception):
-    """No control leader answered in time."""
+    """No control leader replied in time."""
 
     def __init__(self, reason: str, *, may_have_run: bool) -> None:
         super().__init__(reason)
@@ -37,4 +37,4 @@
 
 
 class HaltedError(Exception):
-    """A control process can't go on and must be started anew."""
+    """A control process cannot continue and must be restarted."""
--- a/src/waxwingwell/adapters/links.py
+++ b/src/waxwingwell/adapters/links.py
@@ -1,9 +1,9 @@
-"""Links: msgpack streams between our own processes, with calls and heartbeats.
+"""Links: msgpack streams between the system's processes, with calls and heartbeats.
 
-A link is one TCP connection in each direction of need. Both ends send heartbeats
-and replace a connection that has gone silent: a connection can go silent for good,
-without an error, while new ones work (something between the ends lost track of it).
-Protocol and versioning: docs/PROTOCOL.md.
+A link is a TCP connection, opened by the process that needs to call the other one.
+Both ends send heartbeats and replace a connection on which nothing arrives: a device
+between them can lose its connection state, after which the connection stays dead
+without an error while new ones work. Protocol and versioning: docs/PROTOCOL.md.
 """
 
 from __future__ import annotations
@@ -47,51 +47,58 @@
 
 PROTOCOL_VERSION = 1
 MAX_DOUBLINGS = 10
-MAX_FRAME = 64 * 1024 * 1024
-"""Bytes; a snapshot of the control state must fit."""
+MAX_FRAME_BYTES = 64 * 1024 * 1024
+"""Bytes of the largest frame; a snapshot of the control state must fit."""
 
 Frame = Hello | Beat | Call | Reply | Cast
 
 
 @dataclass(frozen=True, slots=True)
 class LinkTiming:
-    """Seconds that govern a link."""
+    """Intervals and timeouts of a link, in seconds."""
 
-    beat: float = 0.25
-    silent: float = 1.5
-    """Silence after which a connection is replaced."""
-    suspicious: float = 0.8
-    """Silence after which it is replaced if a call on it went unanswered, too."""
+    heartbeat_interval: float = 0.25
+    idle_timeout: float = 1.5
+    """Time without received bytes after which a connection is replaced."""
+    suspect_timeout: float = 0.8
+    """The same limit for a connection on which a call has timed out."""
     connect: float = 1.0
-    """Longest time for an attempt to connect."""
+    """Maximum time of a connection attempt."""
     retry: float = 0.2
-    """Longest pause before the next attempt."""
-    first_part: float = 1.0
-    """Part of both at the first attempt; it doubles with each that fails."""
+    """Maximum pause before the next attempt."""
+    first_attempt_factor: float = 1.0
+    """Factor on ``connect`` and ``retry`` at first; it doubles with each failure."""
 
 
 ROUTING_TIMING = LinkTiming(
-    beat=0.5, silent=2.0, suspicious=1.2, connect=1.0, retry=0.25, first_part=0.25
+    heartbeat_interval=0.5,
+    idle_timeout=2.0,
+    suspect_timeout=1.2,
+    connect=1.0,
+    retry=0.25,
+    first_attempt_factor=0.25,
 )
-"""Between gateways and registries: with hundreds of gateways, half the heartbeats.
-Failure: all VMs get their power back within half a second. The first packet to one that
-had none is lost, and sent again by the kernel after a second, while callers wait."""
+"""Between gateways and registries: half the heartbeats, for hundreds of gateways.
+Connection attempts start short: if all VMs get their power back within half a second,
+the first packet to one that is still off is lost, and the kernel resends it only after
+a second, while callers wait."""
 
 
 @dataclass(frozen=True, slots=True)
 class LinkHandlers:
-    """What a node does with what arrives."""
+    """A node's handlers for calls and casts."""
 
     take_call: Callable[[str, Any], Deferred[Message]]
-    """Sender and body to the reply."""
+    """Handles a call, given its sender and body; returns the reply's body."""
     take_cast: Callable[[str, Any], None]
+    """Handles a cast, given its sender and body."""
     body_type: Any
-    """Union of message types that this node understands."""
+    """Union of the message types that this node can decode."""
 
 
 @dataclass(slots=True)
 class LinkNode:
-    """What all links of one process share."""
+    """State that all links of one process share."""
 
     name: str
     reactor: Any
@@ -99,105 +106,107 @@
     timing: LinkTiming
     accepted: set[LinkProtocol] = field(default_factory=set)
     read_names: Callable[[Any], frozenset[str]] | None = None
-    """Names that the other end of a transport has proven; none with plain text."""
+    """Names in the certificate of a transport's peer; None for links in plain text."""
     on_greeted: Callable[[LinkProtocol], None] = lambda _: None
-    """Told of each connection, in either direction, once the other end is known."""
+    """Called for each connection, in either direction, once the peer has greeted."""
 
 
 @implementer(IPushProducer)
 class LinkProtocol(Protocol):
-    """One connection: frames in, frames out, silence watched."""
+    """One connection: sends and receives frames, and closes if it is unresponsive."""
 
     def __init__(self, node: LinkNode) -> None:
         self.node = node
         self.remote = ""
         self.closed: Deferred[None] = Deferred()
-        self._unpacker = msgpack.Unpacker(max_buffer_size=MAX_FRAME)
+        self._unpacker = msgpack.Unpacker(max_buffer_size=MAX_FRAME_BYTES)
         self._pending: dict[int, Deferred[Any]] = {}
-        self._answering = 0
+        self._unanswered_calls = 0
         self._finishing = False
         self._finished = False
-        self._number = 0
+        self._last_number = 0
         self._paused = False
-        self._heard_at = 0.0
-        self._sent_at = 0.0
+        self._last_received_at = 0.0
+        self._last_sent_at = 0.0
         self._timer: Any = None
         self._greeted = False
         self._greeting: Deferred[Any] | None = None
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Greet the other end and begin to watch for silence."""
+        """Greet the peer and start the heartbeats and the idle timeout."""
         transport = cast("ITCPTransport", self.transport)
         transport.setTcpNoDelay(True)
         cast("IConsumer", self.transport).registerProducer(self, True)
-        self._heard_at = self._seconds()
+        self._last_received_at = self._seconds()
         self.send_frame(Hello(node=self.node.name, protocol=PROTOCOL_VERSION))
-        self._watch()
+        self._check_liveness()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Take whatever frames are complete; a malformed one ends the connection."""
-        self._heard_at = self._seconds()
+        """Handle all complete frames; a malformed one ends the connection."""
+        self._last_received_at = self._seconds()
         try:
             self._unpacker.feed(data)
             for item in self._unpacker:
-                self._take_frame(msgspec.convert(item, type=Frame))
+                self._handle_frame(msgspec.convert(item, type=Frame))
         except (msgspec.ValidationError, ValueError, msgpack.UnpackException) as error:
-            logger.warning("link: Dropped {}: bad frame, {}.", self.remote, error)
+            logger.warning("link: Malformed frame from {}: {}.", self.remote, error)
             self.abort()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
-        """Fail what was under way: each call may have run at the other end."""
+        """Fail all pending calls; each may have run at the other end."""
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
 
         pending, self._pending = self._pending, {}
-        for waiting in pending.values():
-            waiting.errback(LinkLostError(f"lost the link to {self.remote or '?'}"))
+        for pending_call in pending.values():
+            pending_call.errback(
+                LinkLostError(f"lost the link to {self.remote or '?'}")
+            )
 
-        self._end_greeting(LinkDownError(f"{self.remote or '?'} did not greet"))
+        self._resolve_greeting(LinkDownError(f"{self.remote or '?'} did not greet"))
         if not self.closed.called:
             self.closed.callback(None)
 
     def pauseProducing(self) -> None:  # noqa: N802
-        """Note that the other end reads slowly."""
+        """Record that the peer reads slowly."""
         self._paused = True
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Note that the other end has caught up."""
+        """Record that the peer has caught up."""
         self._paused = False
 
     def stopProducing(self) -> None:  # noqa: N802
         """Do nothing: ``connectionLost`` follows."""
 
     def send_frame(self, frame: Frame) -> None:
-        """Write one frame, unless the last one was sent."""
+        """Write one frame, unless this end is already closed for writing."""
         if self.transport is None or self._finished:
             return
 
-        self._sent_at = self._seconds()
+        self._last_sent_at = self._seconds()
         self.transport.write(msgspec.msgpack.encode(frame))
 
     def call(self, body: Message, *, timeout: float) -> Deferred[Any]:
         """Send a call; the result is the reply's body.
 
         Errors: ``LinkDownError`` if it was not sent, ``LinkLostError`` if no reply
-        came within ``timeout`` seconds or the connection went away.
+        arrived within ``timeout`` seconds or the connection was lost.
         """
-        answer: Deferred[Any] = Deferred()
-        # A reader that lags would make our memory grow without bound.
+        reply: Deferred[Any] = Deferred()
+        # Calls buffered for a slow reader would grow memory without bound.
         if self._paused:
-            answer.errback(LinkDownError(f"{self.remote} reads too slowly"))
-            return answer
+            reply.errback(LinkDownError(f"{self.remote} reads too slowly"))
+            return reply
 
         if self._finishing:
-            answer.errback(LinkDownError(f"the link to {self.remote} is closing"))
-            return answer
+            reply.errback(LinkDownError(f"the link to {self.remote} is closing"))
+            return reply
 
-        self._number += 1
-        number = self._number
-        self._pending[number] = answer
+        self._last_number += 1
+        number = self._last_number
+        self._pending[number] = reply
         self.send_frame(Call(number=number, body=body))
-        timer = self.node.reactor.callLater(timeout, self._expire, number)
+        timer = self.node.reactor.callLater(timeout, self._expire_call, number)
 
         def stop_timer(result: Any) -> Any:
             if timer.active():
@@ -205,13 +214,13 @@
 
             return result
 
-        answer.addBoth(stop_timer)
-        return answer
+        reply.addBoth(stop_timer)
+        return reply
 
     def cast(self, body: Message) -> bool:
-        """Send a message without an answer.
+        """Send a message that has no reply.
 
-        False, and dropped, if the reader lags or the connection is closing.
+        Returns False, and drops it, if the reader lags or the connection is closing.
         """
         if self._paused or self._finishing:
             return False
@@ -226,23 +235,23 @@
 
     @property
     def answering(self) -> int:
-        """Calls of the other end that have no answer yet."""
-        return self._answering
+        """Number of calls received from the peer that have no reply yet."""
+        return self._unanswered_calls
 
     def finish(self) -> None:
-        """End the connection once its calls are answered and its bytes have left.
+        """Close the connection once its calls have replies and its bytes were sent.
 
-        Failure: a process stops just after it has answered. With the connection
-        aborted, the answer is lost in the buffer: an order was carried out and its
-        sender is told that nobody knows, or a leave was acknowledged that no gateway
-        hears of. A peer that is gone can't hold this up: its silence ends it.
+        If a process that stops aborted its connections, replies in the buffer would
+        be lost: the sender of an executed order would get an unknown outcome, or no
+        gateway would receive an acknowledged leave. A peer that is gone cannot block
+        this, since the idle timeout still closes the connection.
         """
         self._finishing = True
-        self._end_if_settled()
+        self._close_if_drained()
 
-    def _end_if_settled(self) -> None:
-        settled = not self._pending and not self._answering
-        if not self._finishing or self._finished or not settled:
+    def _close_if_drained(self) -> None:
+        drained = not self._pending and not self._unanswered_calls
+        if not self._finishing or self._finished or not drained:
             return
 
         if self.transport is None:
@@ -255,26 +264,27 @@
             self.transport.loseConnection()
             return
 
-        # The other end closes once it has read everything. Were we to close with its
-        # heartbeats unread, the kernel would reset the connection, and bytes that
-        # must be sent again would be lost.
+        # Close only for writing; the peer closes once it has read everything. After a
+        # full close with heartbeats unread, the kernel would reset the connection, and
+        # bytes that still need a retransmission would be lost.
         cast("ITCPTransport", self.transport).loseWriteConnection()
 
-    def wait_greeted(self) -> Deferred[Any]:
-        """Return this protocol once the other end has greeted.
+    def wait_for_greeting(self) -> Deferred[Any]:
+        """Return this protocol once the peer's greeting has arrived.
 
-        Errors: ``LinkDownError`` if the connection ends before. Cancelling ends it.
+        Errors: ``LinkDownError`` if the connection ends first. Cancelling the result
+        aborts the connection.
         """
         greeting: Deferred[Any] = Deferred(lambda _: self.abort())
         self._greeting = greeting
         if self._greeted:
-            self._end_greeting(self)
+            self._resolve_greeting(self)
         elif self.closed.called:
-            self._end_greeting(LinkDownError("lost before it greeted"))
+            self._resolve_greeting(LinkDownError("lost before it greeted"))
 
         return greeting
 
-    def _end_greeting(self, result: Any) -> None:
+    def _resolve_greeting(self, result: Any) -> None:
         greeting, self._greeting = self._greeting, None
         if greeting is None or greeting.called:
             return
@@ -284,32 +294,32 @@
         else:
             greeting.callback(result)
 
-    def _take_frame(self, frame: Frame) -> None:
+    def _handle_frame(self, frame: Frame) -> None:
         if isinstance(frame, Hello):
-            self._take_hello(frame)
+            self._handle_hello(frame)
         elif self.node.read_names is not None and not self._greeted:
-            # Else a node could call under no name, or under one that is not its own:
-            # frames behind a refused greeting are still in the buffer.
+            # Frames behind a refused greeting are still in the buffer; handling them
+            # would let a node call without a name or under another node's name.
             self.abort()
         elif isinstance(frame, Call):
-            self._take_call(frame)
+            self._handle_call(frame)
         elif isinstance(frame, Reply):
-            self._take_reply(frame)
+            self._handle_reply(frame)
         elif isinstance(frame, Cast):
-            self.node.handlers.take_cast(self.remote, self._read_body(frame.body))
+            self.node.handlers.take_cast(self.remote, self._decode_body(frame.body))
 
-    def _take_hello(self, hello: Hello) -> None:
+    def _handle_hello(self, hello: Hello) -> None:
         self._greeted = False
         read_names = self.node.read_names
         if read_names is not None and hello.node not in read_names(self.transport):
-            logger.warning("link: Refused a peer: not {}.", hello.node)
+            logger.warning("link: Certificate does not name the peer {}.", hello.node)
             self.abort()
             return
 
         self.remote = hello.node
         if hello.protocol != PROTOCOL_VERSION:
             logger.warning(
-                "link: {} speaks protocol {}, not {}.",
+                "link: Refused {}: protocol version {} instead of {}.",
                 hello.node,
                 hello.protocol,
                 PROTOCOL_VERSION,
@@ -318,76 +328,78 @@
             return
 
         self._greeted = True
-        self._end_greeting(self)
+        self._resolve_greeting(self)
         self.node.on_greeted(self)
 
-    def _take_call(self, call: Call) -> None:
+    def _handle_call(self, call: Call) -> None:
         if self._finished:
-            # It could not be answered, so it must not run either.
+            # No reply can be sent any more, so the call must not run.
             return
 
-        answer = self.node.handlers.take_call(self.remote, self._read_body(call.body))
+        reply = self.node.handlers.take_call(self.remote, self._decode_body(call.body))
 
         def send_reply(body: Message) -> None:
             self.send_frame(Reply(number=call.number, body=body))
 
-        def report(failure: Failure) -> None:
+        def log_failure(failure: Failure) -> None:
             logger.error("link: A call failed: {}.", failure.getErrorMessage())
 
-        def settle(_: object) -> None:
-            self._answering -= 1
-            self._end_if_settled()
+        def mark_answered(_: object) -> None:
+            self._unanswered_calls -= 1
+            self._close_if_drained()
 
-        self._answering += 1
-        answer.addCallback(send_reply).addErrback(report).addBoth(settle)
+        self._unanswered_calls += 1
+        reply.addCallback(send_reply).addErrback(log_failure).addBoth(mark_answered)
 
-    def _take_reply(self, reply: Reply) -> None:
-        waiting = self._pending.pop(reply.number, None)
-        if waiting is not None:
-            waiting.callback(self._read_body(reply.body))
-            self._end_if_settled()
+    def _handle_reply(self, reply: Reply) -> None:
+        pending_call = self._pending.pop(reply.number, None)
+        if pending_call is not None:
+            pending_call.callback(self._decode_body(reply.body))
+            self._close_if_drained()
 
-    def _read_body(self, body: Any) -> Any:
+    def _decode_body(self, body: Any) -> Any:
         return msgspec.convert(
             body, type=self.node.handlers.body_type, builtin_types=(bytes,)
         )
 
-    def _expire(self, number: int) -> None:
-        waiting = self._pending.pop(number, None)
-        if waiting is None:
+    def _expire_call(self, number: int) -> None:
+        pending_call = self._pending.pop(number, None)
+        if pending_call is None:
             return
 
-        waiting.errback(LinkLostError(f"{self.remote} did not answer in time"))
-        self._end_if_settled()
-        # Not even heartbeats came meanwhile: no use in waiting for the full silence
-        # while a caller waits for the next try.
+        pending_call.errback(LinkLostError(f"{self.remote} did not answer in time"))
+        self._close_if_drained()
+        # If not even heartbeats arrived meanwhile, waiting for the full idle timeout
+        # would only delay the caller's next attempt.
         self.replace_silent()
 
     def replace_silent(self) -> None:
-        """End the connection if it has been silent for suspiciously long."""
-        if self._seconds() - self._heard_at > self.node.timing.suspicious:
+        """Close the connection if nothing arrived within ``suspect_timeout``."""
+        if self._seconds() - self._last_received_at > self.node.timing.suspect_timeout:
             logger.warning("link: Replaced the silent link to {}.", self.remote or "?")
             self.abort()
 
-    def _watch(self) -> None:
+    def _check_liveness(self) -> None:
         now = self._seconds()
         timing = self.node.timing
-        if now - self._heard_at > timing.silent:
+        if now - self._last_received_at > timing.idle_timeout:
             logger.warning("link: Replaced the silent link to {}.", self.remote or "?")
             self.abort()
             return
 
-        if now - self._sent_at >= timing.beat:
+        if now - self._last_sent_at >= timing.heartbeat_interval:
             self.send_frame(Beat())
 
-        self._timer = self.node.reactor.callLater(timing.beat, self._watch)
+        self._timer = self.node.reactor.callLater(
+            timing.heartbeat_interval, self._check_liveness
+        )
 
     def _seconds(self) -> float:
         return float(self.node.reactor.seconds())
 
 
 class LinkFactory(Factory):
-    """Builds a protocol for each accepted connection."""
+    """Builds and tracks a protocol for each accepted connection."""
 
     noisy = False
 
@@ -395,7 +407,7 @@
         self.node = node
 
     def buildProtocol(self, addr: object) -> LinkProtocol:  # noqa: N802
-        """Return a protocol that is remembered until it closes."""
+        """Return a protocol that is tracked until its connection closes."""
         protocol = LinkProtocol(self.node)
         self.node.accepted.add(protocol)
         protocol.closed.addCallback(lambda _: self.node.accepted.discard(protocol))
@@ -404,7 +416,7 @@
 
 @dataclass(slots=True)
 class Link:
-    """A connection to one other node that is made again whenever it is lost."""
+    """A connection to another node, re-established whenever it is lost."""
 
     node: LinkNode
     name: str
@@ -413,7 +425,7 @@
     stopped: bool = False
     on_up: Callable[[], None] = lambda: None
     failures: int = 0
-    """Attempts to connect in a row that failed."""
+    """Number of consecutive failed attempts to connect."""
 
 
 class _ConnectingFactory(Factory):
@@ -429,21 +441,21 @@
 def open_link(
     node: LinkNode, name: str, connect: Callable[[Factory], Deferred[Any]]
 ) -> Link:
-    """Return a link to ``name`` and start to connect it."""
+    """Return a link to ``name`` and start connecting it."""
     link = Link(node=node, name=name, connect=connect)
     _connect_link(link)
     return link
 
 
 def close_link(link: Link) -> None:
-    """End a link for good, once its calls are answered and its bytes have left."""
+    """Close a link for good once its calls have replies and its bytes were sent."""
     link.stopped = True
     if link.protocol is not None:
         link.protocol.finish()
 
 
 def finish_links(node: LinkNode, links: Iterable[Link]) -> None:
-    """End all connections of a process, each once its last byte has left."""
+    """Close all connections of a process, each once its last byte was sent."""
     for link in links:
         close_link(link)
 
@@ -452,34 +464,34 @@
 
 
 def list_protocols(node: LinkNode, links: Iterable[Link]) -> list[LinkProtocol]:
-    """Return the connections that there are, in either direction."""
+    """Return the open connections, in either direction."""
     opened = [link.protocol for link in links if link.protocol is not None]
     return [*opened, *node.accepted]
 
 
 def is_link_up(link: Link) -> bool:
-    """Tell whether there is a connection at this moment."""
+    """Return whether the link is currently connected."""
     return link.protocol is not None
 
 
 def call_link(link: Link, body: Message, *, timeout: float) -> Deferred[Any]:
-    """Call over the link; fails at once with ``LinkDownError`` if it is down."""
+    """Send a call over a link; fails at once with ``LinkDownError`` if it is down."""
     if link.protocol is None:
-        answer: Deferred[Any] = Deferred()
-        answer.errback(LinkDownError(f"no link to {link.name}"))
-        return answer
+        reply: Deferred[Any] = Deferred()
+        reply.errback(LinkDownError(f"no link to {link.name}"))
+        return reply
 
     return link.protocol.call(body, timeout=timeout)
 
 
 def replace_silent_link(link: Link) -> None:
-    """Make a link's connection anew if it is suspiciously silent."""
+    """Replace a link's connection if nothing arrived within ``suspect_timeout``."""
     if link.protocol is not None:
         link.protocol.replace_silent()
 
 
 def cast_link(link: Link, body: Message) -> bool:
-    """Send without an answer; false if the link is down or its reader lags."""
+    """Send a cast over a link; False if the link is down or its reader lags."""
     return link.protocol is not None and link.protocol.cast(body)
 
 
@@ -490,11 +502,11 @@
     timing = link.node.timing
     attempt = link.connect(_ConnectingFactory(link.node))
     attempt.addTimeout(
-        timing.connect * find_part(timing, link.failures),
+        timing.connect * compute_backoff_factor(timing, link.failures),
         cast("IReactorTime", link.node.reactor),
     )
 
-    def hold(protocol: LinkProtocol) -> None:
+    def handle_connected(protocol: LinkProtocol) -> None:
         if link.stopped:
             protocol.abort()
             return
@@ -502,26 +514,26 @@
         link.protocol = protocol
         link.failures = 0
         protocol.remote = protocol.remote or link.name
-        protocol.closed.addCallback(lambda _: lose())
+        protocol.closed.addCallback(lambda _: handle_lost())
         link.on_up()
 
-    def lose() -> None:
+    def handle_lost() -> None:
         link.protocol = None
         retry()
 
-    def fail(_: object) -> None:
+    def handle_failure(_: object) -> None:
         retry()
         link.failures += 1
 
     def retry() -> None:
         if not link.stopped:
-            pause = timing.retry * find_part(timing, link.failures)
+            pause = timing.retry * compute_backoff_factor(timing, link.failures)
             link.node.reactor.callLater(pause, _connect_link, link)
 
-    attempt.addCallbacks(hold, fail)
+    attempt.addCallbacks(handle_connected, handle_failure)
 
 
-def find_part(timing: LinkTiming, failures: int) -> float:
-    """Return the part of a link's times that holds after so many failed attempts."""
+def compute_backoff_factor(timing: LinkTiming, failures: int) -> float:
+    """Return the factor on the connect timeout and pause after failed attempts."""
     doublings = min(failures, MAX_DOUBLINGS)
-    return min(timing.first_part * 2.0**doublings, 1.0)
+    return min(timing.first_attempt_factor * 2.0**doublings, 1.0)
--- a/src/waxwingwell/adapters/measures.py
+++ b/src/waxwingwell/adapters/measures.py
@@ -1,6 +1,6 @@
-"""Counters and latency histograms of gateways and registries.
+"""Prometheus metrics of gateways and registries.
 
-Labels take few values each: no request, caller, route or upstream is named.
+Labels have low cardinality: none names a request, caller, route or upstream.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 LATENCY_BUCKETS = (0.01, 0.03, 0.1, 0.2, 0.5, 1.0, 2.0, 4.0, 8.0, 16.0, 32.0)
-"""Seconds: from a call inside a data centre to the longest streams."""
+"""Seconds, from a call inside a data centre to the longest streams."""
 
 REGISTRY = CollectorRegistry()
 REQUESTS = Counter(
--- a/src/waxwingwell/adapters/metrics_listener.py
+++ b/src/waxwingwell/adapters/metrics_listener.py
@@ -1,4 +1,4 @@
-"""Serves the counters and histograms of a gateway or registry as text."""
+"""HTTP listener for the metrics of a gateway or registry, in Prometheus text format."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 PATH = b"/metrics"
 
 
-def answer_metrics(request: HttpRequest, responder: Responder) -> None:
-    """Send all figures as text."""
+def send_metrics(request: HttpRequest, responder: Responder) -> None:
+    """Send all metrics as text."""
     if request.target.partition(b"?")[0] != PATH:
         responder.send(404, [])
         return
@@ -33,6 +33,6 @@
 
 
 def serve_metrics(reactor: Any, address: tuple[str, int]) -> Any:
-    """Listen for those who read the figures; errors: ``CannotListenError``."""
-    service = HttpService(reactor=reactor, handle=answer_metrics, limits=HttpLimits)
+    """Listen for requests for the metrics; errors: ``CannotListenError``."""
+    service = HttpService(reactor=reactor, handle=send_metrics, limits=HttpLimits)
     return reactor.listenTCP(address[1], HttpFactory(service), interface=address[0])
--- a/src/waxwingwell/adapters/ports.py
+++ b/src/waxwingwell/adapters/ports.py
@@ -1,8 +1,9 @@
-"""Listening sockets that are opened before the code that serves them is loaded.
+"""Listening sockets that are opened before the code that serves them is imported.
 
-Failure: all processes start at once, and a gateway needs some tenths of a second to
-load its libraries. Callers that connect before are reset, and use their retries up.
-With an open port the kernel keeps their connections until the gateway takes them.
+A gateway takes some tenths of a second to import its libraries. When all processes
+start at once, callers that connect meanwhile would be refused and use up their
+retries; with an open port, the kernel queues their connections until the gateway
+accepts them.
 """
 
 from __future__ import annotations
@@ -19,11 +20,11 @@
 
 
 BACKLOG = 1024
-"""Connections that the kernel keeps for us."""
+"""Connections that the kernel queues for a listening socket."""
 
 
 def open_port(address: tuple[str, int]) -> socket.socket:
-    """Listen at an address; raises ``OSError``."""
+    """Return a socket that listens at an address; raises ``OSError``."""
     port = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     port.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     port.setblocking(False)
@@ -38,30 +39,29 @@
 
 
 def adopt_port(reactor: Any, port: socket.socket, factory: Factory) -> Any:
-    """Let a reactor serve the connections of a port that ``open_port`` opened."""
+    """Let a reactor serve the connections of a socket from ``open_port``."""
     adopted = reactor.adoptStreamPort(port.fileno(), socket.AF_INET, factory)
     port.close()
     return adopted
 
 
 def close_port(port: Any) -> Deferred[None]:
-    """Serve the connections that wait in a listening port, and take no more.
+    """Accept the connections queued for a listening port, then stop listening.
 
-    Failure: a port closes between two turns of the reactor, or before the first one.
-    The kernel resets the connections that it kept until then, and their callers cannot
-    tell whether their requests were read.
+    The kernel resets connections that are still queued when a port closes, and their
+    callers cannot tell whether their requests were read.
     """
     from twisted.internet.defer import maybeDeferred
     from twisted.internet.tcp import Port
 
     if isinstance(port, Port):
-        accept_waiting(port)
+        accept_pending_connections(port)
 
     return maybeDeferred(port.stopListening)
 
 
-def accept_waiting(port: Any) -> None:
-    """Take the connections that the kernel keeps for a port."""
+def accept_pending_connections(port: Any) -> None:
+    """Accept the connections that the kernel has queued for a port."""
     poll = select.poll()
     poll.register(port.fileno(), select.POLLIN)
     for _ in range(BACKLOG):
--- a/src/waxwingwell/adapters/settings.py
+++ b/src/waxwingwell/adapters/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the daemons: JSON, checked as a whole, every fault with its place."""
+"""Settings of the daemons: JSON, validated as a whole, each fault with its place."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Address(_Model):
-    """An IP number and a port; port 0 lets the system choose when listening."""
+    """An IP address and a port; with port 0 the system chooses one when listening."""
 
     host: str = "127.0.0.1"
     port: int = Field(default=0, ge=0, le=65535)
@@ -34,53 +34,53 @@
     @field_validator("host")
     @classmethod
     def check_host(cls, value: str) -> str:
-        """Refuse names: our processes find each other by IP number."""
+        """Reject host names: the processes address each other by IP address."""
         ip_address(value)
         return value
 
 
 class Tls(_Model):
-    """PEM files of a listener or of both ends of our own links."""
+    """PEM files of a listener or of both ends of links."""
 
     certificate: Path
     private_key: Path
     authority: Path | None = None
-    """Certificates that the other end must be signed by (mutual TLS)."""
+    """Certificate authorities that must have signed the peer's certificate."""
 
 
 class Listener(Address):
-    """Where a daemon listens; plain text only where no TLS is given."""
+    """Address at which a daemon listens; in plain text if no TLS is given."""
 
     tls: Tls | None = None
 
 
 class LinkTls(Tls):
-    """PEM files of our own links, on which both ends prove their names."""
+    """PEM files of links; both ends authenticate with a certificate (mutual TLS)."""
 
     authority: Path
 
 
 class LinkListener(Listener):
-    """Where our own processes connect; with TLS it is mutual."""
+    """Address at which a daemon listens for links; TLS is mutual."""
 
     tls: LinkTls | None = None
 
 
 class Peer(Address):
-    """Another process of ours."""
+    """Another process of the system."""
 
     node: str = Field(min_length=1)
 
 
 class Telemetry(_Model):
-    """Where logs, metrics and traces go."""
+    """Log level and destinations of metrics and traces."""
 
     log_level: Literal["DEBUG", "INFO", "WARNING", "ERROR"] = "INFO"
     statsd: Address | None = None
     traces: Path | None = None
-    """File that receives one JSON line for each span."""
+    """File to which one JSON line is appended for each span."""
     trace_share: float = Field(default=0.01, ge=0, le=1)
-    """Share of requests traced when the caller did not ask for it."""
+    """Share of requests traced if the caller sends no ``traceparent``."""
 
 
 class OperatorKey(_Model):
@@ -89,7 +89,7 @@
     name: str = Field(min_length=1)
     digest: str = Field(pattern="^[0-9a-f]{64}$")
     workspace: str = ""
-    """Only this workspace; empty for the whole system."""
+    """Workspace to which the key is limited; empty for the whole system."""
 
 
 class EntrySettings(_Model):
@@ -100,23 +100,23 @@
     data_centre: str = Field(min_length=1)
     callers: Listener
     upstreams: Listener
-    """Where upstreams announce themselves."""
+    """Address to which upstreams send their announcements."""
     links: LinkListener
     control: tuple[Peer, ...] = Field(min_length=1)
     entries: tuple[Peer, ...] = ()
     """The other entries."""
     distances_ms: dict[str, float] = {}
-    """One-way milliseconds to each other data centre."""
+    """One-way network latency to each other data centre, in milliseconds."""
     rating: Address | None = None
     rating_price: float = Field(default=0.0, ge=0)
-    """Micro-units that one rating costs; cascades and sampling reckon with it."""
+    """Cost of one rating in micro-units, used by cascades and sampling."""
     max_body: int = Field(default=4_000_000, ge=1)
     idle_timeout: float = Field(default=30.0, gt=0)
-    """Seconds of silence after which a half-sent request is dropped."""
+    """Seconds without data after which an incomplete request is dropped."""
     progress_timeout: float = Field(default=5.0, gt=0)
-    """Seconds of silence of an upstream after which a stream is resumed."""
+    """Seconds without data from an upstream after which a stream is resumed."""
     drain_notice: float = Field(default=2.0, ge=0)
-    """Seconds served on after the health check went red."""
+    """Seconds for which requests are still accepted after the health check fails."""
     drain_limit: float = Field(default=600.0, gt=0)
     telemetry: Telemetry = Telemetry()
 
@@ -133,13 +133,13 @@
     members: tuple[Peer, ...] = Field(min_length=1)
     """All members of the group, this one included."""
     join: bool = False
-    """Join an existing group as a learner instead of founding one."""
+    """Join an existing group as a learner instead of bootstrapping one."""
     operators: tuple[OperatorKey, ...] = ()
     telemetry: Telemetry = Telemetry()
 
     @model_validator(mode="after")
     def check_members(self) -> ControlSettings:
-        """Refuse a group that does not name this node, or names one twice."""
+        """Reject a group that does not list this node, or lists a node twice."""
         names = [member.node for member in self.members]
         if len(set(names)) != len(names):
             raise ValueError("members: a node is named twice")
@@ -151,7 +151,7 @@
 
 
 class EmbeddedSettings(_Model):
-    """Settings of the embedded role; only loopback is accepted."""
+    """Settings of the embedded role, which listens on loopback only."""
 
     role: Literal["embedded"] = "embedded"
     host: str = "127.0.0.1"
@@ -163,7 +163,7 @@
     @field_validator("host")
     @classmethod
     def check_loopback(cls, value: str) -> str:
-        """Refuse other addresses: this role accepts a key that is in the docs."""
+        """Reject other addresses: this role accepts a key that is published."""
         if not ip_address(value).is_loopback:
             raise ValueError("the embedded role listens on loopback only")
 
@@ -181,7 +181,7 @@
 def read_settings(
     data: bytes,
 ) -> Result[EntrySettings | ControlSettings | EmbeddedSettings, tuple[Finding, ...]]:
-    """Check settings given as JSON; every fault is reported with its place."""
+    """Parse and validate JSON settings; every fault is reported with its place."""
     try:
         return Success(_ADAPTER.validate_json(data))
     except ValidationError as error:
@@ -189,7 +189,7 @@
 
 
 def make_findings(error: ValidationError) -> tuple[Finding, ...]:
-    """Turn a validation error into findings."""
+    """Convert a validation error to findings."""
     return tuple(
         Finding(
             place=".".join(str(part) for part in item["loc"]) or "(whole)",
--- a/src/waxwingwell/adapters/signals.py
+++ b/src/waxwingwell/adapters/signals.py
@@ -1,7 +1,7 @@
-"""Signals of a process whose role can't act on them yet, or not any more.
+"""Signal handling before a process's role has started and after it has stopped.
 
-Imported before anything else, so it loads as little as possible: the public module
-``signal`` takes as long to load as the interpreter takes to start.
+This module is imported first and keeps its own imports small: importing the public
+module ``signal`` takes as long as starting the interpreter.
 """
 
 from __future__ import annotations
@@ -16,17 +16,17 @@
 
 
 class ProcessStart:
-    """When a process began, and what it was told since; times are of ``read_clock``."""
+    """Start time of a process and the signals received since, by ``read_clock``."""
 
     def __init__(self, began_at: float) -> None:
         self.began_at = began_at
         self.stop_at: float | None = None
-        """When it was first told to stop."""
+        """Time of the first signal to stop."""
         self.changed = False
-        """Settings have changed."""
+        """Whether a signal has announced changed settings."""
 
-    def note(self, number: int, now: float) -> None:
-        """Remember a signal."""
+    def record(self, number: int, now: float) -> None:
+        """Record a signal."""
         if number == RELOAD_SIGNAL:
             self.changed = True
         elif self.stop_at is None:
@@ -34,24 +34,24 @@
 
 
 def keep_signals(start: ProcessStart) -> None:
-    """Note signals from now on, in place of their default action.
+    """Record signals from now on instead of executing their default action.
 
-    Failure: their default action ends the process. Callers whose connections wait in
-    its port are reset, and cannot tell whether their requests were read.
+    The default action ends the process. Connections queued in its listening port
+    would be reset, and their callers could not tell whether requests were read.
     """
 
-    def keep(number: int, frame: object) -> None:
-        start.note(number, read_clock())
+    def handle_signal(number: int, frame: object) -> None:
+        start.record(number, read_clock())
 
     for number in (*STOP_SIGNALS, RELOAD_SIGNAL):
-        _signal.signal(number, keep)
+        _signal.signal(number, handle_signal)
 
 
 def ignore_signals() -> None:
-    """Ignore signals from now on: the process is about to end.
+    """Ignore signals from now on, as the process is about to exit.
 
-    Failure: the interpreter restores their default actions as it ends, and a signal
-    makes a planned stop look like a crash.
+    The interpreter restores the default actions while it exits, and a signal would
+    then make a planned stop look like a crash.
     """
     for number in (*STOP_SIGNALS, RELOAD_SIGNAL):
         _signal.signal(number, _signal.SIG_IGN)
--- a/src/waxwingwell/adapters/telemetry.py
+++ b/src/waxwingwell/adapters/telemetry.py
@@ -1,4 +1,4 @@
-"""Logs, metrics and traces, as the settings ask for them."""
+"""Logs, metrics and traces, as configured by the settings."""
 
 from __future__ import annotations
 
@@ -41,33 +41,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Metrics:
-    """What the other parts may report; names are dotted."""
+    """Functions that report metrics under dotted names."""
 
     count: Callable[[str, int], None]
     time: Callable[[str, float], None]
-    """Name and seconds."""
+    """Reports a duration, given a name and seconds."""
     gauge: Callable[[str, float], None]
 
 
 @dataclass(frozen=True, slots=True)
 class Traces:
-    """Spans, one for each hop of a request."""
+    """Tracer for the spans of requests, one span for each hop."""
 
     tracer: Tracer
     close: Callable[[], None]
 
 
 def start_logs(level: str) -> None:
-    """Send our own and Twisted's logs to standard error."""
+    """Send the log lines of this package and of Twisted to standard error."""
     logger.remove()
     logger.add(sys.stderr, format=LOG_FORMAT, level=level)
     globalLogBeginner.beginLoggingTo(
-        [cast("ILogObserver", _pass_event)], redirectStandardIO=False
+        [cast("ILogObserver", _forward_event)], redirectStandardIO=False
     )
 
 
 def open_metrics(settings: Telemetry, node: str) -> Metrics:
-    """Return metrics that go to statsd, or nowhere if the settings name none."""
+    """Return metrics that are sent to statsd, or discarded if it is not configured."""
     if settings.statsd is None:
         return Metrics(
             count=lambda name, n: None,
@@ -86,7 +86,7 @@
 
 
 def open_traces(settings: Telemetry, node: str) -> Traces:
-    """Return traces that go to a file of JSON lines, or nowhere."""
+    """Return traces that are written to a JSON Lines file, or discarded."""
     if settings.traces is None:
         return Traces(tracer=NoOpTracer(), close=lambda: None)
 
@@ -111,7 +111,7 @@
 def start_span(
     traces: Traces, name: str, *, kind: SpanKind, parent: Span | str | None
 ) -> Span:
-    """Start the span of a hop below a span, or below a caller's ``traceparent``."""
+    """Start the span of a hop as a child of a span or of a ``traceparent`` header."""
     if isinstance(parent, Span):
         context = set_span_in_context(parent)
     else:
@@ -122,13 +122,13 @@
 
 
 def make_traceparent(span: Span) -> str | None:
-    """Return the header that carries a span to the next hop."""
+    """Return the ``traceparent`` header that passes a span to the next hop."""
     carrier: dict[str, str] = {}
     _PROPAGATOR.inject(carrier, context=set_span_in_context(span))
     return carrier.get("traceparent")
 
 
-def _pass_event(event: Any) -> None:
+def _forward_event(event: Any) -> None:
     level = event.get("log_level", LogLevel.info)
     if level in (LogLevel.error, LogLevel.critical):
         logger.error("twisted: {}", formatEvent(event))
--- a/src/waxwingwell/adapters/tls.py
+++ b/src/waxwingwell/adapters/tls.py
@@ -1,4 +1,4 @@
-"""TLS of listeners and links, as the settings ask for it."""
+"""TLS of listeners and links, as configured by the settings."""
 
 from __future__ import annotations
 
@@ -33,20 +33,20 @@
 
 
 def read_peer_names(transport: Any) -> frozenset[str]:
-    """Return the names that the other end of a TLS connection has proven."""
+    """Return the names in the certificate of a TLS connection's peer."""
     return read_names(transport.getPeerCertificate())
 
 
 def make_context(source: TlsSource, *, peer: str = "") -> SSL.Context:
-    """Return the context of one connection: TLS 1.2 or newer.
+    """Return the context of one connection, which uses TLS 1.2 or newer.
 
-    With an authority the other end must present a certificate signed by it; with
-    ``peer`` that certificate must bear this name, too.
+    With an authority, the peer must present a certificate signed by it; with
+    ``peer``, that certificate must also contain this name.
     """
     material = get_material(source)
     context = SSL.Context(SSL.TLS_METHOD)
     context.set_min_proto_version(SSL.TLS1_2_VERSION)
-    # Without resumption each connection is checked against the present files.
+    # Resumed sessions would not be verified against the current files.
     context.set_session_cache_mode(SSL.SESS_CACHE_OFF)
     context.set_options(SSL.OP_NO_TICKET)
     context.use_certificate(material.chain[0])
@@ -59,12 +59,14 @@
 
     store = context.get_cert_store()
     if store is None:
-        raise TlsFileError(f"{source.place}.authority", "no store for authorities")
+        raise TlsFileError(
+            f"{source.place}.authority", "OpenSSL has no store for authorities"
+        )
 
     for authority in material.authorities:
         store.add_cert(authority)
 
-    def check(
+    def verify_peer(
         connection: SSL.Connection,
         certificate: crypto.X509,
         error: int,
@@ -72,41 +74,47 @@
         chain_ok: int,
     ) -> bool:
         if not chain_ok:
-            logger.warning("tls: Refused a peer on {}: error {}.", source.place, error)
+            logger.warning(
+                "tls: Refused a peer on {}: verification error {}.", source.place, error
+            )
             return False
 
-        if depth == 0 and peer and not _bears(certificate, peer):
-            logger.warning("tls: Refused a peer on {}: not {}.", source.place, peer)
+        if depth == 0 and peer and not _has_name(certificate, peer):
+            logger.warning(
+                "tls: Refused a peer on {}: certificate does not name {}.",
+                source.place,
+                peer,
+            )
             return False
 
         return True
 
-    context.set_verify(SSL.VERIFY_PEER | SSL.VERIFY_FAIL_IF_NO_PEER_CERT, check)
+    context.set_verify(SSL.VERIFY_PEER | SSL.VERIFY_FAIL_IF_NO_PEER_CERT, verify_peer)
     return context
 
 
 @implementer(IOpenSSLServerConnectionCreator)
 @implementer(IOpenSSLClientConnectionCreator)
 class ConnectionMaker:
-    """Makes the TLS state of each new connection from the present files."""
+    """Creates the TLS state of each new connection from the current files."""
 
     def __init__(self, source: TlsSource, peer: str = "") -> None:
         self._source = source
         self._peer = peer
 
     def serverConnectionForTLS(self, tlsProtocol: Any) -> SSL.Connection:  # noqa: N802, N803
-        """Return the state of an accepted connection."""
+        """Return the TLS state of an accepted connection."""
         return SSL.Connection(make_context(self._source), None)
 
     def clientConnectionForTLS(self, tlsProtocol: Any) -> SSL.Connection:  # noqa: N802, N803
-        """Return the state of a connection of our own."""
+        """Return the TLS state of an outgoing connection."""
         return SSL.Connection(make_context(self._source, peer=self._peer), None)
 
 
 def listen(
     reactor: Any, listener: Listener, factory: Any, source: TlsSource | None
 ) -> Any:
-    """Listen with TLS, or in plain text where the settings give none."""
+    """Listen with TLS, or in plain text if there is no ``source``."""
     if source is not None:
         factory = TLSMemoryBIOFactory(ConnectionMaker(source), False, factory)
         factory.noisy = False
@@ -115,7 +123,7 @@
 
 
 def get_factory(port: Any) -> Any:
-    """Return the factory given to ``listen``."""
+    """Return the factory that was passed to ``listen``."""
     return getattr(port.factory, "wrappedFactory", port.factory)
 
 
@@ -124,9 +132,9 @@
 ) -> Callable[[Factory], Deferred[Any]]:
     """Return a function that connects a factory of links to a peer.
 
-    With TLS the connection counts once the peer's greeting is here: only then have
-    both ends accepted each other (in TLS 1.3 our end is done before the peer has
-    seen our certificate). Else a refused link would be up again and again.
+    With TLS, a connection is up only once the peer's greeting has arrived, since in
+    TLS 1.3 the client's handshake ends before the peer has verified its certificate.
+    Otherwise a refused link would be reported as up again and again.
     """
     endpoint = TCP4ClientEndpoint(reactor, peer.host, peer.port)
     if source is None:
@@ -136,16 +144,16 @@
 
     def connect(factory: Factory) -> Deferred[Any]:
         attempt: Deferred[Any] = secure.connect(factory)
-        return attempt.addCallback(_await_greeting)
+        return attempt.addCallback(_wait_for_greeting)
 
     return connect
 
 
-def _await_greeting(protocol: LinkProtocol) -> Deferred[LinkProtocol]:
-    return protocol.wait_greeted()
+def _wait_for_greeting(protocol: LinkProtocol) -> Deferred[LinkProtocol]:
+    return protocol.wait_for_greeting()
 
 
-def _bears(certificate: crypto.X509, name: str) -> bool:
+def _has_name(certificate: crypto.X509, name: str) -> bool:
     try:
         return name in read_names(certificate)
     except ValueError:
--- a/src/waxwingwell/adapters/tls_files.py
+++ b/src/waxwingwell/adapters/tls_files.py
@@ -1,4 +1,4 @@
-"""Certificates and keys named in the settings, read again when renewed."""
+"""Certificates and keys named in the settings, reloaded when they are renewed."""
 
 from __future__ import annotations
 
@@ -27,37 +27,37 @@
 
 ContentT = TypeVar("ContentT")
 Stamp = tuple[tuple[int, int, int] | None, ...]
-"""Modification time in ns, size and inode of each file; none where it is missing."""
+"""Modification time in ns, size and inode of each file; None for a missing file."""
 
 
 @dataclass(slots=True)
 class TlsSource:
-    """One ``tls`` of the settings, and the files as they were last taken."""
+    """One ``tls`` object of the settings, and the files as they were last loaded."""
 
     place: str
-    """Where the settings name the files, as in ``links.tls``."""
+    """Place in the settings that names the files, such as ``links.tls``."""
     tls: Tls
     node: str = ""
-    """Name that our own certificate must bear; empty for any."""
+    """Name that this process's own certificate must contain; empty for any."""
     stamp: Stamp = ()
     material: Material | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class Material:
-    """Contents of the files, kept so that a broken renewal changes nothing."""
+    """Contents of the files, kept in memory in case a renewal is unusable."""
 
     chain: tuple[crypto.X509, ...]
-    """Our own certificate first."""
+    """Certificate chain, with this process's own certificate first."""
     key: crypto.PKey
     authorities: tuple[crypto.X509, ...] = ()
 
 
 def open_tls(node: str, listeners: dict[str, Listener]) -> dict[str, TlsSource | None]:
-    """Return the source of each listener, none for plain text.
+    """Return the source of each listener, None for plain text.
 
-    ``links`` must bear the name ``node``. Errors: ``SettingsError`` with the
-    first fault of each listener's files.
+    The certificate of ``links`` must contain the name ``node``. Errors:
+    ``SettingsError`` with the first fault of each listener's files.
     """
     sources: dict[str, TlsSource | None] = {}
     findings: list[Finding] = []
@@ -85,7 +85,7 @@
 
 
 def read_stamp(tls: Tls) -> Stamp:
-    """Return what tells a renewed file from the one that was read."""
+    """Return a stamp that differs once a file has been renewed."""
     return tuple(
         _read_file_stamp(path)
         for path in (tls.certificate, tls.private_key, tls.authority)
@@ -94,11 +94,11 @@
 
 
 def read_material(source: TlsSource) -> Material:
-    """Read and check the files; ``TlsFileError`` names the place and the path."""
+    """Read and validate the files; ``TlsFileError`` names the place and the path."""
     tls, place = source.tls, source.place
     chain = _read_chain(f"{place}.certificate", tls.certificate)
-    # An empty passphrase: else OpenSSL would ask for one on the terminal, and the
-    # process would hang at its start.
+    # Without a passphrase argument, OpenSSL would prompt for one on the terminal, and
+    # the process would hang at its start.
     key = _parse(
         f"{place}.private_key",
         tls.private_key,
@@ -107,14 +107,14 @@
     if not _is_key_of(chain[0], key):
         raise TlsFileError(
             f"{place}.private_key",
-            f"{tls.private_key}: not the key of {tls.certificate}",
+            f"{tls.private_key}: not the key of the certificate {tls.certificate}",
         )
 
     names = read_names(chain[0])
     if source.node and source.node not in names:
         raise TlsFileError(
             f"{place}.certificate",
-            f"{tls.certificate}: names {sorted(names)}, not {source.node!r}",
+            f"{tls.certificate}: contains names {sorted(names)}, not {source.node!r}",
         )
 
     authorities: tuple[crypto.X509, ...] = ()
@@ -125,11 +125,10 @@
 
 
 def get_material(source: TlsSource) -> Material:
-    """Return the files' contents, read again if a file has changed.
+    """Return the files' contents, reloaded if a file has changed.
 
-    Failure guarded against: a renewal that is half written or wrong would refuse
-    every new connection. The former files are kept, and the fault is logged once
-    for each change of a file.
+    An incomplete or invalid renewal would make every new connection fail, so the
+    former contents stay in use, and the fault is logged once per change of a file.
     """
     stamp = read_stamp(source.tls)
     if stamp != source.stamp or source.material is None:
@@ -137,18 +136,22 @@
         try:
             source.material = read_material(source)
         except TlsFileError as error:
-            logger.error("tls: Kept the former files. {}: {}.", error.place, error)
+            logger.error(
+                "tls: Renewed files unusable, kept the former ones. {}: {}.",
+                error.place,
+                error,
+            )
         else:
-            logger.info("tls: Took the renewed files of {}.", source.place)
+            logger.info("tls: Loaded the renewed files of {}.", source.place)
 
     if source.material is None:
-        raise TlsFileError(source.place, "no usable files")
+        raise TlsFileError(source.place, "no usable certificate and key")
 
     return source.material
 
 
 def read_names(certificate: crypto.X509 | None) -> frozenset[str]:
-    """Return the common names and the alternative DNS names of a certificate."""
+    """Return the common names and the DNS alternative names of a certificate."""
     if certificate is None:
         return frozenset()
 
--- a/tests/adapters/test_events.py
+++ b/tests/adapters/test_events.py
@@ -10,9 +10,9 @@
 import unittest
 from pathlib import Path
 
-from waxwingwell.adapters.events import RATE
-from waxwingwell.adapters.events import Output
-from waxwingwell.adapters.events import finish_output
+from waxwingwell.adapters.events import MAX_ROUTINE_LINES_PER_SECOND
+from waxwingwell.adapters.events import LogOutput
+from waxwingwell.adapters.events import flush_output
 
 
 ROOT = Path(__file__).resolve().parents[2]
@@ -82,7 +82,7 @@
             with self.subTest(reads=reads):
                 reading, writing = os.pipe()
                 os.set_blocking(writing, False)
-                output = Output(writing)
+                output = LogOutput(writing)
                 written = 0
                 while len(output.pending) < 3:
                     output.write(b"x" * 999 + b"\n")
@@ -96,7 +96,7 @@
                 if reads:
                     reader.start()
 
-                finish_output(output, lambda: next(times), 90 if reads else 1)  # noqa: B023
+                flush_output(output, lambda: next(times), 90 if reads else 1)  # noqa: B023
                 self.assertIs(bool(output.pending), not reads)
                 os.close(writing)
                 if not reads:
@@ -108,12 +108,24 @@
 
     def test_routine_lines_are_bounded(self) -> None:
         for event, lines, written in (
-            ("gateway: Placed", RATE - 1, RATE - 1),
-            ("gateway: Placed", 5 * RATE, RATE),
-            ("gateway: Request ended", 5 * RATE, 5 * RATE),
+            (
+                "gateway: Placed",
+                MAX_ROUTINE_LINES_PER_SECOND - 1,
+                MAX_ROUTINE_LINES_PER_SECOND - 1,
+            ),
+            (
+                "gateway: Placed",
+                5 * MAX_ROUTINE_LINES_PER_SECOND,
+                MAX_ROUTINE_LINES_PER_SECOND,
+            ),
+            (
+                "gateway: Request ended",
+                5 * MAX_ROUTINE_LINES_PER_SECOND,
+                5 * MAX_ROUTINE_LINES_PER_SECOND,
+            ),
         ):
             with self.subTest(event=event, lines=lines):
-                output = Output(descriptor=-1)
+                output = LogOutput(descriptor=-1)
                 admitted = sum(output.admits(event, 7.5) for _ in range(lines))
                 self.assertEqual(admitted, written)
                 self.assertEqual(output.dropped, lines - written)
--- a/tests/adapters/test_links.py
+++ b/tests/adapters/test_links.py
@@ -26,7 +26,7 @@
 from waxwingwell.messages import Message
 
 
-TIMING = LinkTiming(beat=0.5, silent=2.0)
+TIMING = LinkTiming(heartbeat_interval=0.5, idle_timeout=2.0)
 
 
 class FakeTransport(StringTransport):
--- a/tests/adapters/test_tls.py
+++ b/tests/adapters/test_tls.py
@@ -401,7 +401,7 @@
 
         def connect(factory: Any) -> Any:
             attempt: Deferred[Any] = secure.connect(factory)
-            return attempt.addCallback(lambda end: end.wait_greeted())
+            return attempt.addCallback(lambda end: end.wait_for_greeting())
 
         await self.assert_refused(connect)
 
