--- a/src/waxwingwell/__main__.py
+++ b/src/waxwingwell/__main__.py
@@ -1,4 +1,4 @@
-"""Run the command line as ``python -m waxwingwell``."""
+"""Runs the command line for ``python -m waxwingwell``."""
 
 from __future__ import annotations
 
--- a/src/waxwingwell/invariants.py
+++ b/src/waxwingwell/invariants.py
@@ -1,8 +1,8 @@
-"""The ten promises of the product, checked where the state changes.
+"""The product's ten guarantees, checked as invariants where the state changes.
 
-A check is always on and costs one comparison when it holds. A breach is logged and
-counted; it is raised only where ``raise_on_breach`` is set, as tests do, because a
-running process serves its callers better by going on than by stopping.
+The checks are always enabled; one that holds costs a comparison. A violation is
+logged and counted, but raised only if ``raise_on_breach`` is set, as tests do: in
+production, a process that continues serves its callers better than one that stops.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class Promise(StrEnum):
-    """What must always hold, in the order of the brief."""
+    """Invariants that must always hold."""
 
     ALLOWED_VERSION = "a request runs only on a version its workspace allows"
     NO_NEW_WORK_WHEN_WITHDRAWN = "a withdrawn version receives no new work"
@@ -36,30 +36,30 @@
 
 
 class BreachError(AssertionError):
-    """A promise was broken; raised only where ``raise_on_breach`` is set."""
+    """An invariant was violated; raised only if ``raise_on_breach`` is set."""
 
     def __init__(self, promise: Promise, detail: str) -> None:
-        """Keep the promise for the test that asserts on it."""
+        """Store the violated invariant for tests that assert on it."""
         super().__init__(f"{promise.value}: {detail}")
         self.promise = promise
 
 
 @dataclass(slots=True)
 class Breaches:
-    """Breaches counted since the process started."""
+    """Violations counted since the process started."""
 
     counts: Counter[Promise] = field(default_factory=Counter)
     raise_on_breach: bool = False
 
 
 BREACHES = Breaches()
-"""The one table of this process; metrics read it and tests set its switch."""
+"""Counts of this process, read by metrics; tests set ``raise_on_breach``."""
 
 
 def check(promise: Promise, holds: bool, detail: str | Callable[[], str]) -> bool:
-    """Return ``holds``; count, log and perhaps raise a breach.
+    """Return ``holds``; if it is false, count, log and perhaps raise the violation.
 
-    A callable ``detail`` is formatted only on a breach, which keeps checks cheap.
+    A callable ``detail`` is evaluated only on a violation, which keeps checks cheap.
     """
     if holds:
         return True
@@ -74,5 +74,5 @@
 
 
 def count_breaches() -> int:
-    """Return the breaches of all promises together."""
+    """Return the number of violations of all invariants together."""
     return BREACHES.counts.total()
--- a/src/waxwingwell/keys.py
+++ b/src/waxwingwell/keys.py
@@ -1,4 +1,4 @@
-"""Keys of callers and operators: how they are sent, and how they are stored."""
+"""API keys of callers and operators: their transmission and storage formats."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 BEARER = "Bearer "
-"""What stands before a key in an ``Authorization`` header."""
+"""Prefix of a key in an ``Authorization`` header."""
 
 
 def hash_key(key: str) -> str:
--- a/src/waxwingwell/messages.py
+++ b/src/waxwingwell/messages.py
@@ -1,7 +1,7 @@
-"""Messages between our own processes, and commands of the replicated log.
+"""Messages between the system's processes, and commands of the replicated log.
 
-Every message is a tagged msgspec structure; ``Command`` and ``Outcome`` are the
-unions that the state machine takes and gives. Protocol: docs/PROTOCOL.md.
+Every message is a tagged msgspec structure. The state machine applies a ``Command``
+and returns an ``Outcome``. Protocol: docs/PROTOCOL.md.
 """
 
 from __future__ import annotations
@@ -35,11 +35,11 @@
 
 
 class Change(Message, frozen=True, kw_only=True):
-    """Header of a change: compare-and-swap on the subject's revision.
+    """Header of a change, a compare-and-swap on the subject's revision.
 
-    ``change_id`` makes a resend answer with the first outcome. ``at`` is the
-    proposer's wall clock in seconds. Source of the one-ancestor rule: the CAS-only
-    key-value store design, see docs/design/configuration.md.
+    A retry with the same ``change_id`` returns the first outcome. ``at`` is the
+    proposer's wall clock in seconds. The rule that a revision has one ancestor
+    follows the CAS-only key-value store design, see docs/design/configuration.md.
     """
 
     change_id: str
@@ -52,18 +52,18 @@
     """Store a workspace's answers and the configuration generated from them."""
 
     answers: bytes
-    """The answers as JSON, kept as they were given."""
+    """The answers as JSON, stored unmodified."""
     config: WorkspaceConfig
 
 
 class RegisterVersion(Change, frozen=True, kw_only=True):
-    """Add a version to the catalogue; it starts with the status it names."""
+    """Add a version to the catalogue, with the status in its ``spec``."""
 
     spec: VersionSpec
 
 
 class StartRollout(Change, frozen=True, kw_only=True):
-    """Begin a staged roll-out of ``candidate`` against ``incumbent``."""
+    """Start a staged roll-out of ``candidate`` against ``incumbent``."""
 
     model: str
     candidate: VersionId
@@ -72,7 +72,7 @@
 
 
 class StepRollout(Change, frozen=True, kw_only=True):
-    """Move a roll-out: another stage, pause, resume, complete or roll back."""
+    """Step a roll-out: change its stage, pause, resume, complete or roll it back."""
 
     model: str
     stage: int
@@ -82,7 +82,7 @@
 
 
 class WithdrawVersion(Change, frozen=True, kw_only=True):
-    """Withdraw a version, gracefully (sessions end on it) or at once."""
+    """Withdraw a version, gracefully (its sessions may finish on it) or at once."""
 
     version: VersionId
     graceful: bool = False
@@ -92,16 +92,16 @@
 
 
 class Reserve(Message, frozen=True, kw_only=True):
-    """Open the ledger row of a request, or learn what became of its key."""
+    """Open the ledger row of a request, or return the row that its key already has."""
 
     row: LedgerRow
 
 
 class Settle(Message, frozen=True, kw_only=True):
-    """Close an open row of the same request id; a second settle changes nothing.
+    """Settle the open row of a request id; a second settle changes nothing.
 
-    With ``row`` it opens the row first, for an answer that was kept back until now:
-    one command instead of two, and nothing went out that it doesn't cover.
+    With ``row``, the row is opened and settled in one command. This suits responses
+    that are withheld until then, since nothing is sent that the row doesn't cover.
     """
 
     workspace: WorkspaceId
@@ -117,7 +117,7 @@
 
 
 class SettleAbandoned(Message, frozen=True, kw_only=True):
-    """Close the rows that a dead entry's incarnations below this one left open."""
+    """Close the rows left open by an entry's dead incarnations, those below this one."""
 
     entry: EntryId
     below_incarnation: int
@@ -125,7 +125,7 @@
 
 
 class PinSession(Message, frozen=True, kw_only=True):
-    """Pin a session to a version unless it has a pin already."""
+    """Pin a session to a version unless it already has a pin."""
 
     workspace: WorkspaceId
     session: str
@@ -134,7 +134,7 @@
 
 
 class RecordEvidence(Message, frozen=True, kw_only=True):
-    """Add an entry's increments; a sequence seen before changes nothing."""
+    """Add an entry's increments of evidence; a known sequence changes nothing."""
 
     entry: EntryId
     incarnation: int
@@ -160,7 +160,7 @@
 
 
 class Accepted(Message, frozen=True, kw_only=True):
-    """A change is committed; ``config_version`` counts all changes ever accepted."""
+    """A change is committed; ``config_version`` counts all accepted changes."""
 
     subject: str
     revision: int
@@ -168,7 +168,7 @@
 
 
 class Conflict(Message, frozen=True, kw_only=True):
-    """Another change came first; ``current`` describes what stands there now."""
+    """The expected revision is outdated; ``current`` describes the current state."""
 
     subject: str
     revision: int
@@ -176,17 +176,17 @@
 
 
 class Rejected(Message, frozen=True, kw_only=True):
-    """The command was not carried out, with every reason and its place."""
+    """The command was not executed; each finding has a reason and its place."""
 
     findings: tuple[Finding, ...]
 
 
 class Reserved(Message, frozen=True, kw_only=True):
-    """The row is open and durable for this request id."""
+    """The row of this request id is open and durable."""
 
 
 class AlreadyOpen(Message, frozen=True, kw_only=True):
-    """Another attempt under the key is running."""
+    """Another attempt with the same key is running."""
 
     row: LedgerRow
 
@@ -198,7 +198,7 @@
 
 
 class Settled(Message, frozen=True, kw_only=True):
-    """The row as it stands after a settle; ``changed`` is false for a repeat."""
+    """The row after a settle; ``changed`` is false if it was settled before."""
 
     row: LedgerRow
     changed: bool
@@ -211,13 +211,13 @@
 
 
 class Pinned(Message, frozen=True, kw_only=True):
-    """The version a session is pinned to, old or new."""
+    """The version that a session is pinned to, by this command or an earlier one."""
 
     version: VersionId
 
 
 class Recorded(Message, frozen=True, kw_only=True):
-    """Evidence taken in; ``changed`` is false for a repeat."""
+    """Evidence was added; ``changed`` is false if its sequence was known."""
 
     changed: bool
 
@@ -240,85 +240,88 @@
 
 
 class ConfigSnapshot(Message, frozen=True, kw_only=True):
-    """All configuration at one version, or what changed since an earlier one."""
+    """The whole configuration at one version, or the changes since an earlier one."""
 
     config_version: int
     since: int = 0
-    """0 for everything, which replaces what an entry has; else it is merged."""
+    """0 for a full snapshot, which replaces an entry's state; else it is merged."""
     workspaces: tuple[WorkspaceConfig, ...] = ()
     versions: tuple[VersionSpec, ...] = ()
     rollouts: tuple[Rollout, ...] = ()
 
 
 class RenewLease(Message, frozen=True, kw_only=True):
-    """An entry asks for its configuration lease; it counts from the sending."""
+    """Request to renew an entry's configuration lease; it runs from the sending."""
 
     entry: EntryId
     incarnation: int
     config_version: int
-    """The newest configuration that this entry has in force."""
+    """Newest configuration version that is in force at this entry."""
 
 
 class LeaseGranted(Message, frozen=True, kw_only=True):
-    """The entry has the newest configuration and may admit for ``duration``."""
+    """The entry has the newest configuration and may admit requests.
+
+    ``duration`` is in seconds.
+    """
 
     duration: float
     config_version: int
     term: int = 0
     """The granting leader's term; orders with lower fencing numbers are refused."""
     evidence: tuple[Evidence, ...] = ()
-    """Sums over all entries, for version choice; sent now and then."""
+    """Totals over all entries, for choosing versions; not sent with every grant."""
 
 
 class LeaseBehind(Message, frozen=True, kw_only=True):
-    """The entry must first take this configuration and renew again."""
+    """The entry must apply this configuration before it renews its lease again."""
 
     snapshot: ConfigSnapshot
 
 
 class NotLeader(Message, frozen=True, kw_only=True):
-    """The asked control process does not lead; ``leader`` may know better."""
+    """The called control process is not the leader; ``leader`` may name it."""
 
     leader: str = ""
 
 
 class Submit(Message, frozen=True, kw_only=True):
-    """Ask the leader to put a command through the log."""
+    """Ask the leader to commit a command to the log."""
 
     command: Command
 
 
 class AskInForce(Message, frozen=True, kw_only=True):
-    """Ask whether a configuration version is in force everywhere."""
+    """Ask whether a configuration version is in force at every entry."""
 
     config_version: int
 
 
 class InForce(Message, frozen=True, kw_only=True):
-    """Whether it is, and the entries that are still behind."""
+    """Whether the version is in force, and the entries that don't have it yet."""
 
     in_force: bool
     waiting: tuple[EntryId, ...] = ()
 
 
 class AskUpstreams(Message, frozen=True, kw_only=True):
-    """Ask an entry for the upstreams that it knows."""
+    """Ask an entry for the upstreams it has discovered."""
 
 
 class KnownUpstream(Message, frozen=True, kw_only=True):
-    """One upstream as an entry knows it."""
+    """One upstream, as an entry sees it."""
 
     announcement: Announcement
     lease_left: float
-    """Seconds; 0 or less once it has run out."""
+    """Seconds until the lease expires; 0 or less once it has expired."""
     left: bool
     ejected: bool
     in_flight: int
-    """Requests of the asked entry."""
+    """Requests in flight from the entry that sends this."""
 
 
 class KnownUpstreams(Message, frozen=True, kw_only=True):
-    """An entry's upstreams, and how much it has in hand itself."""
+    """An entry's upstreams, and the number of its own running requests."""
 
     upstreams: tuple[KnownUpstream, ...]
     running: int
@@ -326,7 +329,7 @@
 
 
 class OrderVersions(Message, frozen=True, kw_only=True):
-    """Ask an entry to pass an order on to an engine: all versions it should hold."""
+    """Ask an entry to forward an order to an engine: all versions it should hold."""
 
     upstream: UpstreamId
     versions: tuple[VersionId, ...]
@@ -335,30 +338,30 @@
 
 
 class OrderPassed(Message, frozen=True, kw_only=True):
-    """What became of an order; ``status`` is the engine's HTTP status, 0 if none."""
+    """Outcome of an order; ``status`` is the engine's HTTP status, or 0 for none."""
 
     status: int
     reason: str = ""
 
 
 class Drain(Message, frozen=True, kw_only=True):
-    """Tell an entry to stop gracefully, as a planned stop does."""
+    """Ask an entry to start a planned stop."""
 
 
 class Draining(Message, frozen=True, kw_only=True):
-    """The entry has begun its planned stop."""
+    """The entry has started its planned stop."""
 
     running: int
 
 
 class Failed(Message, frozen=True, kw_only=True):
-    """A call failed; ``may_have_run`` tells whether it could still take effect."""
+    """A call failed; ``may_have_run`` is true if it may still take effect."""
 
     reason: str
     may_have_run: bool
 
 
-# --- spread between entries -----------------------------------------------------
+# --- exchanged between entries ---------------------------------------------------
 
 
 class SpreadAnnouncements(Message, frozen=True, kw_only=True):
@@ -366,11 +369,11 @@
 
     announcements: tuple[Announcement, ...]
     ages: tuple[float, ...]
-    """Seconds since each was heard from the upstream itself."""
+    """Seconds since each announcement was received from its upstream."""
 
 
 class SpreadDemand(Message, frozen=True, kw_only=True):
-    """An entry's own in-flight counts and request rate of each workspace."""
+    """An entry's own requests in flight and request rate for each workspace."""
 
     entry: EntryId
     incarnation: int
@@ -384,31 +387,31 @@
 
 
 class Hello(Message, frozen=True, kw_only=True):
-    """First message both ways: who speaks, and the protocol's version."""
+    """First message in each direction: the sender's name and protocol version."""
 
     node: str
     protocol: int
 
 
 class Beat(Message, frozen=True, kw_only=True):
-    """Heartbeat; a stream silent for several beats is replaced."""
+    """Heartbeat; a connection that receives none for several intervals is replaced."""
 
 
 class Call(Message, frozen=True, kw_only=True):
-    """A question that expects one ``Reply`` with the same number."""
+    """A request that expects one ``Reply`` with the same number."""
 
     number: int
     body: Any
 
 
 class Reply(Message, frozen=True, kw_only=True):
-    """The answer to a ``Call``."""
+    """The reply to a ``Call``."""
 
     number: int
     body: Any
 
 
 class Cast(Message, frozen=True, kw_only=True):
-    """A message without an answer."""
+    """A one-way message."""
 
     body: Any
--- a/src/waxwingwell/records.py
+++ b/src/waxwingwell/records.py
@@ -1,7 +1,8 @@
-"""Records shared by every layer: configuration, versions, upstreams, outcomes.
+"""Records shared by all layers: configuration, versions, upstreams, outcomes.
 
-All are frozen data classes that msgspec can encode; times are seconds as float,
-money is micro-units of the workspace's currency, sizes are tokens unless named.
+All are frozen data classes that msgspec can encode. Unless stated otherwise, times
+are seconds as float, amounts of money are micro-units of the workspace's currency,
+and sizes are tokens.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 
 class Priority(StrEnum):
-    """Order in which waiting work is served; see ``PRIORITY_ORDER``."""
+    """Priority of queued requests, served in the order of ``PRIORITY_ORDER``."""
 
     ORDER = "order"
     QUESTION = "question"
@@ -32,7 +33,7 @@
 
 
 class Role(StrEnum):
-    """What the holder of a key may do."""
+    """Permissions of a key's holder."""
 
     CALLER = "caller"
     OPERATOR = "operator"
@@ -40,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyHash:
-    """One key of a workspace; only the SHA-256 hex digest is kept."""
+    """One key of a workspace; only its SHA-256 hex digest is stored."""
 
     name: str
     digest: str
@@ -50,31 +51,31 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkKind:
-    """A kind of work a workspace sends, with the rules that hold for it."""
+    """A kind of work that a workspace sends, with its rules."""
 
     name: str
     priority: Priority
     quality_target: float
-    """Least mean rating (0 to 1) that answers of this kind must reach."""
+    """Minimum mean rating (0 to 1) of the responses to this kind of work."""
     waits_for_whole: bool = False
-    """The caller can wait for a whole answer, so that a cascade may be used."""
+    """Whether callers accept non-streaming responses, so that a cascade may be used."""
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceRule:
-    """How calls of one plain service below one path prefix are treated."""
+    """Rule for requests to one plain service below one path prefix."""
 
     service: str
     path_prefix: str
     methods: tuple[str, ...]
     repeatable: bool
-    """True for idempotent calls; others run at most once."""
+    """True for idempotent requests; others run at most once."""
     priority: Priority = Priority.ORDER
 
 
 @dataclass(frozen=True, slots=True)
 class Weighing:
-    """Relative weight of the three measures; only their ratio matters."""
+    """Relative weights of the three objectives; only their ratio matters."""
 
     cost: float = 1.0
     latency: float = 1.0
@@ -83,28 +84,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """Limits of a workspace, shared between all entries."""
+    """Limits of a workspace, enforced across all entries together."""
 
     requests_per_second: float = 50.0
     max_in_flight: int = 64
     max_wait: float = 10.0
-    """Longest wait a queue may imply before a request is refused."""
+    """Longest expected queue wait in seconds; beyond it, requests are refused."""
     max_body: int = 1_000_000
-    """Bytes in a request body."""
+    """Maximum bytes of a request body."""
 
 
 @dataclass(frozen=True, slots=True)
 class RolloutPace:
-    """How fast a new version takes over for a workspace's sessions."""
+    """Pace at which a new version takes over a workspace's new sessions."""
 
     stages: tuple[float, ...] = (0.01, 0.05, 0.2, 0.5, 1.0)
-    """Share of new sessions at each stage, rising, ending with 1."""
+    """Share of new sessions at each stage, increasing and ending with 1."""
     max_unrated: int = 20
-    """Cap on answers of a new version whose rating is still outstanding."""
+    """Maximum number of a new version's responses with an outstanding rating."""
     false_alarm: float = 0.01
-    """Chance of withdrawing a version that is as good as the incumbent."""
+    """Probability of withdrawing a version that is as good as the incumbent."""
     margin: float = 0.03
-    """Loss of mean rating that makes a version bad."""
+    """Decrease of the mean rating that makes a version bad."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -121,39 +122,39 @@
     limits: Limits = Limits()
     pace: RolloutPace = RolloutPace()
     data_centres: tuple[str, ...] = ()
-    """Where its work may run; empty allows every data centre."""
+    """Data centres where its work may run; empty for all."""
     default_kind: str = "question"
 
 
 class VersionStatus(StrEnum):
-    """Fleet-wide standing of a version."""
+    """Status of a version across the whole system."""
 
     ACTIVE = "active"
     CANDIDATE = "candidate"
-    """In a roll-out: gets only the share of its stage."""
+    """In a roll-out: receives only the share of its stage."""
     ENDING = "ending"
-    """Withdrawn gracefully: pinned sessions end on it, nothing new starts."""
+    """Withdrawn gracefully: pinned sessions continue on it, no new ones start."""
     WITHDRAWN = "withdrawn"
-    """Withdrawn at once: no new work at all."""
+    """Withdrawn at once: receives no new work."""
 
 
 @dataclass(frozen=True, slots=True)
 class VersionSpec:
-    """One version of one model, as the operators registered it."""
+    """One version of one model, as registered by the operators."""
 
     version: VersionId
     model: str
     price_in: float
-    """Micro-units for one prompt token."""
+    """Micro-units per prompt token."""
     price_out: float
-    """Micro-units for one answer token."""
+    """Micro-units per response token."""
     quality_prior: float = 0.5
-    """Mean rating expected before any was seen."""
+    """Mean rating assumed before any rating has arrived."""
     status: VersionStatus = VersionStatus.ACTIVE
 
 
 class RolloutStatus(StrEnum):
-    """Where a roll-out stands."""
+    """Status of a roll-out."""
 
     RUNNING = "running"
     PAUSED = "paused"
@@ -163,7 +164,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Evidence:
-    """Ratings of one version for one workspace and kind, summed."""
+    """Totals of the ratings of one version for one workspace and kind of work."""
 
     version: VersionId
     workspace: WorkspaceId
@@ -174,9 +175,9 @@
     squares: float = 0.0
     """Sum of squared ratings."""
     sent: int = 0
-    """Answers given, rated or not."""
+    """Responses sent, rated or not."""
     to_rate: int = 0
-    """Answers handed to the rating service."""
+    """Responses submitted to the rating service."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -191,14 +192,14 @@
     status: RolloutStatus = RolloutStatus.RUNNING
     started_at: float = 0.0
     stage_at: float = 0.0
-    """When the present stage began, on the leader's wall clock."""
+    """Start of the current stage, by the leader's wall clock."""
     reason: str = ""
     base: tuple[Evidence, ...] = ()
-    """Evidence of both versions when the present stage began."""
+    """Evidence of both versions at the start of the current stage."""
 
 
 class UpstreamKind(StrEnum):
-    """What an upstream serves."""
+    """Whether an upstream serves models or a plain service."""
 
     MODEL = "model"
     SERVICE = "service"
@@ -206,7 +207,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Capabilities:
-    """What an upstream says it can do."""
+    """Optional features that an upstream announces."""
 
     resume: bool = False
     cancel: bool = False
@@ -218,8 +219,8 @@
 class Announcement:
     """An upstream's announcement of itself.
 
-    ``incarnation`` rises with each start of the upstream and ``sequence`` with each
-    announcement of one incarnation, so that late or reordered ones are told apart.
+    ``incarnation`` increases with each start of the upstream and ``sequence`` with each
+    announcement of one incarnation, so that late or reordered ones are recognised.
     """
 
     upstream: UpstreamId
@@ -230,11 +231,11 @@
     host: str
     port: int
     lease: float
-    """Seconds for which the announcement holds without renewal."""
+    """Seconds for which the announcement is valid without renewal."""
     versions: tuple[VersionId, ...] = ()
     service: str = ""
     capacity: int = 1
-    """Requests that run side by side at full speed."""
+    """Number of requests that can run concurrently at full speed."""
     capabilities: Capabilities = Capabilities()
     leaving: bool = False
     load: LoadReport | None = None
@@ -242,7 +243,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """Load as the upstream reported it; it lags by ``age`` seconds or more."""
+    """Load as reported by the upstream; at least ``age`` seconds old."""
 
     running: int = 0
     queued: int = 0
@@ -254,7 +255,7 @@
 
 
 class OutcomeKind(StrEnum):
-    """How a request ended, as the caller may rely on it."""
+    """Outcome of a request, on which the caller may rely."""
 
     COMPLETED = "completed"
     NOT_RUN = "not_run"
@@ -272,17 +273,17 @@
 
 
 class RowStatus(StrEnum):
-    """Where a ledger row stands."""
+    """Status of a ledger row."""
 
     OPEN = "open"
     SETTLED = "settled"
     UNKNOWN = "unknown"
-    """Its entry died after a non-idempotent dispatch may have happened."""
+    """Its entry died when a non-idempotent request may already have been dispatched."""
 
 
 @dataclass(frozen=True, slots=True)
 class StoredAnswer:
-    """The answer of a settled non-idempotent request, for replay."""
+    """Stored response of a settled non-idempotent request, for replay."""
 
     status: int
     content_type: str
@@ -291,17 +292,17 @@
 
 @dataclass(frozen=True, slots=True)
 class LedgerRow:
-    """The one billing row of a request, keyed by (workspace, key)."""
+    """The only billing row of a request, keyed by (workspace, key)."""
 
     workspace: WorkspaceId
     key: str
     request: str
-    """Request id; it differs between two attempts under one key."""
+    """Request id; it differs between attempts with the same key."""
     entry: EntryId
     entry_incarnation: int
     repeatable: bool
     digest: str
-    """Of the request body: one key must not name two requests."""
+    """Digest of the request body, to detect a key used for two different requests."""
     reserved_at: float
     version: VersionId = VersionId("")
     upstream: UpstreamId = UpstreamId("")
@@ -315,7 +316,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """One fault found in an input, with its place."""
+    """A fault found in an input, with its place."""
 
     place: str
     """Dotted path, for example ``kinds.2.quality_target``."""
