--- a/src/waxwingwell/messages.py
+++ b/src/waxwingwell/messages.py
@@ -117,7 +117,7 @@
 
 
 class SettleAbandoned(Message, frozen=True, kw_only=True):
-    """Close the rows left open by an entry's dead incarnations, those below this one."""
+    """Close rows left open by an entry's dead incarnations, all below this one."""
 
     entry: EntryId
     below_incarnation: int
--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,3 +1,3 @@
-"""Tests; the folders mirror the package."""
+"""Tests, in folders that mirror those of the package."""
 
 from __future__ import annotations
--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -1,6 +1,7 @@
-"""Run every test with fixed seeds and print one plain closing line.
+"""Runs all tests with fixed seeds and prints a summary line.
 
-Tests listed in KNOWN-RED.txt may fail; they are printed and do not change the verdict.
+Failures of tests listed in KNOWN-RED.txt do not change the exit code; the list is
+printed first.
 """
 
 from __future__ import annotations
@@ -17,15 +18,15 @@
 
 
 ROOT = Path(__file__).resolve().parent.parent
-HANG_LIMIT = 1200
-"""Seconds after which a run that hangs shows where, and fails; no pass mark."""
+HANG_SECONDS = 1200
+"""Seconds after which a hanging run prints tracebacks and fails; not a target time."""
 
 settings.register_profile("ci", derandomize=True, deadline=None, database=None)
 
 
 def run_tests(pattern: str) -> int:
-    """Run the tests whose file matches ``pattern``; return the exit code."""
-    faulthandler.dump_traceback_later(HANG_LIMIT, exit=True)
+    """Run the tests in files that match ``pattern``; return the exit code."""
+    faulthandler.dump_traceback_later(HANG_SECONDS, exit=True)
     settings.load_profile("ci")
     known = read_entries(ROOT / "KNOWN-RED.txt")
     for entry in known:
@@ -37,7 +38,7 @@
     result = unittest.TextTestRunner(verbosity=1, buffer=False).run(suite)
     cases = [case for case, _ in result.failures + result.errors]
     cases += result.unexpectedSuccesses
-    # Each failed part of a table is a case of its own, of one test.
+    # Each failed subtest is a case of its own, with its test in ``test_case``.
     bad = {getattr(case, "test_case", case).id() for case in cases}
     new = [name for name in bad if not is_known(name, known)]
     faulthandler.cancel_dump_traceback_later()
--- a/tests/adapters/callers.py
+++ b/tests/adapters/callers.py
@@ -1,4 +1,4 @@
-"""A caller over real sockets that reads when the test says so."""
+"""A caller over real sockets that reads only when the test resumes it."""
 
 from __future__ import annotations
 
@@ -15,26 +15,26 @@
 
 
 LARGE = 24 << 20
-"""Bytes; more than the buffers of both kernels hold."""
+"""Bytes of a response that does not fit in the socket buffers of both ends."""
 
 
 class Caller(Protocol):
-    """Sends one request and reads only once it is told to."""
+    """Sends one request and does not read until its transport is resumed."""
 
     def __init__(self) -> None:
         self.received = 0
         self.ended: Deferred[int] = Deferred()
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Ask, and read nothing yet."""
+        """Send the request with reading paused."""
         transport: Any = self.transport
         transport.pauseProducing()
         transport.write(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Count what came."""
+        """Count the received bytes."""
         self.received += len(data)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
-        """Tell how much came."""
+        """Report the number of received bytes."""
         self.ended.callback(self.received)
--- a/tests/adapters/certificates.py
+++ b/tests/adapters/certificates.py
@@ -1,4 +1,4 @@
-"""Certificates made for the tests of TLS, in a folder of the test."""
+"""Creates certificates for TLS tests in a folder of the test."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Authority:
-    """A key that signs, and its own certificate."""
+    """A certificate authority: its signing key and its certificate."""
 
     folder: Path
     key: ec.EllipticCurvePrivateKey
@@ -30,11 +30,11 @@
 
 
 def make_authority(folder: Path, name: str) -> Authority:
-    """Make an authority whose certificate is ``name.pem``."""
+    """Create an authority whose certificate is ``name.pem``."""
     key = ec.generate_private_key(ec.SECP256R1())
     subject = _name(name)
     certificate = (
-        _begin(subject, subject, key.public_key())
+        _start_certificate(subject, subject, key.public_key())
         .add_extension(x509.BasicConstraints(ca=True, path_length=None), critical=True)
         .sign(key, hashes.SHA256())
     )
@@ -46,9 +46,12 @@
 def issue(
     authority: Authority, stem: str, *, name: str = "", alternative: str = ""
 ) -> LinkTls:
-    """Write ``stem``'s certificate and key; ``name`` is the common name."""
+    """Issue a certificate, written with its key to files named after ``stem``.
+
+    ``name`` is the common name, by default ``stem``.
+    """
     key = ec.generate_private_key(ec.SECP256R1())
-    builder = _begin(
+    builder = _start_certificate(
         _name(name or stem), authority.certificate.subject, key.public_key()
     )
     if alternative:
@@ -71,16 +74,16 @@
     key: ec.EllipticCurvePrivateKey,
     encryption: serialization.KeySerializationEncryption,
 ) -> None:
-    """Write a key as PEM."""
-    form = serialization.PrivateFormat.PKCS8
-    path.write_bytes(key.private_bytes(PEM, form, encryption))
+    """Write a private key as PEM."""
+    private_format = serialization.PrivateFormat.PKCS8
+    path.write_bytes(key.private_bytes(PEM, private_format, encryption))
 
 
 def _name(name: str) -> x509.Name:
     return x509.Name([x509.NameAttribute(x509.NameOID.COMMON_NAME, name)])
 
 
-def _begin(
+def _start_certificate(
     subject: x509.Name, issuer: x509.Name, key: ec.EllipticCurvePublicKey
 ) -> x509.CertificateBuilder:
     return (
--- a/tests/adapters/test_admin_transport.py
+++ b/tests/adapters/test_admin_transport.py
@@ -15,7 +15,7 @@
 
 
 class Handler(BaseHTTPRequestHandler):
-    """Answers by path, and notes the keys that it was sent."""
+    """Responds according to the path, and records the keys of requests."""
 
     keys: list[str | None] = []
 
@@ -35,11 +35,11 @@
         self.wfile.write(b"{}")
 
     def log_message(self, *_: Any) -> None:
-        """Write nothing."""
+        """Suppress the server's log lines."""
 
 
 class TransportTest(unittest.TestCase):
-    """The server runs in a thread of its own."""
+    """Sends requests to a server that runs in its own thread."""
 
     def setUp(self) -> None:
         Handler.keys.clear()
--- a/tests/adapters/test_endings.py
+++ b/tests/adapters/test_endings.py
@@ -1,4 +1,4 @@
-"""The planned stop of controls and entries: what was read is answered, and arrives."""
+"""Planned stops of controls and entries: received requests still get responses."""
 
 from __future__ import annotations
 
@@ -40,11 +40,11 @@
 
 
 KEY = "key"
-ASK = b"GET / HTTP/1.1\r\nHost: a\r\nAuthorization: Bearer key\r\n\r\n"
+REQUEST = b"GET / HTTP/1.1\r\nHost: a\r\nAuthorization: Bearer key\r\n\r\n"
 
 
 class Port:
-    """Stands for a listening port of a site."""
+    """A fake listening port of a site."""
 
     def __init__(self, site: Any = None) -> None:
         self.factory = site
@@ -53,17 +53,17 @@
         """Do nothing."""
 
 
-class Stage:
+class StoppingProcess:
     """A process with an HTTP site and a link that another process has opened.
 
-    Requests and calls wait until the test answers them; bytes leave when it lets them.
+    The test controls when requests and calls are answered and when bytes are sent.
     """
 
     def __init__(self) -> None:
         self.clock = Clock()
         self.requests: list[Deferred[bytes]] = []
         self.calls: list[Deferred[Message]] = []
-        self.told: list[Any] = []
+        self.received_casts: list[Any] = []
         self.node = self.make_node("near")
         self.peer = LinkProtocol(self.make_node("far"))
         self.protocol = LinkProtocol(self.node)
@@ -89,20 +89,20 @@
         carry(*self.link)
 
     def make_node(self, name: str) -> LinkNode:
-        """Return what the links of one process share."""
+        """Return the shared state of one process's links."""
         return LinkNode(
             name=name,
             reactor=self.clock,
             handlers=LinkHandlers(
                 take_call=self.take_call,
-                take_cast=lambda sender, body: self.told.append(body),
+                take_cast=lambda sender, body: self.received_casts.append(body),
                 body_type=Body,
             ),
             timing=LinkTiming(),
         )
 
     def make_site(self) -> CountingSite:
-        """Return a site that answers known operators when the test says so."""
+        """Return a site whose requests of known operators the test answers."""
         app = Klein()
 
         async def wait(request: Any, operator: OperatorKey) -> bytes:
@@ -114,7 +114,7 @@
         return CountingSite(app.resource(), reactor=self.clock)
 
     def take_call(self, sender: str, body: Any) -> Deferred[Message]:
-        """Keep a call until the test answers it."""
+        """Store a call until the test answers it."""
         answer: Deferred[Message] = Deferred()
         self.calls.append(answer)
         return answer
@@ -123,23 +123,25 @@
         """Do nothing."""
 
     def open_caller(self) -> BufferedTransport:
-        """Return the connection of a caller that has asked something."""
+        """Return the connection of a caller that has sent a request."""
         channel: Any = self.site.buildProtocol(None)
         transport = BufferedTransport(channel)
         channel.makeConnection(transport)
-        channel.dataReceived(ASK)
+        channel.dataReceived(REQUEST)
         return transport
 
     def call(self) -> list[Any]:
-        """Let the other process call; return the list that takes the result."""
+        """Send a call from the other process; return a list that gets its result."""
         results: list[Any] = []
         answer = self.peer.call(AskInForce(config_version=1), timeout=60.0)
-        answer.addCallbacks(results.append, lambda one: results.append(one.value))
+        answer.addCallbacks(
+            results.append, lambda failure: results.append(failure.value)
+        )
         carry(*self.link)
         return results
 
     def stop_control(self) -> Deferred[None]:
-        """Stop as a control does."""
+        """Run the planned stop of a control."""
         daemon = control.ControlDaemon(
             context=self.context,
             node=self.node,
@@ -150,7 +152,7 @@
         return run(control.stop_control(daemon))
 
     def close_entry(self) -> Deferred[None]:
-        """Close as an entry does once its callers are gone."""
+        """Run the last part of an entry's stop, after its callers are gone."""
         daemon = entry.EntryDaemon(
             context=self.context,
             node=self.node,
@@ -164,90 +166,92 @@
         return run(entry.close_entry(daemon))
 
     def run(self, seconds: float, *drain: BufferedTransport) -> None:
-        """Let time pass; the bytes on ``drain`` leave meanwhile."""
+        """Advance the clock while the bytes on ``drain`` are sent."""
         for _ in range(round(seconds / 0.05)):
             carry(*drain)
             self.clock.advance(0.05)
 
 
 def run(stop: Coroutine[Any, Any, None]) -> Deferred[None]:
-    """Start a stop; an error of it fails the test where its result is read."""
+    """Start a stop; its error fails the test where the result is read."""
     return Deferred.fromCoroutine(stop)
 
 
 class ControlTest(unittest.TestCase):
-    """A control is stopped for an upgrade."""
+    """Planned stops of a control, for example for an upgrade."""
 
-    def test_an_order_of_an_operator(self) -> None:
-        """An operator's change is with the next leader, which accepts it.
+    def test_a_running_operator_request_is_answered(self) -> None:
+        """A control stops while the next leader commits an operator's change.
 
-        Ended at once, the control would close the connection, and the operator would
-        have to find out whether the change is in force.
+        If it closed the connection at once, the operator would have to find out
+        whether the change is in force.
         """
-        stage = Stage()
-        caller = stage.open_caller()
-        stopped = stage.stop_control()
-        stage.run(1.0, caller, *stage.link)
+        process = StoppingProcess()
+        caller = process.open_caller()
+        stopped = process.stop_control()
+        process.run(1.0, caller, *process.link)
         self.assertFalse(stopped.called)
-        stage.requests[0].callback(b"accepted")
-        stage.run(0.5, *stage.link)
+        process.requests[0].callback(b"accepted")
+        process.run(0.5, *process.link)
         self.assertFalse(stopped.called)
-        stage.run(0.5, caller)
+        process.run(0.5, caller)
         self.assertTrue(stopped.called)
         self.assertTrue(caller.sent.endswith(b"accepted\r\n0\r\n\r\n"))
-        self.assertEqual(stage.context.answering, 0)
+        self.assertEqual(process.context.answering, 0)
 
-    def test_a_call_of_an_entry(self) -> None:
-        """An entry settles a request; the control commits it and is stopped.
+    def test_a_running_call_is_answered(self) -> None:
+        """A control stops while it commits an entry's settle.
 
-        Without the answer the entry can't tell, and its caller waits for the next try.
+        Without the reply, the entry would not know the outcome, and its caller would
+        wait for the next attempt.
         """
-        stage = Stage()
-        results = stage.call()
-        stopped = stage.stop_control()
-        stage.run(1.0, *stage.link)
+        process = StoppingProcess()
+        results = process.call()
+        stopped = process.stop_control()
+        process.run(1.0, *process.link)
         self.assertFalse(stopped.called)
-        stage.calls[0].callback(InForce(in_force=True))
-        stage.run(0.5)
+        process.calls[0].callback(InForce(in_force=True))
+        process.run(0.5)
         self.assertFalse(stopped.called)
-        stage.run(0.5, *stage.link)
+        process.run(0.5, *process.link)
         self.assertTrue(stopped.called)
         self.assertEqual(results, [InForce(in_force=True)])
 
-    def test_answers_that_never_come_do_not_hold_it_up(self) -> None:
-        stage = Stage()
-        stage.open_caller()
-        stage.call()
-        stopped = stage.stop_control()
-        stage.run(control.ANSWER_LIMIT + 2 * endings.CLOSE_LIMIT + 0.1)
+    def test_unanswered_work_does_not_block_the_stop(self) -> None:
+        process = StoppingProcess()
+        process.open_caller()
+        process.call()
+        stopped = process.stop_control()
+        process.run(control.ANSWER_LIMIT + 2 * endings.CLOSE_LIMIT + 0.1)
         self.assertTrue(stopped.called)
 
 
 class EntryTest(unittest.TestCase):
-    """An entry closes, once its callers have their answers."""
+    """Closing an entry after its callers have their responses."""
 
-    def test_bytes_on_a_link(self) -> None:
-        """An entry has told another one of a leaving upstream, and ends.
+    def test_unsent_bytes_on_a_link_are_sent(self) -> None:
+        """An entry stops just after it has announced a leaving upstream to another.
 
-        Lost in the buffer, the other entry would go on sending it work.
+        If the bytes were lost in the buffer, the other entry would still send work to
+        the upstream.
         """
-        stage = Stage()
-        stage.protocol.cast(Drain())
-        closed = stage.close_entry()
-        stage.run(0.5)
+        process = StoppingProcess()
+        process.protocol.cast(Drain())
+        closed = process.close_entry()
+        process.run(0.5)
         self.assertFalse(closed.called)
-        stage.run(0.5, *stage.link)
+        process.run(0.5, *process.link)
         self.assertTrue(closed.called)
-        self.assertEqual(stage.told, [Drain()])
-
-    def test_the_answer_to_an_upstream(self) -> None:
-        """An upstream's leave was taken, its acknowledgement waits in a buffer."""
-        stage = Stage()
-        upstream = stage.open_caller()
-        stage.requests[0].callback(b"taken")
-        closed = stage.close_entry()
-        stage.run(0.5, *stage.link)
+        self.assertEqual(process.received_casts, [Drain()])
+
+    def test_an_unsent_response_to_an_upstream_is_sent(self) -> None:
+        """An entry stops while the acknowledgement of an upstream's leave is unsent."""
+        process = StoppingProcess()
+        upstream = process.open_caller()
+        process.requests[0].callback(b"taken")
+        closed = process.close_entry()
+        process.run(0.5, *process.link)
         self.assertFalse(closed.called)
-        stage.run(0.5, upstream)
+        process.run(0.5, upstream)
         self.assertTrue(closed.called)
         self.assertTrue(upstream.sent.endswith(b"taken\r\n0\r\n\r\n"))
--- a/tests/adapters/test_events.py
+++ b/tests/adapters/test_events.py
@@ -1,4 +1,4 @@
-"""Structured log lines: their form, and that writing never waits."""
+"""Structured log lines: their format, and that writing never blocks."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def run_program(lines: int, event: str, *, read: bool) -> tuple[list[str], bool]:
-    """Let a process write lines; return those read, and whether it ended by itself."""
+    """Run a process that logs lines; return those read, and whether it finished."""
     program = PROGRAM.format(lines=lines, event=event)
     environment = {**os.environ, "PYTHONPATH": str(ROOT / "src")}
     reading, writing = os.pipe()
@@ -52,7 +52,7 @@
 
 
 class LogTest(unittest.TestCase):
-    """What a process writes on standard output."""
+    """Log lines of a process on standard output."""
 
     def test_each_line_is_one_object(self) -> None:
         lines, ended = run_program(5, "gateway: Request ended", read=True)
@@ -63,20 +63,20 @@
             self.assertEqual(one["event"], "gateway: Request ended")
             self.assertEqual(one["node"], "node-1")
 
-    def test_a_reader_that_does_not_read_blocks_nobody(self) -> None:
-        """A full pipe.
+    def test_a_full_pipe_does_not_block_the_process(self) -> None:
+        """The log collector hangs and the pipe fills up.
 
-        Whoever collects the lines hangs. A process that waited for it would answer no
-        request any more; this one drops lines and goes on.
+        A process that blocked on the pipe would stop serving requests; it must drop
+        lines and continue.
         """
         _, ended = run_program(3_000, "gateway: Request ended", read=False)
         self.assertTrue(ended)
 
-    def test_the_last_lines_reach_a_reader_that_lags(self) -> None:
-        """A process that ends while its lines wait.
+    def test_the_last_lines_reach_a_lagging_reader(self) -> None:
+        """A process exits while the pipe is full.
 
-        The pipe was full, and the lines of its stop went with the process. So it waits
-        for the reader, though not for one that never reads.
+        The lines of its stop would be lost with its buffer, so it waits for the
+        reader, but not for one that never reads.
         """
         for reads in (True, False):
             with self.subTest(reads=reads):
@@ -106,7 +106,7 @@
                 os.close(reading)
                 self.assertEqual(b"".join(found).count(b"\n") == written, reads)
 
-    def test_routine_lines_are_bounded(self) -> None:
+    def test_routine_events_are_rate_limited(self) -> None:
         for event, lines, written in (
             (
                 "gateway: Placed",
--- a/tests/adapters/test_link_ends.py
+++ b/tests/adapters/test_link_ends.py
@@ -1,4 +1,4 @@
-"""The end of a link: what was read is answered, what was sent arrives."""
+"""Closing a link: received calls get their replies, and sent bytes arrive."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
 TIMING = LinkTiming(heartbeat_interval=0.5, idle_timeout=2.0)
 
 
-class End:
-    """One process's end of a link, whose calls are answered by the test."""
+class LinkEnd:
+    """One process's end of a link; the test answers its calls."""
 
     def __init__(self, name: str, clock: Clock) -> None:
         self.calls: list[Deferred[Message]] = []
@@ -53,62 +53,63 @@
         self.link.protocol = self.protocol
 
     def take_call(self, sender: str, body: Any) -> Deferred[Message]:
-        """Keep a call until the test answers it."""
+        """Store a call until the test answers it."""
         answer: Deferred[Message] = Deferred()
         self.calls.append(answer)
         return answer
 
 
-class EndTest(unittest.TestCase):
-    """One end closes, the other is a process that goes on."""
+class LinkEndTest(unittest.TestCase):
+    """One end closes the link; the process at the other end continues."""
 
     def setUp(self) -> None:
         self.clock = Clock()
-        self.near = End("near", self.clock)
-        self.far = End("far", self.clock)
+        self.near = LinkEnd("near", self.clock)
+        self.far = LinkEnd("far", self.clock)
         self.transports = join(self.near.protocol, self.far.protocol)
         self.carry()
 
     def carry(self) -> None:
-        """Let all bytes leave."""
+        """Send all buffered bytes."""
         carry(*self.transports)
 
-    def ask(self, end: End) -> list[Any]:
-        """Send a call; return the list that takes its result."""
+    def send_call(self, end: LinkEnd) -> list[Any]:
+        """Send a call; return a list that gets its result."""
         results: list[Any] = []
         answer = end.protocol.call(AskInForce(config_version=1), timeout=5.0)
-        answer.addCallbacks(results.append, lambda one: results.append(one.value))
+        answer.addCallbacks(
+            results.append, lambda failure: results.append(failure.value)
+        )
         return results
 
-    def test_bytes_that_have_not_left(self) -> None:
-        """A process ends in the turn in which it has told others something.
+    def test_unsent_bytes_are_sent(self) -> None:
+        """A process closes its links in the reactor turn in which it has sent messages.
 
-        The bytes are still in the transport's buffer. An upstream that has said that
-        it leaves, and was told that we know, would go on getting requests, since
-        nobody else heard of it; an operator's order would be carried out, and the
-        control that passed it on could not tell.
+        Bytes in the transport's buffer must not be lost: an upstream whose leave was
+        acknowledged would still get requests from peers that were not notified, and a
+        control that forwarded an operator's order would not learn that it was executed.
         """
         large = Failed(reason="x" * 2 * BUFFER_SIZE, may_have_run=False)
-        for name, told in (("a moment", Drain()), ("a reader that lags", large)):
+        for name, message in (("a moment", Drain()), ("a reader that lags", large)):
             with self.subTest(name):
                 self.setUp()
-                results = self.ask(self.far)
+                results = self.send_call(self.far)
                 self.carry()
-                self.near.protocol.cast(told)
+                self.near.protocol.cast(message)
                 self.near.calls[0].callback(InForce(in_force=True))
                 close_link(self.near.link)
                 self.carry()
                 self.assertEqual(results, [InForce(in_force=True)])
-                self.assertEqual(self.far.casts, [told])
+                self.assertEqual(self.far.casts, [message])
                 self.assertFalse(self.transports[0].connected)
 
-    def test_a_call_that_was_read(self) -> None:
-        """A process is told to stop while it works on a call.
+    def test_a_received_call_is_answered(self) -> None:
+        """A process is stopped while it handles a call.
 
-        The other end must get the answer: else it can't know whether an order was
-        carried out, and its operator is told that it was not.
+        Without the reply, the other end could not know whether an order was executed,
+        and would report to the operator that it was not.
         """
-        results = self.ask(self.far)
+        results = self.send_call(self.far)
         self.carry()
         close_link(self.near.link)
         self.carry()
@@ -118,13 +119,13 @@
         self.assertEqual(results, [InForce(in_force=True)])
         self.assertFalse(self.transports[0].connected)
 
-    def test_a_call_of_our_own(self) -> None:
-        """A control leaves the group while an order is on its way to it.
+    def test_a_pending_outgoing_call_gets_its_reply(self) -> None:
+        """A control leaves the group while an order to it is in flight.
 
-        Its link is closed by whoever sees the new members. The order's outcome would
-        be unknown, though the answer comes a moment later.
+        Processes that see the new members close their links to it. Closing at once
+        would leave the order's outcome unknown, though the reply arrives soon after.
         """
-        results = self.ask(self.near)
+        results = self.send_call(self.near)
         self.carry()
         close_link(self.near.link)
         self.carry()
@@ -133,27 +134,27 @@
         self.assertEqual(results, [InForce(in_force=True)])
         self.assertFalse(self.transports[0].connected)
 
-    def test_calls_after_the_end_has_begun(self) -> None:
-        """An order is given to a process that is about to end.
+    def test_calls_after_the_close_has_started(self) -> None:
+        """An order is sent over a link that is closing.
 
-        Its sender may go on to another one only if it knows that nothing was sent; and
-        what arrives too late to be answered must not be carried out.
+        The sender may only use another process if it knows that nothing was sent, and
+        a call that arrives too late for a reply must not be executed.
         """
-        self.ask(self.far)
+        self.send_call(self.far)
         self.carry()
         close_link(self.near.link)
-        [error] = self.ask(self.near)
+        [error] = self.send_call(self.near)
         self.assertIsInstance(error, LinkDownError)
         self.assertFalse(self.near.protocol.cast(Drain()))
         self.near.calls[0].callback(InForce(in_force=True))
-        late = self.ask(self.far)
+        late_results = self.send_call(self.far)
         self.transports[1].drain()
         self.assertEqual(len(self.near.calls), 1)
         self.carry()
-        self.assertIsInstance(late[0], LinkLostError)
+        self.assertIsInstance(late_results[0], LinkLostError)
 
-    def test_a_silent_peer_does_not_hold_an_end_up(self) -> None:
-        self.ask(self.far)
+    def test_an_unresponsive_peer_does_not_block_the_close(self) -> None:
+        self.send_call(self.far)
         self.carry()
         close_link(self.near.link)
         for _ in range(6):
@@ -161,21 +162,21 @@
 
         self.assertTrue(self.transports[0].aborted)
 
-    def test_a_lost_connection_ends_calls_at_once(self) -> None:
-        results = self.ask(self.near)
+    def test_a_lost_connection_fails_calls_at_once(self) -> None:
+        results = self.send_call(self.near)
         self.near.protocol.abort()
         self.assertIsInstance(results[0], LinkLostError)
 
-    def test_an_answer_that_can_not_be_sent_leaves_a_line(self) -> None:
-        """An answer that has no form on the wire, by an error of ours.
+    def test_a_reply_that_cannot_be_encoded_is_logged(self) -> None:
+        """A handler returns a reply that cannot be encoded.
 
-        Its caller waits until its time is over, and only a line tells why.
+        The caller only sees a timeout, so the log line is the only sign of the cause.
         """
-        self.ask(self.near)
+        self.send_call(self.near)
         self.carry()
-        found: list[str] = []
-        sink = logger.add(found.append, level="ERROR", format="{message}")
+        lines: list[str] = []
+        sink = logger.add(lines.append, level="ERROR", format="{message}")
         self.far.calls[0].callback(cast("Any", object()))
         logger.remove(sink)
-        self.assertEqual(len(found), 1)
-        self.assertIn("A call failed", found[0])
+        self.assertEqual(len(lines), 1)
+        self.assertIn("A call failed", lines[0])
--- a/tests/adapters/test_links.py
+++ b/tests/adapters/test_links.py
@@ -1,4 +1,4 @@
-"""Links: calls, loss, silence, bad bytes."""
+"""Links: calls, lost and idle connections, malformed bytes, reconnecting."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class FakeTransport(StringTransport):
-    """A transport in memory that tells whether it was aborted."""
+    """An in-memory transport that records whether it was aborted."""
 
     aborted = False
 
@@ -41,15 +41,15 @@
         self.aborted = True
 
 
-def get_result(answer: Deferred[Any]) -> Any:
-    """Return what a Deferred has fired with, or the error it failed with."""
+def get_result(reply: Deferred[Any]) -> Any:
+    """Return the result or the error of a Deferred, or None if it has not fired."""
     results: list[Any] = []
-    answer.addCallbacks(results.append, lambda failure: results.append(failure.value))
+    reply.addCallbacks(results.append, lambda failure: results.append(failure.value))
     return results[0] if results else None
 
 
 class LinkTest(AsyncTestCase):
-    """Two ends over memory, on a test clock."""
+    """Two ends of a link in memory, on a test clock."""
 
     def setUp(self) -> None:
         self.clock = Clock()
@@ -77,7 +77,7 @@
         return end
 
     def pass_bytes(self) -> None:
-        """Carry what each end wrote to the other."""
+        """Deliver the bytes that each end has written to the other."""
         for source, target in ((self.near, self.far), (self.far, self.near)):
             transport: Any = source.transport
             data = transport.value()
@@ -85,10 +85,10 @@
             target.dataReceived(data)
 
     def test_call_is_answered(self) -> None:
-        answer = self.near.call(AskInForce(config_version=7), timeout=1.0)
+        reply = self.near.call(AskInForce(config_version=7), timeout=1.0)
         self.pass_bytes()
         self.pass_bytes()
-        self.assertEqual(get_result(answer), InForce(in_force=True))
+        self.assertEqual(get_result(reply), InForce(in_force=True))
 
     def test_cast_names_its_sender(self) -> None:
         self.pass_bytes()
@@ -97,34 +97,34 @@
         self.assertEqual(self.casts, [("near", Drain())])
 
     def test_call_lost_with_its_connection(self) -> None:
-        # A leader dies between commit and answer. The caller must learn that the
-        # call may have run, not that it failed.
-        answer = self.near.call(AskInForce(config_version=7), timeout=1.0)
+        # A leader dies between commit and reply: the error must mean that the call
+        # may have run, not that it failed.
+        reply = self.near.call(AskInForce(config_version=7), timeout=1.0)
         self.near.connectionLost()
-        self.assertIsInstance(get_result(answer), LinkLostError)
+        self.assertIsInstance(get_result(reply), LinkLostError)
 
-    def test_call_without_answer_in_time(self) -> None:
-        answer = self.near.call(AskInForce(config_version=7), timeout=1.0)
+    def test_call_without_reply_in_time(self) -> None:
+        reply = self.near.call(AskInForce(config_version=7), timeout=1.0)
         self.clock.advance(1.0)
-        self.assertIsInstance(get_result(answer), LinkLostError)
+        self.assertIsInstance(get_result(reply), LinkLostError)
 
-    def test_late_answer_is_dropped(self) -> None:
-        answer = self.near.call(AskInForce(config_version=7), timeout=1.0)
+    def test_late_reply_is_dropped(self) -> None:
+        reply = self.near.call(AskInForce(config_version=7), timeout=1.0)
         self.clock.advance(1.0)
-        self.assertIsInstance(get_result(answer), LinkLostError)
+        self.assertIsInstance(get_result(reply), LinkLostError)
         self.pass_bytes()
         self.pass_bytes()
 
-    def test_silence_replaces_the_connection(self) -> None:
-        # Something between the ends has lost track of an open connection: nothing
-        # arrives, no error comes. Without heartbeats both ends wait for good.
+    def test_an_idle_connection_is_replaced(self) -> None:
+        # A device between the ends has lost its connection state: nothing arrives and
+        # no error is raised. Without heartbeats, both ends would wait forever.
         for _ in range(5):
             self.clock.advance(0.5)
 
         transport: Any = self.near.transport
         self.assertTrue(transport.aborted)
 
-    def test_heartbeats_keep_it(self) -> None:
+    def test_heartbeats_keep_the_connection(self) -> None:
         for _ in range(20):
             self.clock.advance(0.5)
             self.pass_bytes()
@@ -134,10 +134,10 @@
 
     def test_slow_reader_gets_no_more_calls(self) -> None:
         self.near.pauseProducing()
-        answer = self.near.call(AskInForce(config_version=7), timeout=1.0)
-        self.assertIsInstance(get_result(answer), LinkDownError)
+        reply = self.near.call(AskInForce(config_version=7), timeout=1.0)
+        self.assertIsInstance(get_result(reply), LinkDownError)
 
-    def test_bad_bytes_end_the_connection(self) -> None:
+    def test_malformed_bytes_end_the_connection(self) -> None:
         cases = (b"\xc1", b"GET / HTTP/1.1\r\n", b"\x81\xa4type\xa4Nope", b"\x91\x01")
         for data in cases:
             with self.subTest(data):
@@ -147,13 +147,14 @@
                 self.assertTrue(transport.aborted)
 
 
-class ConnectingTest(AsyncTestCase):
-    """How long a link waits for a connection, and how soon it tries again."""
+class ReconnectTest(AsyncTestCase):
+    """Timeouts of connection attempts and pauses between them."""
 
-    def test_attempts_grow_longer(self) -> None:
-        """All VMs start within half a second; the first to start calls the others.
+    def test_connection_attempts_back_off(self) -> None:
+        """All VMs start within half a second; the first one connects to the others.
 
-        Their connections hang, and each would wait a second before the next attempt.
+        Connections to VMs that are still off hang, and with a fixed timeout each link
+        would wait a second before its next attempt.
         """
         for name, timing, expected in (
             ("from the first", LinkTiming(retry=0.25), [0.0, 1.25, 2.5]),
@@ -167,12 +168,14 @@
                     Body,
                 )
                 node = LinkNode("near", clock, handlers, timing)
-                begun: list[float] = []
+                attempt_times: list[float] = []
 
                 def connect(
-                    factory: Any, begun: list[float] = begun, clock: Clock = clock
+                    factory: Any,
+                    attempt_times: list[float] = attempt_times,
+                    clock: Clock = clock,
                 ) -> Deferred[Any]:
-                    begun.append(clock.seconds())
+                    attempt_times.append(clock.seconds())
                     return Deferred()
 
                 link = open_link(node, "far", connect)
@@ -180,4 +183,4 @@
                     clock.advance(0.0625)
 
                 close_link(link)
-                self.assertEqual(begun[: len(expected)], expected)
+                self.assertEqual(attempt_times[: len(expected)], expected)
--- a/tests/adapters/test_ports.py
+++ b/tests/adapters/test_ports.py
@@ -1,4 +1,4 @@
-"""Ports that are open before the code that serves them is loaded."""
+"""Ports that are open before the code that serves them is imported."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def make_factory(received: Deferred[bytes]) -> Factory:
-    """Return what passes on the first bytes of a connection."""
+    """Return a factory whose protocol passes the first received bytes on."""
 
     class Reader(Protocol):
         def dataReceived(self, data: bytes) -> None:  # noqa: N802
@@ -32,10 +32,10 @@
 
 
 class PortTest(AsyncTestCase):
-    """What becomes of callers that connect while a process starts."""
+    """Callers that connect while a process starts or stops."""
 
-    async def test_callers_that_wait_at_the_close_are_served(self) -> None:
-        """Guards against resets of connections that the kernel keeps for a port."""
+    async def test_connections_queued_at_the_close_are_served(self) -> None:
+        """The kernel would reset connections still queued when a port closes."""
         for adopted in (True, False):
             with self.subTest(adopted=adopted):
                 received: Deferred[bytes] = Deferred()
@@ -58,8 +58,8 @@
                     (host.host, host.port),
                 )
 
-    async def test_callers_that_came_early_are_served(self) -> None:
-        """All processes start anew, and callers connect before the libraries load."""
+    async def test_connections_queued_at_the_start_are_served(self) -> None:
+        """All processes restart, and callers connect while libraries are imported."""
         port = open_port(ADDRESS)
         caller = socket.create_connection(port.getsockname())
         caller.sendall(b"early")
--- a/tests/adapters/test_settings.py
+++ b/tests/adapters/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings are checked as a whole, and every fault names its place."""
+"""Settings are validated as a whole, and every fault names its place."""
 
 from __future__ import annotations
 
@@ -71,7 +71,7 @@
 
 
 class SettingsTest(unittest.TestCase):
-    """Good and bad files."""
+    """Valid and invalid settings."""
 
     def test_good(self) -> None:
         for settings in (ENTRY, CONTROL, {"role": "embedded"}):
--- a/tests/adapters/test_tls.py
+++ b/tests/adapters/test_tls.py
@@ -72,7 +72,7 @@
 
 
 @implementer(IOpenSSLClientConnectionCreator)
-class Anonymous:
+class ClientWithoutCertificate:
     """A client without a certificate."""
 
     def __init__(self, authority: Authority) -> None:
@@ -86,8 +86,8 @@
 
 
 @implementer(IPolicyForHTTPS)
-class Policy:
-    """Uses one client for every server."""
+class FixedClientPolicy:
+    """Uses the same client for every server."""
 
     def __init__(self, creator: Any) -> None:
         self.creator = creator
@@ -97,12 +97,12 @@
 
 
 def without_authority(tls: Tls) -> Tls:
-    """Return the same files for a listener that takes any client."""
+    """Return the same files for a listener that accepts any client."""
     return Tls(certificate=tls.certificate, private_key=tls.private_key)
 
 
-def shake_hands(server: SSL.Context, client: SSL.Context) -> bool:
-    """Return whether two ends in memory accept each other."""
+def complete_handshake(server: SSL.Context, client: SSL.Context) -> bool:
+    """Return whether the handshake of two in-memory connections succeeds."""
     ends = (SSL.Connection(client, None), SSL.Connection(server, None))
     ends[0].set_connect_state()
     ends[1].set_accept_state()
@@ -123,22 +123,22 @@
     return all(done)
 
 
-def make_served() -> Any:
-    """Return a site that serves one text."""
+def make_site() -> Any:
+    """Return a site that serves a fixed text."""
     page = Data(b"served", "text/plain")
     page.isLeaf = True
     return Site(page)
 
 
 class TlsTestCase(AsyncTestCase):
-    """A folder with two authorities, and what listens."""
+    """Provides a folder with two authorities, and listeners closed after the test."""
 
     timeout = 20
 
     def setUp(self) -> None:
-        kept = tempfile.TemporaryDirectory()
-        self.addCleanup(kept.cleanup)
-        self.folder = Path(kept.name)
+        temporary_folder = tempfile.TemporaryDirectory()
+        self.addCleanup(temporary_folder.cleanup)
+        self.folder = Path(temporary_folder.name)
         self.ours = make_authority(self.folder, "ours")
         self.theirs = make_authority(self.folder, "theirs")
         self.lines: list[str] = []
@@ -162,17 +162,17 @@
 
 
 class ListenerTest(TlsTestCase):
-    """What callers, upstreams and operators meet."""
+    """Listeners for callers, upstreams and operators."""
 
     def serve(self, tls: Tls | None) -> int:
-        site = make_served()
+        site = make_site()
         listener = Listener(tls=tls)
         return self.listen(
             listener, site, open_tls("", {"callers": listener})["callers"]
         )
 
     async def get(self, scheme: str, port: int, creator: Any) -> bytes:
-        agent = Agent(REACTOR, Policy(creator), connectTimeout=TIMEOUT)
+        agent = Agent(REACTOR, FixedClientPolicy(creator), connectTimeout=TIMEOUT)
         reply = await treq.get(f"{scheme}://127.0.0.1:{port}/", agent=agent)
         return bytes(await treq.content(reply))
 
@@ -187,7 +187,7 @@
         port = self.serve(None)
         self.assertEqual(await self.get("http", port, None), b"served")
 
-    async def test_who_is_served(self) -> None:
+    async def test_client_certificates(self) -> None:
         server = issue(self.ours, "server")
         plain = without_authority(server)
         good = self.open("client", issue(self.ours, "good"))
@@ -196,9 +196,14 @@
         )
         bad = self.open("client", bad_tls)
         cases: tuple[tuple[str, Tls, Any, bool], ...] = (
-            ("any caller", plain, Anonymous(self.ours), True),
-            ("wrong authority of ours", plain, Anonymous(self.theirs), False),
-            ("no certificate", server, Anonymous(self.ours), False),
+            ("any caller", plain, ClientWithoutCertificate(self.ours), True),
+            (
+                "wrong authority of ours",
+                plain,
+                ClientWithoutCertificate(self.theirs),
+                False,
+            ),
+            ("no certificate", server, ClientWithoutCertificate(self.ours), False),
             ("signed by ours", server, ConnectionMaker(good), True),
             ("signed by another", server, ConnectionMaker(bad), False),
         )
@@ -208,8 +213,8 @@
                 self.assertEqual(await self.is_served(port, creator), served)
 
     def test_old_protocols_are_refused(self) -> None:
-        # Ciphers of every strength are allowed at both ends, so that nothing but the
-        # version decides; the control case shows that TLS 1.1 would work then.
+        # Both ends allow ciphers of every strength, so that only the protocol version
+        # matters; the control case shows that TLS 1.1 would then be accepted.
         tls = without_authority(issue(self.ours, "server"))
         for oldest, accepted in ((0, False), (SSL.TLS1_VERSION, True)):
             with self.subTest(oldest):
@@ -221,15 +226,18 @@
                 client = SSL.Context(SSL.TLS_METHOD)
                 client.set_cipher_list(ALL_CIPHERS)
                 client.set_max_proto_version(SSL.TLS1_1_VERSION)
-                self.assertEqual(shake_hands(context, client), accepted)
+                self.assertEqual(complete_handshake(context, client), accepted)
 
     async def test_renewal(self) -> None:
-        # A certificate is renewed under the same path while the process runs. First
-        # the key is written wrong: serving must go on with the former files, and
-        # the log must say so once. Then it is right, and counts at once.
+        # A certificate is renewed at the same path while the process runs. With an
+        # invalid key, serving must continue with the former files, and the fault must
+        # be logged once. A valid renewal takes effect at once.
         tls = without_authority(issue(self.ours, "server"))
         port = self.serve(tls)
-        issued_by_ours, by_theirs = Anonymous(self.ours), Anonymous(self.theirs)
+        issued_by_ours, by_theirs = (
+            ClientWithoutCertificate(self.ours),
+            ClientWithoutCertificate(self.theirs),
+        )
         self.assertTrue(await self.is_served(port, issued_by_ours))
         for content in (b"", b"broken"):
             tls.private_key.write_bytes(content)
@@ -254,15 +262,15 @@
         os.utime(tls.certificate, ns=(1, 1))
         port = self.listen(
             Listener(),
-            make_served(),
+            make_site(),
             source,
         )
-        self.assertTrue(await self.is_served(port, Anonymous(self.ours)))
+        self.assertTrue(await self.is_served(port, ClientWithoutCertificate(self.ours)))
         self.assertNotEqual(source.stamp, before)
 
 
 class FilesTest(TlsTestCase):
-    """Files that can't be used end the start, each with its place and path."""
+    """Unusable files make the start fail; the error names each place and path."""
 
     def test_findings(self) -> None:
         good = issue(self.ours, "entry-1")
@@ -318,7 +326,7 @@
 
 
 class LinkTest(TlsTestCase):
-    """Two processes of ours: both ends prove their names."""
+    """Links between two processes, both authenticated by certificates."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -354,8 +362,8 @@
         port = self.listen(Listener(), LinkFactory(far), self.open("far", tls))
         return Peer(node="far", port=port)
 
-    async def test_link_is_up_and_answers(self) -> None:
-        # The common name of one end and the alternative name of the other are meant.
+    async def test_link_connects_and_replies(self) -> None:
+        # One end is identified by its common name, the other by its alternative name.
         peer = self.serve(issue(self.ours, "x", name="x", alternative="far"))
         source = self.open("links", issue(self.ours, "near"), "near")
         up: Deferred[None] = Deferred()
@@ -378,11 +386,11 @@
             update={"authority": self.ours.path}
         )
         cases: tuple[tuple[str, Tls, Tls], ...] = (
-            ("we bear another node's name", far, issue(self.ours, "other")),
-            ("the peer bears another name", issue(self.ours, "far-2"), near),
-            ("we are signed by another", far, signed_by_theirs),
+            ("our certificate has another name", far, issue(self.ours, "other")),
+            ("the peer's has another name", issue(self.ours, "far-2"), near),
+            ("ours is signed by another authority", far, signed_by_theirs),
             (
-                "the peer is signed by another",
+                "the peer's is signed by another authority",
                 issue(self.theirs, "f", name="far"),
                 near,
             ),
@@ -397,7 +405,7 @@
     async def test_refused_without_a_certificate(self) -> None:
         peer = self.serve(issue(self.ours, "far"))
         endpoint = TCP4ClientEndpoint(REACTOR, peer.host, peer.port)
-        secure = wrapClientTLS(Anonymous(self.ours), endpoint)
+        secure = wrapClientTLS(ClientWithoutCertificate(self.ours), endpoint)
 
         def connect(factory: Any) -> Any:
             attempt: Deferred[Any] = secure.connect(factory)
@@ -410,7 +418,7 @@
         build, built = factory.buildProtocol, []
 
         def build_casting(addr: object) -> Any:
-            # Sends a message behind its greeting, without waiting for the other's.
+            # Sends a cast right after its greeting, without waiting for the peer's.
             protocol = build(addr)
             begin = protocol.connectionMade
 
@@ -429,9 +437,9 @@
         self.assertEqual(self.casts, [])
         await built[0].closed
 
-    def test_frames_before_a_proven_name_are_dropped(self) -> None:
-        # A process with a good certificate greets under another node's name, or not
-        # at all, and sends its orders in the same bytes.
+    def test_frames_before_an_authenticated_greeting_are_dropped(self) -> None:
+        # A process with a valid certificate greets with another node's name, or not at
+        # all, and sends casts in the same bytes.
         import msgspec
 
         from tests.adapters.test_links import FakeTransport
@@ -439,12 +447,12 @@
         hello, cast = Hello(node="near", protocol=1), Cast(body=Drain())
         bad = Hello(node="other", protocol=1)
         cases = (
-            ("proven", (hello, cast), 1),
+            ("name in the certificate", (hello, cast), 1),
             ("other name", (bad, cast), 0),
             ("no greeting", (cast,), 0),
             ("renamed later", (hello, bad, cast), 0),
         )
-        for name, frames, taken in cases:
+        for name, frames, delivered in cases:
             with self.subTest(name):
                 self.casts.clear()
                 node = self.make_node("far")
@@ -453,13 +461,13 @@
                 transport: Any = FakeTransport()  # type: ignore[no-untyped-call]
                 protocol.makeConnection(transport)  # type: ignore[no-untyped-call]
                 protocol.dataReceived(b"".join(map(msgspec.msgpack.encode, frames)))
-                self.assertEqual(len(self.casts), taken)
-                self.assertEqual(transport.aborted, not taken)
+                self.assertEqual(len(self.casts), delivered)
+                self.assertEqual(transport.aborted, not delivered)
                 protocol.connectionLost()
 
 
 class DaemonTest(TlsTestCase):
-    """Both daemons with TLS on everything that listens."""
+    """Both daemons with TLS on all their listeners."""
 
     async def test_entry_and_control(self) -> None:
         control_tls = issue(self.ours, "control-1")
@@ -502,7 +510,7 @@
             self.assertEqual(await self.ask(entry.caller_port), 200)
             self.assertEqual(await self.ask(control.admin_port), 0)
             self.assertEqual(await self.ask(entry.upstream_port), 0)
-            # Replies come in order: no renewal is under way behind this one.
+            # Replies arrive in order, so no earlier renewal is still pending after it.
             stop_upkeep(entry.upkeep)
             await renew_once(entry.context)
             self.assertTrue(may_admit(entry.context.lease, entry.context.clock()))
@@ -512,7 +520,7 @@
 
     async def ask(self, port: Any) -> int:
         """Return the status for a client without a certificate; 0 if refused."""
-        agent = Agent(REACTOR, Policy(Anonymous(self.ours)))
+        agent = Agent(REACTOR, FixedClientPolicy(ClientWithoutCertificate(self.ours)))
         url = f"https://127.0.0.1:{port.getHost().port}/healthz"
         try:
             reply = await treq.get(url, agent=agent)
--- a/tests/adapters/transports.py
+++ b/tests/adapters/transports.py
@@ -1,4 +1,4 @@
-"""Transports in memory whose bytes leave only when a test lets them."""
+"""In-memory transports that deliver their bytes only when a test drains them."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 
 
 class Handle:
-    """Stands for a socket."""
+    """A fake socket."""
 
     def setsockopt(self, level: int, option: int, value: int) -> None:
-        """Accept an option."""
+        """Ignore the option."""
 
 
 @implementer(IPushProducer)
 class BufferedTransport:
     """One end of a connection between processes, with a buffer of unsent bytes.
 
-    Closing follows the real transports: bytes first, and never while a producer is
-    registered that was paused or is asked for more.
+    Closing behaves as in the real transports: buffered bytes are sent first, and the
+    connection stays open while a paused or pull producer is registered.
     """
 
     def __init__(self, protocol: Any) -> None:
@@ -46,10 +46,10 @@
         self._streaming = True
 
     def setTcpNoDelay(self, enabled: bool) -> None:  # noqa: N802
-        """Accept the option."""
+        """Ignore the option."""
 
     def getHandle(self) -> Handle:  # noqa: N802
-        """Return what stands for the socket."""
+        """Return a fake socket."""
         return Handle()
 
     def getPeer(self) -> IPv4Address:  # noqa: N802
@@ -70,7 +70,7 @@
         """Do nothing: the tests hand over what is read."""
 
     def registerProducer(self, producer: Any, streaming: bool) -> None:  # noqa: N802
-        """Remember whom to pause, or to ask for more."""
+        """Register the producer; a pull producer is resumed at once."""
         self._producer = producer
         self._streaming = streaming
         self._producer_waits = not streaming
@@ -78,21 +78,21 @@
             producer.resumeProducing()
 
     def unregisterProducer(self) -> None:  # noqa: N802
-        """Forget whom to pause."""
+        """Unregister the producer."""
         self._producer = None
 
     def writeSequence(self, data: list[bytes]) -> None:  # noqa: N802
-        """Write several pieces."""
+        """Write several chunks."""
         self.write(b"".join(data))
 
     def write(self, data: bytes) -> None:
-        """Keep bytes until the test lets them leave."""
+        """Buffer bytes until the test drains them."""
         if not self.connected or self.half_closed or self.disconnecting:
             return
 
         self.buffer += data
-        full = len(self.buffer) > BUFFER_SIZE
-        if self._producer is not None and self._streaming and full:
+        is_over_limit = len(self.buffer) > BUFFER_SIZE
+        if self._producer is not None and self._streaming and is_over_limit:
             self._producer_waits = True
             self._producer.pauseProducing()
 
@@ -101,11 +101,11 @@
         self.disconnecting = True
 
     def loseWriteConnection(self) -> None:  # noqa: N802
-        """End this direction once the buffer is empty."""
+        """Close this direction once the buffer is empty."""
         self._half_closing = True
 
     def abortConnection(self) -> None:  # noqa: N802
-        """Close at once; bytes that have not left are gone."""
+        """Close at once and discard unsent bytes."""
         self.aborted = True
         self.buffer.clear()
         self.drop(ConnectionLost())
@@ -113,13 +113,13 @@
             self.peer.drop(ConnectionLost())
 
     def drop(self, reason: Exception) -> None:
-        """Tell the protocol, once, that its connection is gone."""
+        """Notify the protocol, once, that its connection is lost."""
         if self.connected:
             self.connected = False
             self.protocol.connectionLost(Failure(reason))
 
     def drain(self) -> None:
-        """Let all unsent bytes leave, and close if that was asked for."""
+        """Deliver all buffered bytes, and close if that was requested."""
         if not self.connected:
             return
 
@@ -144,7 +144,7 @@
             return
 
         if self.peer is not None:
-            # The other end reads the end of the stream, and closes.
+            # The peer reads the end of the stream and closes.
             self.peer.drop(ConnectionDone())
 
         self.drop(ConnectionDone())
@@ -160,7 +160,7 @@
 
 
 def carry(*transports: BufferedTransport) -> None:
-    """Let bytes leave until none is left."""
+    """Deliver bytes until none is buffered."""
     for _ in range(10):
         for transport in transports:
             transport.drain()
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,7 +1,7 @@
-"""The list of known failures: one entry a line.
+"""Reads the list of known failures, which has one entry per line.
 
-An entry begins with the id of the test that may fail, or with the command of a run by
-hand, which lets no test fail.
+An entry starts with the id of the test that may fail, or with the command of a manual
+run; an entry for a command allows no test to fail.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 def read_entries(path: Path) -> list[str]:
-    """Return the entries of a file; exit with the line of one that is incomplete."""
+    """Return the entries of a file; exit with the line of an incomplete entry."""
     if not path.exists():
         return []
 
@@ -37,5 +37,5 @@
 
 
 def is_known(name: str, entries: list[str]) -> bool:
-    """Tell whether an entry is about just this test."""
+    """Return whether an entry names exactly this test."""
     return any(entry.partition(":")[0] == name for entry in entries)
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -1,7 +1,7 @@
-"""Every randomised run with new seeds, for as long as asked.
+"""Soak test: repeats every randomised run with new seeds for a given time.
 
-``python -m tests.soak [SECONDS [SEED]]``: rounds of each run in turn until the time
-is over. Each seed is printed before its round; the same seed gives the same round.
+``python -m tests.soak [SECONDS [SEED]]`` executes rounds of each run in turn until the
+time is over. Each seed is printed before its round; the same seed gives the same round.
 """
 
 from __future__ import annotations
@@ -40,14 +40,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Soak:
-    """One randomised run and how a round of it is made."""
+    """A randomised run, and the function that executes one round of it."""
 
     name: str
     run_round: Callable[[int], None]
 
 
 def make_soak(machine: type[RuleBasedStateMachine]) -> Soak:
-    """Return the soak of one state machine."""
+    """Return the soak test of one state machine."""
     budget = settings(
         derandomize=False,
         database=None,
@@ -66,7 +66,7 @@
 
 
 def run_soaks(seconds: float, seed: int) -> int:
-    """Run rounds of every soak until the time is over; return their number."""
+    """Run rounds of all soak tests in turn for some time; return their number."""
     soaks = [make_soak(machine) for machine in RUNS]
     soaks.append(Soak("ConsensusRun", consensus.run_round))
     end = time.monotonic() + seconds
@@ -81,7 +81,7 @@
 
 
 def main() -> None:
-    """Soak as the arguments say; a failure ends with its example and seed."""
+    """Run the soak tests; a failure ends the program with its example and seed."""
     seconds = float(sys.argv[1]) if len(sys.argv) > 1 else DEFAULT_SECONDS
     seed = int(sys.argv[2]) if len(sys.argv) > 2 else secrets.randbits(SEED_BITS)
     rounds = run_soaks(seconds, seed)
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -1,4 +1,4 @@
-"""Tests of the checks on the ten promises."""
+"""Tests of the invariant checks."""
 
 from __future__ import annotations
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that may fail."""
+"""Tests of the list of known failures."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class KnownRedTest(unittest.TestCase):
-    """Entries name single tests and their issues."""
+    """Entries name a single test or command, and its issue."""
 
     def read(self, text: str) -> list[str]:
         """Return the entries of a file with this text."""
@@ -23,8 +23,8 @@
             path.write_text(text, encoding="utf-8")
             return read_entries(path)
 
-    def test_any_number_of_entries_is_taken(self) -> None:
-        """Guards against a verdict that turns red for the length of the list alone."""
+    def test_any_number_of_entries_is_accepted(self) -> None:
+        """The length of the list alone must not fail a run."""
         self.assertEqual(self.read("\n".join([ENTRY] * 9)), [ENTRY] * 9)
         self.assertEqual(read_entries(Path("missing")), [])
 
@@ -35,13 +35,13 @@
 
             self.assertIn("line 3", str(caught.exception.code))
 
-    def test_a_run_by_hand_lets_no_test_fail(self) -> None:
+    def test_an_entry_for_a_command_allows_no_failure(self) -> None:
         entry = "bench.soak --first 9 --seeds 1: a caller was reset; issue 7"
         self.assertEqual(self.read(entry), [entry])
         self.assertFalse(is_known("tests.a.ThingTest.test_one", [entry]))
 
-    def test_an_entry_is_about_one_test(self) -> None:
-        """Guards against an entry that lets other tests fail, too."""
+    def test_an_entry_names_one_test(self) -> None:
+        """An entry must not allow other tests to fail."""
         for name, known in (
             ("tests.a.ThingTest.test_one", True),
             ("tests.a.ThingTest.test_one_more", False),
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -1,4 +1,4 @@
-"""Messages survive the wire unchanged."""
+"""Commands are unchanged after encoding and decoding."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 class MessageTest(unittest.TestCase):
-    """Encoding and decoding are inverse."""
+    """Encoding and decoding are inverse operations."""
 
     def test_round_trip(self) -> None:
         for name, message in CASES:
