--- a/src/waxwingwell/adapters/links.py
+++ b/src/waxwingwell/adapters/links.py
@@ -62,20 +62,20 @@
     """Time without received bytes after which a connection is replaced."""
     suspect_timeout: float = 0.8
     """The same limit for a connection on which a call has timed out."""
-    connect: float = 1.0
+    connect_timeout: float = 1.0
     """Maximum time of a connection attempt."""
-    retry: float = 0.2
+    max_retry_pause: float = 0.2
     """Maximum pause before the next attempt."""
     first_attempt_factor: float = 1.0
-    """Factor on ``connect`` and ``retry`` at first; it doubles with each failure."""
+    """Factor on the two above at the first attempt; it doubles with each failure."""
 
 
 ROUTING_TIMING = LinkTiming(
     heartbeat_interval=0.5,
     idle_timeout=2.0,
     suspect_timeout=1.2,
-    connect=1.0,
-    retry=0.25,
+    connect_timeout=1.0,
+    max_retry_pause=0.25,
     first_attempt_factor=0.25,
 )
 """Between gateways and registries: half the heartbeats, for hundreds of gateways.
@@ -502,7 +502,7 @@
     timing = link.node.timing
     attempt = link.connect(_ConnectingFactory(link.node))
     attempt.addTimeout(
-        timing.connect * compute_backoff_factor(timing, link.failures),
+        timing.connect_timeout * compute_backoff_factor(timing, link.failures),
         cast("IReactorTime", link.node.reactor),
     )
 
@@ -527,7 +527,9 @@
 
     def retry() -> None:
         if not link.stopped:
-            pause = timing.retry * compute_backoff_factor(timing, link.failures)
+            pause = timing.max_retry_pause * compute_backoff_factor(
+                timing, link.failures
+            )
             link.node.reactor.callLater(pause, _connect_link, link)
 
     attempt.addCallbacks(handle_connected, handle_failure)
--- a/tests/adapters/test_endings.py
+++ b/tests/adapters/test_endings.py
@@ -106,18 +106,18 @@
         app = Klein()
 
         async def wait(request: Any, operator: OperatorKey) -> bytes:
-            answer: Deferred[bytes] = Deferred()
-            self.requests.append(answer)
-            return await answer
+            response: Deferred[bytes] = Deferred()
+            self.requests.append(response)
+            return await response
 
         app.route("/")(guard(self.context)(wait))
         return CountingSite(app.resource(), reactor=self.clock)
 
     def take_call(self, sender: str, body: Any) -> Deferred[Message]:
         """Store a call until the test answers it."""
-        answer: Deferred[Message] = Deferred()
-        self.calls.append(answer)
-        return answer
+        reply: Deferred[Message] = Deferred()
+        self.calls.append(reply)
+        return reply
 
     async def close_client(self) -> None:
         """Do nothing."""
@@ -133,8 +133,8 @@
     def call(self) -> list[Any]:
         """Send a call from the other process; return a list that gets its result."""
         results: list[Any] = []
-        answer = self.peer.call(AskInForce(config_version=1), timeout=60.0)
-        answer.addCallbacks(
+        reply = self.peer.call(AskInForce(config_version=1), timeout=60.0)
+        reply.addCallbacks(
             results.append, lambda failure: results.append(failure.value)
         )
         carry(*self.link)
--- a/tests/adapters/test_link_ends.py
+++ b/tests/adapters/test_link_ends.py
@@ -54,9 +54,9 @@
 
     def take_call(self, sender: str, body: Any) -> Deferred[Message]:
         """Store a call until the test answers it."""
-        answer: Deferred[Message] = Deferred()
-        self.calls.append(answer)
-        return answer
+        reply: Deferred[Message] = Deferred()
+        self.calls.append(reply)
+        return reply
 
 
 class LinkEndTest(unittest.TestCase):
@@ -76,8 +76,8 @@
     def send_call(self, end: LinkEnd) -> list[Any]:
         """Send a call; return a list that gets its result."""
         results: list[Any] = []
-        answer = end.protocol.call(AskInForce(config_version=1), timeout=5.0)
-        answer.addCallbacks(
+        reply = end.protocol.call(AskInForce(config_version=1), timeout=5.0)
+        reply.addCallbacks(
             results.append, lambda failure: results.append(failure.value)
         )
         return results
--- a/tests/adapters/test_links.py
+++ b/tests/adapters/test_links.py
@@ -157,7 +157,7 @@
         would wait a second before its next attempt.
         """
         for name, timing, expected in (
-            ("from the first", LinkTiming(retry=0.25), [0.0, 1.25, 2.5]),
+            ("from the first", LinkTiming(max_retry_pause=0.25), [0.0, 1.25, 2.5]),
             ("growing", ROUTING_TIMING, [0.0, 0.3125, 0.9375, 2.1875, 3.4375]),
         ):
             with self.subTest(name):
--- a/tests/adapters/test_tls.py
+++ b/tests/adapters/test_tls.py
@@ -13,7 +13,7 @@
 from cryptography.hazmat.primitives.asymmetric import ec
 from loguru import logger
 from OpenSSL import SSL
-from twisted.internet import reactor as installed
+from twisted.internet import reactor as default_reactor
 from twisted.internet.defer import Deferred
 from twisted.internet.endpoints import TCP4ClientEndpoint
 from twisted.internet.endpoints import wrapClientTLS
@@ -66,7 +66,7 @@
 from waxwingwell.state.leases import may_admit
 
 
-REACTOR: Any = installed
+REACTOR: Any = default_reactor
 TIMEOUT = 5.0
 ALL_CIPHERS = b"ALL:@SECLEVEL=0"
 
@@ -139,8 +139,8 @@
         temporary_folder = tempfile.TemporaryDirectory()
         self.addCleanup(temporary_folder.cleanup)
         self.folder = Path(temporary_folder.name)
-        self.ours = make_authority(self.folder, "ours")
-        self.theirs = make_authority(self.folder, "theirs")
+        self.trusted_authority = make_authority(self.folder, "ours")
+        self.other_authority = make_authority(self.folder, "theirs")
         self.lines: list[str] = []
         sink = logger.add(lambda line: self.lines.append(str(line)), level="WARNING")
         self.addCleanup(logger.remove, sink)
@@ -150,7 +150,7 @@
         self.addCleanup(port.stopListening)
         return int(port.getHost().port)
 
-    def open(self, name: str, tls: Tls, node: str = "") -> TlsSource:
+    def open_source(self, name: str, tls: Tls, node: str = "") -> TlsSource:
         listener = (
             LinkListener(tls=tls)  # type: ignore[arg-type]
             if name == "links"
@@ -173,8 +173,8 @@
 
     async def get(self, scheme: str, port: int, creator: Any) -> bytes:
         agent = Agent(REACTOR, FixedClientPolicy(creator), connectTimeout=TIMEOUT)
-        reply = await treq.get(f"{scheme}://127.0.0.1:{port}/", agent=agent)
-        return bytes(await treq.content(reply))
+        response = await treq.get(f"{scheme}://127.0.0.1:{port}/", agent=agent)
+        return bytes(await treq.content(response))
 
     async def is_served(self, port: int, creator: Any) -> bool:
         try:
@@ -188,24 +188,34 @@
         self.assertEqual(await self.get("http", port, None), b"served")
 
     async def test_client_certificates(self) -> None:
-        server = issue(self.ours, "server")
+        server = issue(self.trusted_authority, "server")
         plain = without_authority(server)
-        good = self.open("client", issue(self.ours, "good"))
-        bad_tls = issue(self.theirs, "bad").model_copy(
-            update={"authority": self.ours.path}
+        good = self.open_source("client", issue(self.trusted_authority, "good"))
+        bad_tls = issue(self.other_authority, "bad").model_copy(
+            update={"authority": self.trusted_authority.path}
         )
-        bad = self.open("client", bad_tls)
+        bad = self.open_source("client", bad_tls)
         cases: tuple[tuple[str, Tls, Any, bool], ...] = (
-            ("any caller", plain, ClientWithoutCertificate(self.ours), True),
             (
-                "wrong authority of ours",
+                "any caller",
                 plain,
-                ClientWithoutCertificate(self.theirs),
+                ClientWithoutCertificate(self.trusted_authority),
+                True,
+            ),
+            (
+                "client trusts another authority",
+                plain,
+                ClientWithoutCertificate(self.other_authority),
                 False,
             ),
-            ("no certificate", server, ClientWithoutCertificate(self.ours), False),
-            ("signed by ours", server, ConnectionMaker(good), True),
-            ("signed by another", server, ConnectionMaker(bad), False),
+            (
+                "no certificate",
+                server,
+                ClientWithoutCertificate(self.trusted_authority),
+                False,
+            ),
+            ("signed by the trusted authority", server, ConnectionMaker(good), True),
+            ("signed by another authority", server, ConnectionMaker(bad), False),
         )
         for name, tls, creator, served in cases:
             with self.subTest(name):
@@ -215,10 +225,10 @@
     def test_old_protocols_are_refused(self) -> None:
         # Both ends allow ciphers of every strength, so that only the protocol version
         # matters; the control case shows that TLS 1.1 would then be accepted.
-        tls = without_authority(issue(self.ours, "server"))
+        tls = without_authority(issue(self.trusted_authority, "server"))
         for oldest, accepted in ((0, False), (SSL.TLS1_VERSION, True)):
             with self.subTest(oldest):
-                context = make_context(self.open("callers", tls))
+                context = make_context(self.open_source("callers", tls))
                 context.set_cipher_list(ALL_CIPHERS)
                 if oldest:
                     context.set_min_proto_version(oldest)
@@ -232,32 +242,32 @@
         # A certificate is renewed at the same path while the process runs. With an
         # invalid key, serving must continue with the former files, and the fault must
         # be logged once. A valid renewal takes effect at once.
-        tls = without_authority(issue(self.ours, "server"))
+        tls = without_authority(issue(self.trusted_authority, "server"))
         port = self.serve(tls)
-        issued_by_ours, by_theirs = (
-            ClientWithoutCertificate(self.ours),
-            ClientWithoutCertificate(self.theirs),
+        trusting_client, other_client = (
+            ClientWithoutCertificate(self.trusted_authority),
+            ClientWithoutCertificate(self.other_authority),
         )
-        self.assertTrue(await self.is_served(port, issued_by_ours))
+        self.assertTrue(await self.is_served(port, trusting_client))
         for content in (b"", b"broken"):
             tls.private_key.write_bytes(content)
             self.lines.clear()
             for _ in range(2):
-                self.assertTrue(await self.is_served(port, issued_by_ours))
+                self.assertTrue(await self.is_served(port, trusting_client))
 
             self.assertEqual(len(self.lines), 1, self.lines)
             self.assertIn("callers.tls.private_key", self.lines[0])
             self.assertIn(str(tls.private_key), self.lines[0])
 
         tls.certificate.unlink()
-        self.assertTrue(await self.is_served(port, issued_by_ours))
-        issue(self.theirs, "server")
-        self.assertTrue(await self.is_served(port, by_theirs))
-        self.assertFalse(await self.is_served(port, issued_by_ours))
+        self.assertTrue(await self.is_served(port, trusting_client))
+        issue(self.other_authority, "server")
+        self.assertTrue(await self.is_served(port, other_client))
+        self.assertFalse(await self.is_served(port, trusting_client))
 
     async def test_renewal_of_equal_size(self) -> None:
-        tls = without_authority(issue(self.ours, "server"))
-        source = self.open("callers", tls)
+        tls = without_authority(issue(self.trusted_authority, "server"))
+        source = self.open_source("callers", tls)
         before = source.stamp
         os.utime(tls.certificate, ns=(1, 1))
         port = self.listen(
@@ -265,7 +275,9 @@
             make_site(),
             source,
         )
-        self.assertTrue(await self.is_served(port, ClientWithoutCertificate(self.ours)))
+        self.assertTrue(
+            await self.is_served(port, ClientWithoutCertificate(self.trusted_authority))
+        )
         self.assertNotEqual(source.stamp, before)
 
 
@@ -273,8 +285,8 @@
     """Unusable files make the start fail; the error names each place and path."""
 
     def test_findings(self) -> None:
-        good = issue(self.ours, "entry-1")
-        other = issue(self.ours, "entry-2")
+        good = issue(self.trusted_authority, "entry-1")
+        other = issue(self.trusted_authority, "entry-2")
         locked, empty = self.folder / "locked.key", self.folder / "empty"
         key = ec.generate_private_key(ec.SECP256R1())
         write_key(locked, key, serialization.BestAvailableEncryption(b"secret"))
@@ -310,7 +322,7 @@
         )
         for name, tls, parts in cases:
             with self.subTest(name), self.assertRaises(SettingsError) as caught:
-                self.open("links", tls, "entry-1")
+                self.open_source("links", tls, "entry-1")
 
             for part in (f"links.tls{parts[0]}: {self.folder}", *parts[1:]):
                 self.assertIn(part, str(caught.exception))
@@ -334,9 +346,9 @@
 
     def make_node(self, name: str) -> LinkNode:
         def take_call(sender: str, body: Any) -> Deferred[Any]:
-            answer: Deferred[Any] = Deferred()
-            answer.callback(InForce(in_force=sender == "near"))
-            return answer
+            reply: Deferred[Any] = Deferred()
+            reply.callback(InForce(in_force=sender == "near"))
+            return reply
 
         node = LinkNode(
             name=name,
@@ -349,63 +361,77 @@
             timing=LinkTiming(),
             read_names=read_peer_names,
         )
-        self.addCleanup(self.end, node)
+        self.addCleanup(self.abort_connections, node)
         return node
 
-    async def end(self, node: LinkNode) -> None:
+    async def abort_connections(self, node: LinkNode) -> None:
         for protocol in list(node.accepted):
             protocol.abort()
             await protocol.closed
 
     def serve(self, tls: Tls) -> Peer:
         far = self.make_node("far")
-        port = self.listen(Listener(), LinkFactory(far), self.open("far", tls))
+        port = self.listen(Listener(), LinkFactory(far), self.open_source("far", tls))
         return Peer(node="far", port=port)
 
     async def test_link_connects_and_replies(self) -> None:
         # One end is identified by its common name, the other by its alternative name.
-        peer = self.serve(issue(self.ours, "x", name="x", alternative="far"))
-        source = self.open("links", issue(self.ours, "near"), "near")
+        peer = self.serve(
+            issue(self.trusted_authority, "x", name="x", alternative="far")
+        )
+        source = self.open_source(
+            "links", issue(self.trusted_authority, "near"), "near"
+        )
         up: Deferred[None] = Deferred()
         link: Link = open_link(
             self.make_node("near"), "far", make_connector(REACTOR, peer, source)
         )
         link.on_up = lambda: up.callback(None)
         await up
-        answer = await call_link(link, AskInForce(config_version=1), timeout=TIMEOUT)
-        self.assertEqual(answer, InForce(in_force=True))
+        reply = await call_link(link, AskInForce(config_version=1), timeout=TIMEOUT)
+        self.assertEqual(reply, InForce(in_force=True))
         protocol = link.protocol
         assert protocol is not None
         close_link(link)
         await protocol.closed
 
     async def test_refused(self) -> None:
-        far = issue(self.ours, "far")
-        near = issue(self.ours, "near")
-        signed_by_theirs = issue(self.theirs, "stranger", name="near").model_copy(
-            update={"authority": self.ours.path}
-        )
+        far = issue(self.trusted_authority, "far")
+        near = issue(self.trusted_authority, "near")
+        signed_by_other = issue(
+            self.other_authority, "stranger", name="near"
+        ).model_copy(update={"authority": self.trusted_authority.path})
         cases: tuple[tuple[str, Tls, Tls], ...] = (
-            ("our certificate has another name", far, issue(self.ours, "other")),
-            ("the peer's has another name", issue(self.ours, "far-2"), near),
-            ("ours is signed by another authority", far, signed_by_theirs),
+            (
+                "our certificate has another name",
+                far,
+                issue(self.trusted_authority, "other"),
+            ),
+            (
+                "the peer's has another name",
+                issue(self.trusted_authority, "far-2"),
+                near,
+            ),
+            ("ours is signed by another authority", far, signed_by_other),
             (
                 "the peer's is signed by another authority",
-                issue(self.theirs, "f", name="far"),
+                issue(self.other_authority, "f", name="far"),
                 near,
             ),
         )
-        for name, theirs, mine in cases:
+        for name, far_tls, near_tls in cases:
             with self.subTest(name):
                 connect = make_connector(
-                    REACTOR, self.serve(theirs), self.open("near", mine)
+                    REACTOR, self.serve(far_tls), self.open_source("near", near_tls)
                 )
                 await self.assert_refused(connect)
 
     async def test_refused_without_a_certificate(self) -> None:
-        peer = self.serve(issue(self.ours, "far"))
+        peer = self.serve(issue(self.trusted_authority, "far"))
         endpoint = TCP4ClientEndpoint(REACTOR, peer.host, peer.port)
-        secure = wrapClientTLS(ClientWithoutCertificate(self.ours), endpoint)
+        secure = wrapClientTLS(
+            ClientWithoutCertificate(self.trusted_authority), endpoint
+        )
 
         def connect(factory: Any) -> Any:
             attempt: Deferred[Any] = secure.connect(factory)
@@ -470,8 +496,8 @@
     """Both daemons with TLS on all their listeners."""
 
     async def test_entry_and_control(self) -> None:
-        control_tls = issue(self.ours, "control-1")
-        entry_tls = issue(self.ours, "entry-1")
+        control_tls = issue(self.trusted_authority, "control-1")
+        entry_tls = issue(self.trusted_authority, "entry-1")
         served = without_authority(entry_tls)
         control = start_control(
             ControlSettings(
@@ -520,13 +546,15 @@
 
     async def ask(self, port: Any) -> int:
         """Return the status for a client without a certificate; 0 if refused."""
-        agent = Agent(REACTOR, FixedClientPolicy(ClientWithoutCertificate(self.ours)))
+        agent = Agent(
+            REACTOR, FixedClientPolicy(ClientWithoutCertificate(self.trusted_authority))
+        )
         url = f"https://127.0.0.1:{port.getHost().port}/healthz"
         try:
-            reply = await treq.get(url, agent=agent)
+            response = await treq.get(url, agent=agent)
         except Exception as error:
             self.assertIn("SSL", repr(error))
             return 0
 
-        await treq.content(reply)
-        return int(reply.code)
+        await treq.content(response)
+        return int(response.code)
