--- a/tests/adapters/test_tls.py
+++ b/tests/adapters/test_tls.py
@@ -13,7 +13,7 @@
 from cryptography.hazmat.primitives.asymmetric import ec
 from loguru import logger
 from OpenSSL import SSL
-from twisted.internet import reactor as installed
+from twisted.internet import reactor as default_reactor
 from twisted.internet.defer import Deferred
 from twisted.internet.endpoints import TCP4ClientEndpoint
 from twisted.internet.endpoints import wrapClientTLS
@@ -66,13 +66,13 @@
 from waxwingwell.state.leases import may_admit
 
 
-REACTOR: Any = installed
+REACTOR: Any = default_reactor
 TIMEOUT = 5.0
 ALL_CIPHERS = b"ALL:@SECLEVEL=0"
 
 
 @implementer(IOpenSSLClientConnectionCreator)
-class Anonymous:
+class ClientWithoutCertificate:
     """A client without a certificate."""
 
     def __init__(self, authority: Authority) -> None:
@@ -86,8 +86,8 @@
 
 
 @implementer(IPolicyForHTTPS)
-class Policy:
-    """Uses one client for every server."""
+class FixedClientPolicy:
+    """Uses the same client for every server."""
 
     def __init__(self, creator: Any) -> None:
         self.creator = creator
@@ -97,12 +97,12 @@
 
 
 def without_authority(tls: Tls) -> Tls:
-    """Return the same files for a listener that takes any client."""
+    """Return the same files for a listener that accepts any client."""
     return Tls(certificate=tls.certificate, private_key=tls.private_key)
 
 
-def shake_hands(server: SSL.Context, client: SSL.Context) -> bool:
-    """Return whether two ends in memory accept each other."""
+def complete_handshake(server: SSL.Context, client: SSL.Context) -> bool:
+    """Return whether the handshake of two in-memory connections succeeds."""
     ends = (SSL.Connection(client, None), SSL.Connection(server, None))
     ends[0].set_connect_state()
     ends[1].set_accept_state()
@@ -123,24 +123,24 @@
     return all(done)
 
 
-def make_served() -> Any:
-    """Return a site that serves one text."""
+def make_site() -> Any:
+    """Return a site that serves a fixed text."""
     page = Data(b"served", "text/plain")
     page.isLeaf = True
     return Site(page)
 
 
 class TlsTestCase(AsyncTestCase):
-    """A folder with two authorities, and what listens."""
+    """Provides a folder with two authorities, and listeners closed after the test."""
 
     timeout = 20
 
     def setUp(self) -> None:
-        kept = tempfile.TemporaryDirectory()
-        self.addCleanup(kept.cleanup)
-        self.folder = Path(kept.name)
-        self.ours = make_authority(self.folder, "ours")
-        self.theirs = make_authority(self.folder, "theirs")
+        temporary_folder = tempfile.TemporaryDirectory()
+        self.addCleanup(temporary_folder.cleanup)
+        self.folder = Path(temporary_folder.name)
+        self.trusted_authority = make_authority(self.folder, "ours")
+        self.other_authority = make_authority(self.folder, "theirs")
         self.lines: list[str] = []
         sink = logger.add(lambda line: self.lines.append(str(line)), level="WARNING")
         self.addCleanup(logger.remove, sink)
@@ -150,7 +150,7 @@
         self.addCleanup(port.stopListening)
         return int(port.getHost().port)
 
-    def open(self, name: str, tls: Tls, node: str = "") -> TlsSource:
+    def open_source(self, name: str, tls: Tls, node: str = "") -> TlsSource:
         listener = (
             LinkListener(tls=tls)  # type: ignore[arg-type]
             if name == "links"
@@ -162,19 +162,19 @@
 
 
 class ListenerTest(TlsTestCase):
-    """What callers, upstreams and operators meet."""
+    """Listeners for callers, upstreams and operators."""
 
     def serve(self, tls: Tls | None) -> int:
-        site = make_served()
+        site = make_site()
         listener = Listener(tls=tls)
         return self.listen(
             listener, site, open_tls("", {"callers": listener})["callers"]
         )
 
     async def get(self, scheme: str, port: int, creator: Any) -> bytes:
-        agent = Agent(REACTOR, Policy(creator), connectTimeout=TIMEOUT)
-        reply = await treq.get(f"{scheme}://127.0.0.1:{port}/", agent=agent)
-        return bytes(await treq.content(reply))
+        agent = Agent(REACTOR, FixedClientPolicy(creator), connectTimeout=TIMEOUT)
+        response = await treq.get(f"{scheme}://127.0.0.1:{port}/", agent=agent)
+        return bytes(await treq.content(response))
 
     async def is_served(self, port: int, creator: Any) -> bool:
         try:
@@ -187,20 +187,35 @@
         port = self.serve(None)
         self.assertEqual(await self.get("http", port, None), b"served")
 
-    async def test_who_is_served(self) -> None:
-        server = issue(self.ours, "server")
+    async def test_client_certificates(self) -> None:
+        server = issue(self.trusted_authority, "server")
         plain = without_authority(server)
-        good = self.open("client", issue(self.ours, "good"))
-        bad_tls = issue(self.theirs, "bad").model_copy(
-            update={"authority": self.ours.path}
+        good = self.open_source("client", issue(self.trusted_authority, "good"))
+        bad_tls = issue(self.other_authority, "bad").model_copy(
+            update={"authority": self.trusted_authority.path}
         )
-        bad = self.open("client", bad_tls)
+        bad = self.open_source("client", bad_tls)
         cases: tuple[tuple[str, Tls, Any, bool], ...] = (
-            ("any caller", plain, Anonymous(self.ours), True),
-            ("wrong authority of ours", plain, Anonymous(self.theirs), False),
-            ("no certificate", server, Anonymous(self.ours), False),
-            ("signed by ours", server, ConnectionMaker(good), True),
-            ("signed by another", server, ConnectionMaker(bad), False),
+            (
+                "any caller",
+                plain,
+                ClientWithoutCertificate(self.trusted_authority),
+                True,
+            ),
+            (
+                "client trusts another authority",
+                plain,
+                ClientWithoutCertificate(self.other_authority),
+                False,
+            ),
+            (
+                "no certificate",
+                server,
+                ClientWithoutCertificate(self.trusted_authority),
+                False,
+            ),
+            ("signed by the trusted authority", server, ConnectionMaker(good), True),
+            ("signed by another authority", server, ConnectionMaker(bad), False),
         )
         for name, tls, creator, served in cases:
             with self.subTest(name):
@@ -208,12 +223,12 @@
                 self.assertEqual(await self.is_served(port, creator), served)
 
     def test_old_protocols_are_refused(self) -> None:
-        # Ciphers of every strength are allowed at both ends, so that nothing but the
-        # version decides; the control case shows that TLS 1.1 would work then.
-        tls = without_authority(issue(self.ours, "server"))
+        # Both ends allow ciphers of every strength, so that only the protocol version
+        # matters; the control case shows that TLS 1.1 would then be accepted.
+        tls = without_authority(issue(self.trusted_authority, "server"))
         for oldest, accepted in ((0, False), (SSL.TLS1_VERSION, True)):
             with self.subTest(oldest):
-                context = make_context(self.open("callers", tls))
+                context = make_context(self.open_source("callers", tls))
                 context.set_cipher_list(ALL_CIPHERS)
                 if oldest:
                     context.set_min_proto_version(oldest)
@@ -221,52 +236,57 @@
                 client = SSL.Context(SSL.TLS_METHOD)
                 client.set_cipher_list(ALL_CIPHERS)
                 client.set_max_proto_version(SSL.TLS1_1_VERSION)
-                self.assertEqual(shake_hands(context, client), accepted)
+                self.assertEqual(complete_handshake(context, client), accepted)
 
     async def test_renewal(self) -> None:
-        # A certificate is renewed under the same path while the process runs. First
-        # the key is written wrong: serving must go on with the former files, and
-        # the log must say so once. Then it is right, and counts at once.
-        tls = without_authority(issue(self.ours, "server"))
+        # A certificate is renewed at the same path while the process runs. With an
+        # invalid key, serving must continue with the former files, and the fault must
+        # be logged once. A valid renewal takes effect at once.
+        tls = without_authority(issue(self.trusted_authority, "server"))
         port = self.serve(tls)
-        issued_by_ours, by_theirs = Anonymous(self.ours), Anonymous(self.theirs)
-        self.assertTrue(await self.is_served(port, issued_by_ours))
+        trusting_client, other_client = (
+            ClientWithoutCertificate(self.trusted_authority),
+            ClientWithoutCertificate(self.other_authority),
+        )
+        self.assertTrue(await self.is_served(port, trusting_client))
         for content in (b"", b"broken"):
             tls.private_key.write_bytes(content)
             self.lines.clear()
             for _ in range(2):
-                self.assertTrue(await self.is_served(port, issued_by_ours))
+                self.assertTrue(await self.is_served(port, trusting_client))
 
             self.assertEqual(len(self.lines), 1, self.lines)
             self.assertIn("callers.tls.private_key", self.lines[0])
             self.assertIn(str(tls.private_key), self.lines[0])
 
         tls.certificate.unlink()
-        self.assertTrue(await self.is_served(port, issued_by_ours))
-        issue(self.theirs, "server")
-        self.assertTrue(await self.is_served(port, by_theirs))
-        self.assertFalse(await self.is_served(port, issued_by_ours))
+        self.assertTrue(await self.is_served(port, trusting_client))
+        issue(self.other_authority, "server")
+        self.assertTrue(await self.is_served(port, other_client))
+        self.assertFalse(await self.is_served(port, trusting_client))
 
     async def test_renewal_of_equal_size(self) -> None:
-        tls = without_authority(issue(self.ours, "server"))
-        source = self.open("callers", tls)
+        tls = without_authority(issue(self.trusted_authority, "server"))
+        source = self.open_source("callers", tls)
         before = source.stamp
         os.utime(tls.certificate, ns=(1, 1))
         port = self.listen(
             Listener(),
-            make_served(),
+            make_site(),
             source,
         )
-        self.assertTrue(await self.is_served(port, Anonymous(self.ours)))
+        self.assertTrue(
+            await self.is_served(port, ClientWithoutCertificate(self.trusted_authority))
+        )
         self.assertNotEqual(source.stamp, before)
 
 
 class FilesTest(TlsTestCase):
-    """Files that can't be used end the start, each with its place and path."""
+    """Unusable files make the start fail; the error names each place and path."""
 
     def test_findings(self) -> None:
-        good = issue(self.ours, "entry-1")
-        other = issue(self.ours, "entry-2")
+        good = issue(self.trusted_authority, "entry-1")
+        other = issue(self.trusted_authority, "entry-2")
         locked, empty = self.folder / "locked.key", self.folder / "empty"
         key = ec.generate_private_key(ec.SECP256R1())
         write_key(locked, key, serialization.BestAvailableEncryption(b"secret"))
@@ -302,7 +322,7 @@
         )
         for name, tls, parts in cases:
             with self.subTest(name), self.assertRaises(SettingsError) as caught:
-                self.open("links", tls, "entry-1")
+                self.open_source("links", tls, "entry-1")
 
             for part in (f"links.tls{parts[0]}: {self.folder}", *parts[1:]):
                 self.assertIn(part, str(caught.exception))
@@ -318,7 +338,7 @@
 
 
 class LinkTest(TlsTestCase):
-    """Two processes of ours: both ends prove their names."""
+    """Links between two processes, both authenticated by certificates."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -326,9 +346,9 @@
 
     def make_node(self, name: str) -> LinkNode:
         def take_call(sender: str, body: Any) -> Deferred[Any]:
-            answer: Deferred[Any] = Deferred()
-            answer.callback(InForce(in_force=sender == "near"))
-            return answer
+            reply: Deferred[Any] = Deferred()
+            reply.callback(InForce(in_force=sender == "near"))
+            return reply
 
         node = LinkNode(
             name=name,
@@ -341,67 +361,81 @@
             timing=LinkTiming(),
             read_names=read_peer_names,
         )
-        self.addCleanup(self.end, node)
+        self.addCleanup(self.abort_connections, node)
         return node
 
-    async def end(self, node: LinkNode) -> None:
+    async def abort_connections(self, node: LinkNode) -> None:
         for protocol in list(node.accepted):
             protocol.abort()
             await protocol.closed
 
     def serve(self, tls: Tls) -> Peer:
         far = self.make_node("far")
-        port = self.listen(Listener(), LinkFactory(far), self.open("far", tls))
+        port = self.listen(Listener(), LinkFactory(far), self.open_source("far", tls))
         return Peer(node="far", port=port)
 
-    async def test_link_is_up_and_answers(self) -> None:
-        # The common name of one end and the alternative name of the other are meant.
-        peer = self.serve(issue(self.ours, "x", name="x", alternative="far"))
-        source = self.open("links", issue(self.ours, "near"), "near")
+    async def test_link_connects_and_replies(self) -> None:
+        # One end is identified by its common name, the other by its alternative name.
+        peer = self.serve(
+            issue(self.trusted_authority, "x", name="x", alternative="far")
+        )
+        source = self.open_source(
+            "links", issue(self.trusted_authority, "near"), "near"
+        )
         up: Deferred[None] = Deferred()
         link: Link = open_link(
             self.make_node("near"), "far", make_connector(REACTOR, peer, source)
         )
         link.on_up = lambda: up.callback(None)
         await up
-        answer = await call_link(link, AskInForce(config_version=1), timeout=TIMEOUT)
-        self.assertEqual(answer, InForce(in_force=True))
+        reply = await call_link(link, AskInForce(config_version=1), timeout=TIMEOUT)
+        self.assertEqual(reply, InForce(in_force=True))
         protocol = link.protocol
         assert protocol is not None
         close_link(link)
         await protocol.closed
 
     async def test_refused(self) -> None:
-        far = issue(self.ours, "far")
-        near = issue(self.ours, "near")
-        signed_by_theirs = issue(self.theirs, "stranger", name="near").model_copy(
-            update={"authority": self.ours.path}
-        )
+        far = issue(self.trusted_authority, "far")
+        near = issue(self.trusted_authority, "near")
+        signed_by_other = issue(
+            self.other_authority, "stranger", name="near"
+        ).model_copy(update={"authority": self.trusted_authority.path})
         cases: tuple[tuple[str, Tls, Tls], ...] = (
-            ("we bear another node's name", far, issue(self.ours, "other")),
-            ("the peer bears another name", issue(self.ours, "far-2"), near),
-            ("we are signed by another", far, signed_by_theirs),
             (
-                "the peer is signed by another",
-                issue(self.theirs, "f", name="far"),
+                "our certificate has another name",
+                far,
+                issue(self.trusted_authority, "other"),
+            ),
+            (
+                "the peer's has another name",
+                issue(self.trusted_authority, "far-2"),
+                near,
+            ),
+            ("ours is signed by another authority", far, signed_by_other),
+            (
+                "the peer's is signed by another authority",
+                issue(self.other_authority, "f", name="far"),
                 near,
             ),
         )
-        for name, theirs, mine in cases:
+        for name, far_tls, near_tls in cases:
             with self.subTest(name):
                 connect = make_connector(
-                    REACTOR, self.serve(theirs), self.open("near", mine)
+                    REACTOR, self.serve(far_tls), self.open_source("near", near_tls)
                 )
                 await self.assert_refused(connect)
 
     async def test_refused_without_a_certificate(self) -> None:
-        peer = self.serve(issue(self.ours, "far"))
+        peer = self.serve(issue(self.trusted_authority, "far"))
         endpoint = TCP4ClientEndpoint(REACTOR, peer.host, peer.port)
-        secure = wrapClientTLS(Anonymous(self.ours), endpoint)
+        secure = wrapClientTLS(
+            ClientWithoutCertificate(self.trusted_authority), endpoint
+        )
 
         def connect(factory: Any) -> Any:
             attempt: Deferred[Any] = secure.connect(factory)
-            return attempt.addCallback(lambda end: end.wait_greeted())
+            return attempt.addCallback(lambda end: end.wait_for_greeting())
 
         await self.assert_refused(connect)
 
@@ -410,7 +444,7 @@
         build, built = factory.buildProtocol, []
 
         def build_casting(addr: object) -> Any:
-            # Sends a message behind its greeting, without waiting for the other's.
+            # Sends a cast right after its greeting, without waiting for the peer's.
             protocol = build(addr)
             begin = protocol.connectionMade
 
@@ -429,9 +463,9 @@
         self.assertEqual(self.casts, [])
         await built[0].closed
 
-    def test_frames_before_a_proven_name_are_dropped(self) -> None:
-        # A process with a good certificate greets under another node's name, or not
-        # at all, and sends its orders in the same bytes.
+    def test_frames_before_an_authenticated_greeting_are_dropped(self) -> None:
+        # A process with a valid certificate greets with another node's name, or not at
+        # all, and sends casts in the same bytes.
         import msgspec
 
         from tests.adapters.test_links import FakeTransport
@@ -439,12 +473,12 @@
         hello, cast = Hello(node="near", protocol=1), Cast(body=Drain())
         bad = Hello(node="other", protocol=1)
         cases = (
-            ("proven", (hello, cast), 1),
+            ("name in the certificate", (hello, cast), 1),
             ("other name", (bad, cast), 0),
             ("no greeting", (cast,), 0),
             ("renamed later", (hello, bad, cast), 0),
         )
-        for name, frames, taken in cases:
+        for name, frames, delivered in cases:
             with self.subTest(name):
                 self.casts.clear()
                 node = self.make_node("far")
@@ -453,17 +487,17 @@
                 transport: Any = FakeTransport()  # type: ignore[no-untyped-call]
                 protocol.makeConnection(transport)  # type: ignore[no-untyped-call]
                 protocol.dataReceived(b"".join(map(msgspec.msgpack.encode, frames)))
-                self.assertEqual(len(self.casts), taken)
-                self.assertEqual(transport.aborted, not taken)
+                self.assertEqual(len(self.casts), delivered)
+                self.assertEqual(transport.aborted, not delivered)
                 protocol.connectionLost()
 
 
 class DaemonTest(TlsTestCase):
-    """Both daemons with TLS on everything that listens."""
+    """Both daemons with TLS on all their listeners."""
 
     async def test_entry_and_control(self) -> None:
-        control_tls = issue(self.ours, "control-1")
-        entry_tls = issue(self.ours, "entry-1")
+        control_tls = issue(self.trusted_authority, "control-1")
+        entry_tls = issue(self.trusted_authority, "entry-1")
         served = without_authority(entry_tls)
         control = start_control(
             ControlSettings(
@@ -502,7 +536,7 @@
             self.assertEqual(await self.ask(entry.caller_port), 200)
             self.assertEqual(await self.ask(control.admin_port), 0)
             self.assertEqual(await self.ask(entry.upstream_port), 0)
-            # Replies come in order: no renewal is under way behind this one.
+            # Replies arrive in order, so no earlier renewal is still pending after it.
             stop_upkeep(entry.upkeep)
             await renew_once(entry.context)
             self.assertTrue(may_admit(entry.context.lease, entry.context.clock()))
@@ -512,13 +546,15 @@
 
     async def ask(self, port: Any) -> int:
         """Return the status for a client without a certificate; 0 if refused."""
-        agent = Agent(REACTOR, Policy(Anonymous(self.ours)))
+        agent = Agent(
+            REACTOR, FixedClientPolicy(ClientWithoutCertificate(self.trusted_authority))
+        )
         url = f"https://127.0.0.1:{port.getHost().port}/healthz"
         try:
-            reply = await treq.get(url, agent=agent)
+            response = await treq.get(url, agent=agent)
         except Exception as error:
             self.assertIn("SSL", repr(error))
             return 0
 
-        await treq.content(reply)
-        return int(reply.code)
+        await treq.content(response)
+        return int(response.code)
