--- a/src/waxwingwell/adapters/control/__init__.py
+++ b/src/waxwingwell/adapters/control/__init__.py
@@ -1,3 +1,3 @@
-"""The control daemon: links and the administration API around the state."""
+"""The control daemon: serves links and the administration API over its state."""
 
 from __future__ import annotations
--- a/src/waxwingwell/adapters/control/admin.py
+++ b/src/waxwingwell/adapters/control/admin.py
@@ -1,4 +1,4 @@
-"""The administration API's site: who may ask, and how answers are written."""
+"""The administration API's site: authentication and JSON responses."""
 
 from __future__ import annotations
 
@@ -24,11 +24,12 @@
 
 
 Request = Any
-"""A request of twisted.web, whose methods carry no types."""
+"""A ``twisted.web`` request, whose methods are untyped."""
 
 IDLE_TIMEOUT = 60
-"""Seconds of silence after which a connection is closed."""
+"""Seconds without data after which a connection is closed."""
 RETRY_AFTER = b"1"
+"""Seconds, as the value of a header."""
 
 
 def make_admin_site(context: ControlContext) -> CountingSite:
@@ -48,7 +49,7 @@
 
 
 def guard(context: ControlContext) -> Callable[[Any], Any]:
-    """Return a decorator that lets a route run for known operators only."""
+    """Return a decorator that runs a route only for authenticated operators."""
 
     def decorate(handler: Any) -> Any:
         def run(request: Request, **names: str) -> Any:
@@ -57,13 +58,13 @@
                 request.setHeader("www-authenticate", "Bearer")
                 return write_json(request, ErrorView(error="unknown key"), status=401)
 
-            def settle(result: Any) -> Any:
+            def finish(result: Any) -> Any:
                 context.answering -= 1
                 return result
 
             context.answering += 1
-            answer = Deferred.fromCoroutine(handler(request, operator, **names))
-            return answer.addBoth(settle)
+            response = Deferred.fromCoroutine(handler(request, operator, **names))
+            return response.addBoth(finish)
 
         run.__name__ = handler.__name__
         return run
@@ -72,7 +73,7 @@
 
 
 def find_operator(context: ControlContext, request: Request) -> OperatorKey | None:
-    """Return the operator whose key the request carries, compared in equal time."""
+    """Return the operator of the request's key; digests compare in constant time."""
     header = request.getHeader("authorization") or ""
     digest = hash_key(header.removeprefix(BEARER).strip())
     found = None
@@ -84,12 +85,12 @@
 
 
 def may_see(operator: OperatorKey, workspace: str) -> bool:
-    """Tell whether an operator's key reaches a workspace."""
+    """Return whether an operator's key gives access to a workspace."""
     return operator.workspace in ("", workspace)
 
 
 def write_json(request: Request, body: Any, *, status: int = 200) -> bytes:
-    """Set an answer's status and type and return its JSON body."""
+    """Set a response's status and content type and return its JSON body."""
     request.setResponseCode(status)
     request.setHeader("content-type", "application/json")
     if status == 503:
@@ -99,5 +100,5 @@
 
 
 def write_error(request: Request, status: int, text: str) -> bytes:
-    """Write an error answer."""
+    """Return an error response's body after setting its status."""
     return write_json(request, ErrorView(error=text), status=status)
--- a/src/waxwingwell/adapters/control/changes.py
+++ b/src/waxwingwell/adapters/control/changes.py
@@ -1,4 +1,4 @@
-"""Changes by operators: checked, generated from answers, put through the log."""
+"""Operators' changes: checked, generated from answers, committed to the log."""
 
 from __future__ import annotations
 
@@ -42,15 +42,15 @@
 
 
 FORWARD_TIMEOUT = 3.0
-"""Seconds within which the leader answers a forwarded command."""
+"""Seconds within which the leader must reply to a forwarded command."""
 MAX_BODY = 4_000_000
-"""Bytes of a command."""
+"""Maximum bytes of a command."""
 CHANGE_TYPES = Change
-STATUSES: dict[type[Message], int] = {Accepted: 200, Conflict: 409, Rejected: 422}
+HTTP_STATUSES: dict[type[Message], int] = {Accepted: 200, Conflict: 409, Rejected: 422}
 
 
 def add_changes(app: Klein, context: ControlContext) -> None:
-    """Add the routes by which operators change things and wait."""
+    """Add the routes that run commands and report whether changes are in force."""
 
     @app.route("/admin/v1/commands", methods=["POST"])
     @guard(context)
@@ -66,50 +66,52 @@
             name = type(command).__name__
             return write_error(request, 403, f"{name} is not an operator's command")
 
-        if not _reaches(operator, command):
+        if not _is_allowed(operator, command):
             text = f"this key is for workspace {operator.workspace!r} only"
             return write_error(request, 403, text)
 
         outcome = await _run_change(context, operator, command)
-        return write_json(request, outcome, status=STATUSES.get(type(outcome), 503))
+        return write_json(
+            request, outcome, status=HTTP_STATUSES.get(type(outcome), 503)
+        )
 
     @app.route("/admin/v1/in-force", methods=["GET"])
     @guard(context)
-    async def tell_in_force(request: Request, operator: OperatorKey) -> bytes:
+    async def show_in_force(request: Request, operator: OperatorKey) -> bytes:
         value = (request.args.get(b"config_version") or [b""])[0]
         if not value.isdigit():
             return write_error(request, 400, "config_version: a number is needed")
 
-        answer = await ask_anywhere(context, int(value))
-        status = 200 if isinstance(answer, InForce) else 503
-        return write_json(request, answer, status=status)
+        reply = await query_in_force(context, int(value))
+        status = 200 if isinstance(reply, InForce) else 503
+        return write_json(request, reply, status=status)
 
 
-async def submit_anywhere(context: ControlContext, command: Command) -> Message:
-    """Put a command through the log, through the leader if it is another process."""
+async def submit_or_forward(context: ControlContext, command: Command) -> Message:
+    """Commit a command to the log, by way of the leader if it is another process."""
     outcome: Message = await submit(context, command)
     if not isinstance(outcome, NotLeader):
         return outcome
 
-    return await _ask_leader(context, Submit(command=command))
+    return await _call_leader(context, Submit(command=command))
 
 
-async def ask_anywhere(context: ControlContext, config_version: int) -> Message:
-    """Ask here or at the leader whether a configuration is in force."""
-    answer = ask_in_force(context, config_version)
-    if not isinstance(answer, NotLeader):
-        return answer
+async def query_in_force(context: ControlContext, config_version: int) -> Message:
+    """Return whether a configuration is in force, as the leader sees it."""
+    reply = ask_in_force(context, config_version)
+    if not isinstance(reply, NotLeader):
+        return reply
 
-    return await _ask_leader(context, AskInForce(config_version=config_version))
+    return await _call_leader(context, AskInForce(config_version=config_version))
 
 
 def generate_change(
     context: ControlContext, change: ApplyAnswers
 ) -> ApplyAnswers | Rejected:
-    """Generate the configuration from the answers, whatever the sender filled in.
+    """Generate the configuration from the answers, replacing the sender's own.
 
-    So the answers and the configuration can't come apart, and revising the answers
-    is the only way to change a workspace.
+    This keeps the configuration consistent with the answers: a workspace can be
+    changed only by revising its answers.
     """
     known = context.holder.state.config.versions
     checked = check_answers(change.answers, versions=frozenset(known))
@@ -127,7 +129,7 @@
 async def _run_change(
     context: ControlContext, operator: OperatorKey, change: Any
 ) -> Message:
-    # The key tells who the operator is, whatever the body says.
+    # The key identifies the operator, whatever the body claims.
     change = msgspec.structs.replace(change, operator=operator.name)
     if isinstance(change, ApplyAnswers):
         generated = generate_change(context, change)
@@ -136,27 +138,28 @@
 
         change = generated
 
-    return await submit_anywhere(context, change)
+    return await submit_or_forward(context, change)
 
 
-async def _ask_leader(context: ControlContext, body: Message) -> Message:
+async def _call_leader(context: ControlContext, body: Message) -> Message:
     link = context.links.get(leader_of(context.group))
     if link is None:
         return NotLeader()
 
     try:
-        answer: Message = await call_link(link, body, timeout=FORWARD_TIMEOUT)
+        reply: Message = await call_link(link, body, timeout=FORWARD_TIMEOUT)
     except LinkError as error:
         return Failed(reason=str(error), may_have_run=True)
 
-    return answer
+    return reply
 
 
-def _reaches(operator: OperatorKey, change: Change) -> bool:
-    """Tell whether an operator's key allows a change; fleet-wide ones need a full key.
+def _is_allowed(operator: OperatorKey, change: Change) -> bool:
+    """Return whether an operator's key allows a change.
 
-    The workspace that the configuration names is compared with the answers' own
-    when it is generated, so that it can't be another.
+    Fleet-wide changes need a key that isn't limited to a workspace. The workspace
+    that the configuration names can be trusted here: ``generate_change`` rejects a
+    change whose answers are for another workspace.
     """
     if not operator.workspace:
         return True
--- a/src/waxwingwell/adapters/control/context.py
+++ b/src/waxwingwell/adapters/control/context.py
@@ -1,4 +1,4 @@
-"""What all parts of one control process share."""
+"""State shared by all parts of one control process."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True)
 class StateHolder:
-    """The present control state; replaced as a whole by a snapshot."""
+    """Holds the current control state; a snapshot replaces it as a whole."""
 
     state: ControlState = field(default_factory=ControlState)
 
@@ -37,13 +37,13 @@
     metrics: Metrics
     links: dict[str, Link] = field(default_factory=dict)
     accepted: set[LinkProtocol] = field(default_factory=set)
-    """Connections that others made to this process."""
+    """Inbound connections from other processes."""
     leases: EntryLeases | None = None
-    """Only while this process leads; begun anew with each election."""
+    """Set only while this process leads; created anew after each election."""
     leases_term: int = 0
     flush_due: bool = False
     answering: int = 0
-    """Requests of operators that have no answer yet."""
+    """Number of operators' requests without a response yet."""
     swept_at: float = 0.0
     stepped_at: float = 0.0
     ordered_at: float = 0.0
--- a/src/waxwingwell/adapters/control/daemon.py
+++ b/src/waxwingwell/adapters/control/daemon.py
@@ -63,9 +63,9 @@
 
 GROUP_ID = "control"
 HANDOVER_LIMIT = 2.0
-"""Seconds that a planned stop waits for another member to lead."""
+"""Seconds that a planned stop waits for another member to become leader."""
 ANSWER_LIMIT = 5.0
-"""Seconds that a planned stop then waits for the answers under way."""
+"""Seconds that a planned stop then waits for pending responses and replies."""
 _COMMANDS = msgspec.msgpack.Decoder(Command)
 
 
@@ -81,7 +81,7 @@
 
 
 def make_machine(holder: StateHolder) -> Machine:
-    """Return the closures by which the log drives the control state."""
+    """Return the callbacks by which the log applies, saves and restores the state."""
 
     def apply(index: int, command: bytes) -> bytes:
         outcome = apply_command(holder.state, _COMMANDS.decode(command))
@@ -94,7 +94,7 @@
 
 
 def start_control(settings: ControlSettings, reactor: Any) -> ControlDaemon:
-    """Open the data folder and begin to serve.
+    """Open the data folder and start serving.
 
     Errors: those of the store (a folder of another member, a corrupt file),
     ``SettingsError`` for TLS files, and ``CannotListenError``.
@@ -141,7 +141,7 @@
 
     admin_port = listen(reactor, settings.admin, make_admin_site(context), tls["admin"])
     loop = LoopingCall(run_tick, context)
-    loop.start(TICK).addErrback(partial(_report_halt, reactor))
+    loop.start(TICK).addErrback(partial(_stop_on_fault, reactor))
     logger.info(
         "control: {} serves links on {} and administration on {}.",
         settings.node,
@@ -158,7 +158,7 @@
 
 
 def make_node(context: ControlContext) -> LinkNode:
-    """Return what the links of this process share."""
+    """Return the handlers and settings that this process's links share."""
     return LinkNode(
         name=context.settings.node,
         reactor=context.reactor,
@@ -174,17 +174,17 @@
 
 
 async def stop_control(daemon: ControlDaemon) -> None:
-    """Hand leadership over, answer what was read, then close everything.
+    """Transfer leadership, respond to requests already read, then close everything.
 
-    Failure: an order is carried out by the next leader, or by this one just before, and
-    its operator finds the connection closed; an entry's settlement was taken, and the
-    entry can't tell.
+    Closing earlier would hide outcomes: an operator's command is carried out by this
+    leader or the next one although its connection was closed, and an entry can't know
+    that its settlement was accepted.
     """
     context = daemon.context
     await _hand_over(context)
     run_flush(context)
-    await _wait_answered(daemon)
-    unanswered = count_answers(daemon)
+    await _wait_until_answered(daemon)
+    pending = count_unanswered(daemon)
     for port in (daemon.admin_port, daemon.link_port):
         await maybeDeferred(port.stopListening)
 
@@ -198,21 +198,21 @@
     logger.info(
         "control: {} stopped, {} answers and {} connections cut.",
         context.settings.node,
-        unanswered,
+        pending,
         cut,
     )
 
 
-def count_answers(daemon: ControlDaemon) -> int:
-    """Return how many requests and calls that were read have no answer yet."""
+def count_unanswered(daemon: ControlDaemon) -> int:
+    """Return how many requests and calls that were read have no response yet."""
     calls = sum(protocol.answering for protocol in daemon.node.accepted)
     return daemon.context.answering + calls
 
 
-async def _wait_answered(daemon: ControlDaemon) -> None:
+async def _wait_until_answered(daemon: ControlDaemon) -> None:
     context = daemon.context
     deadline = context.clock() + ANSWER_LIMIT
-    while count_answers(daemon) and context.clock() < deadline:
+    while count_unanswered(daemon) and context.clock() < deadline:
         await deferLater(context.reactor, LOOK_SECONDS, lambda: None)
 
 
@@ -235,7 +235,7 @@
     return take_call(context, sender, body)
 
 
-def _report_halt(reactor: Any, failure: Any) -> None:
-    """Stop the process: a broken invariant must not be served on."""
+def _stop_on_fault(reactor: Any, failure: Any) -> None:
+    """Log a fault and stop: no process may serve with a broken invariant."""
     logger.critical("control: Stopped by a fault: {}.", failure.getTraceback())
     reactor.stop()
--- a/src/waxwingwell/adapters/control/duties.py
+++ b/src/waxwingwell/adapters/control/duties.py
@@ -1,4 +1,4 @@
-"""What the leader does of its own accord: leases, sweeps, roll-outs."""
+"""Periodic tasks of the leader: leases, sweeps, roll-outs and load orders."""
 
 from __future__ import annotations
 
@@ -29,15 +29,19 @@
 
 
 TICK = 0.02
-"""Seconds between two ticks of the replicated log."""
-SWEEP_EVERY = 1.0
-STEP_EVERY = 1.0
-ORDER_EVERY = 2.0
+"""Seconds between ticks of the replicated log."""
+SWEEP_SECONDS = 1.0
+"""Seconds between sweeps of abandoned ledger rows."""
+STEP_SECONDS = 1.0
+"""Seconds between evaluations of the roll-outs."""
+ORDER_SECONDS = 2.0
+"""Seconds between reconciliations of load orders."""
 OPERATOR = "leader"
+"""Operator recorded for the changes that the leader proposes."""
 
 
 def run_tick(context: ControlContext) -> None:
-    """Do what is due now; called every ``TICK`` seconds."""
+    """Run the tasks that are due; called every ``TICK`` seconds."""
     now = context.clock()
     check_group(context)
     tick_group(context.group, now)
@@ -46,28 +50,28 @@
         context.leases = None
         return
 
-    _hold_leases(context, now)
+    _reset_leases(context, now)
     _sweep_abandoned(context, now)
     _step_rollouts(context, now)
-    _reconcile(context, now)
+    _start_reconciliation(context, now)
 
 
 def check_group(context: ControlContext) -> None:
-    """Raise if this member can't go on: its process must be started anew.
+    """Raise ``HaltedError`` if this member can't continue without a restart.
 
-    Failure guarded against: the disk was full or a sync failed. What is in memory may
-    differ from what is on the disk, so the group promises nothing any more; a process
-    that stayed up would look healthy and serve nobody.
+    After a full disk or a failed sync, memory may differ from the disk, so the group
+    guarantees nothing any more; a process that stayed up would look healthy and serve
+    nobody.
     """
     if context.group.halted:
         raise HaltedError(f"the replicated log stopped: {context.group.halted}")
 
     if context.group.replica.expelled:
-        text = "this member was removed; empty its data folder to join anew"
+        text = "this member was removed; empty its data folder to rejoin"
         raise HaltedError(text)
 
 
-def _hold_leases(context: ControlContext, now: float) -> None:
+def _reset_leases(context: ControlContext, now: float) -> None:
     term = term_of(context.group)
     if context.leases is not None and context.leases_term == term:
         return
@@ -78,8 +82,8 @@
 
 
 def _sweep_abandoned(context: ControlContext, now: float) -> None:
-    """Close the rows of entries that died, once their lease has run out."""
-    if context.leases is None or now - context.swept_at < SWEEP_EVERY:
+    """Close the open ledger rows of dead entries once their lease has expired."""
+    if context.leases is None or now - context.swept_at < SWEEP_SECONDS:
         return
 
     context.swept_at = now
@@ -91,12 +95,12 @@
 
 
 def _step_rollouts(context: ControlContext, now: float) -> None:
-    """Propose the roll-out steps that the evidence asks for.
+    """Propose the roll-out steps that the evidence calls for.
 
-    The change id names roll-out, revision and step: a step proposed twice, by this
-    leader or by the next one, takes effect once.
+    The change id is derived from roll-out, revision and step, so a step that this
+    leader or the next one proposes again takes effect only once.
     """
-    if now - context.stepped_at < STEP_EVERY:
+    if now - context.stepped_at < STEP_SECONDS:
         return
 
     context.stepped_at = now
@@ -120,8 +124,8 @@
         submit(context, change).addCallback(_log_outcome)
 
 
-def _reconcile(context: ControlContext, now: float) -> None:
-    if now - context.ordered_at < ORDER_EVERY:
+def _start_reconciliation(context: ControlContext, now: float) -> None:
+    if now - context.ordered_at < ORDER_SECONDS:
         return
 
     context.ordered_at = now
--- a/src/waxwingwell/adapters/control/entries.py
+++ b/src/waxwingwell/adapters/control/entries.py
@@ -1,4 +1,4 @@
-"""What a control process asks of the entries that are connected to it."""
+"""Calls from a control process to the entries connected to it."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 
 
 ASK_TIMEOUT = 1.0
-"""Seconds that one entry may take to answer."""
+"""Seconds within which an entry must reply."""
 
 
 def list_entries(context: ControlContext) -> dict[str, LinkProtocol]:
-    """Return the connections of the entries, by name."""
+    """Return the entries' connections by entry name."""
     members = {member.node for member in context.settings.members}
     return {
         protocol.remote: protocol
@@ -35,37 +35,37 @@
 
 
 async def ask_entries(context: ControlContext) -> dict[str, KnownUpstreams]:
-    """Ask every connected entry for what it knows; silent ones are left out."""
+    """Ask every connected entry for its upstreams; omit those that don't reply."""
     entries = list_entries(context)
     asked = [
         protocol.call(AskUpstreams(), timeout=ASK_TIMEOUT)
         for protocol in entries.values()
     ]
-    answers = await DeferredList(asked, consumeErrors=True)
+    replies = await DeferredList(asked, consumeErrors=True)
     return {
-        name: answer
-        for name, (good, answer) in zip(entries, answers, strict=True)
-        if good and isinstance(answer, KnownUpstreams)
+        name: reply
+        for name, (succeeded, reply) in zip(entries, replies, strict=True)
+        if succeeded and isinstance(reply, KnownUpstreams)
     }
 
 
 async def gather_upstreams(context: ControlContext) -> list[UpstreamView]:
-    """Return the upstreams as the entries know them, the newest word of each."""
+    """Return the upstreams known to the entries, by their newest announcements."""
     newest: dict[str, KnownUpstream] = {}
     running: dict[str, int] = {}
-    for answer in (await ask_entries(context)).values():
-        for item in answer.upstreams:
+    for reply in (await ask_entries(context)).values():
+        for item in reply.upstreams:
             name = item.announcement.upstream
             running[name] = running.get(name, 0) + item.in_flight
             present = newest.get(name)
-            if present is None or _rank(item) > _rank(present):
+            if present is None or _sort_key(item) > _sort_key(present):
                 newest[name] = item
 
     return [make_view(item, running[name]) for name, item in sorted(newest.items())]
 
 
 def make_view(item: KnownUpstream, running: int) -> UpstreamView:
-    """Return one upstream as the administration API shows it."""
+    """Return the administration API's view of an upstream."""
     announcement = item.announcement
     load = announcement.load
     return UpstreamView(
@@ -85,18 +85,18 @@
 
 
 async def drain_entry(context: ControlContext, node: str) -> bool:
-    """Tell an entry to stop gracefully; false if it can't be reached from here."""
+    """Ask an entry to stop gracefully; return false if it can't be reached."""
     protocol = list_entries(context).get(node)
     if protocol is None:
         return False
 
     try:
-        answer = await protocol.call(Drain(), timeout=ASK_TIMEOUT)
+        reply = await protocol.call(Drain(), timeout=ASK_TIMEOUT)
     except LinkError:
         return False
 
-    return isinstance(answer, Draining)
+    return isinstance(reply, Draining)
 
 
-def _rank(item: KnownUpstream) -> tuple[int, int]:
+def _sort_key(item: KnownUpstream) -> tuple[int, int]:
     return item.announcement.incarnation, item.announcement.sequence
--- a/src/waxwingwell/adapters/control/members.py
+++ b/src/waxwingwell/adapters/control/members.py
@@ -1,4 +1,4 @@
-"""Members of the control group and entries: shown, added, removed, drained."""
+"""Routes that show, add, remove and drain control processes and entries."""
 
 from __future__ import annotations
 
@@ -32,11 +32,11 @@
 
 
 MAX_BODY = 65_536
-"""Bytes."""
+"""Maximum bytes of a body that are read."""
 
 
 def add_members(app: Klein, context: ControlContext) -> None:
-    """Add the routes about processes."""
+    """Add the routes on the system's processes."""
 
     @app.route("/admin/v1/members", methods=["GET"])
     @guard(context)
@@ -55,7 +55,7 @@
         except msgspec.DecodeError as error:
             return write_error(request, 422, f"body: {error}")
 
-        fault = await _carry_out(context, change)
+        fault = await _apply_change(context, change)
         if fault is not None:
             status, text = fault
             return write_error(request, status, text)
@@ -64,11 +64,11 @@
 
 
 async def describe_members(context: ControlContext) -> MembersReply:
-    """Return control processes and connected entries as seen from here."""
+    """Return the control processes and connected entries that this process sees."""
     rows = [_describe_control(context, item.node) for item in context.settings.members]
-    for name, answer in (await ask_entries(context)).items():
-        state = "draining" if answer.draining else "up"
-        rows.append(MemberView(name, "entry", state, in_flight=answer.running))
+    for name, reply in (await ask_entries(context)).items():
+        state = "draining" if reply.draining else "up"
+        rows.append(MemberView(name, "entry", state, in_flight=reply.running))
 
     return MembersReply(members=tuple(rows))
 
@@ -88,10 +88,10 @@
     return MemberView(node, role, "up" if up else "down", address)
 
 
-async def _carry_out(
+async def _apply_change(
     context: ControlContext, change: MembersChange
 ) -> tuple[int, str] | None:
-    """Carry a change out; the fault's status and text otherwise."""
+    """Apply a change; return None, or the status and text of an error."""
     if change.action == "drain":
         if await drain_entry(context, change.node):
             return None
@@ -102,8 +102,8 @@
         return await _remove(context, change.node)
 
     if change.action == "add":
-        # A member joins by itself: started with this node among its settings'
-        # members it asks to be let in, and the leader takes it in as a learner.
+        # A member joins by itself: once started with this process among the members
+        # of its settings, it asks to join, and the leader adds it as a learner.
         known = {item.node for item in context.settings.members}
         if change.node in known:
             return None
--- a/src/waxwingwell/adapters/control/order_book.py
+++ b/src/waxwingwell/adapters/control/order_book.py
@@ -1,4 +1,4 @@
-"""What the leader remembers of the loads that it ordered."""
+"""The leader's record of the loads that it ordered."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True)
 class OrderBook:
-    """What the leader remembers of loads under way; a new leader begins anew."""
+    """The leader's state of loads in progress; a new leader starts without any."""
 
     term: int = 0
     loading: Loading = field(default_factory=Loading)
--- a/src/waxwingwell/adapters/control/orders.py
+++ b/src/waxwingwell/adapters/control/orders.py
@@ -1,7 +1,8 @@
 """Orders to engines: which versions each should hold, reconciled by the leader.
 
-Orders are desired state, sent again until the engine reports it. Routing never
-trusts that an order was obeyed: only versions that an engine announces get work.
+Orders are desired state and are sent again until the engine reports that state.
+Routing never assumes that an order was carried out: only versions that an engine
+announces receive requests.
 """
 
 from __future__ import annotations
@@ -32,58 +33,58 @@
 
 
 ORDER_TIMEOUT = 4.0
-"""Seconds that an entry may take to pass an order on."""
+"""Seconds within which an entry must forward an order and reply."""
 
 
 async def reconcile_orders(context: ControlContext, book: OrderBook) -> None:
-    """Compare what engines hold with what they should, and send the orders.
+    """Compare the versions that engines hold with those wanted, and send orders.
 
-    The leader first waits out the leases that an earlier leader granted, so that no
-    entry is left that would pass an earlier leader's orders on.
+    The leader first waits until the leases granted by an earlier leader have expired,
+    so that no entry remains that would forward that leader's orders.
     """
     if book.busy or not may_order(context):
         return
 
     book.busy = True
     try:
-        answers = await ask_entries(context)
+        replies = await ask_entries(context)
         if may_order(context):
-            await _send_orders(context, book, answers)
+            await _send_orders(context, book, replies)
     finally:
         book.busy = False
 
 
 def may_order(context: ControlContext) -> bool:
-    """Tell whether this process may give orders at this moment."""
+    """Return whether this process may send orders at this moment."""
     now = context.clock()
     leases = get_leases(context, now)
     return leases is not None and knows_all_leases(leases, now)
 
 
 async def _send_orders(
-    context: ControlContext, book: OrderBook, answers: dict[str, KnownUpstreams]
+    context: ControlContext, book: OrderBook, replies: dict[str, KnownUpstreams]
 ) -> None:
     term = term_of(context.group)
     if book.term != term:
         book.term, book.loading = term, Loading()
 
-    tables = make_tables(context, answers)
+    tables = make_tables(context, replies)
     orders = plan_loads(tables, book.loading, book.store, context.clock())
     for order in orders:
-        # Each wait may have cost the leadership.
+        # Leadership may have been lost while waiting for a reply.
         if not may_order(context) or term_of(context.group) != term:
             return
 
-        await _send_order(context, order, term, answers)
+        await _send_order(context, order, term, replies)
 
 
 async def _send_order(
     context: ControlContext,
     order: LoadOrder,
     term: int,
-    answers: dict[str, KnownUpstreams],
+    replies: dict[str, KnownUpstreams],
 ) -> None:
-    entry = _find_entry(order, answers)
+    entry = _find_entry(order, replies)
     protocol = list_entries(context).get(entry)
     if protocol is None:
         return
@@ -92,22 +93,22 @@
         upstream=order.upstream, versions=order.versions, fencing=term
     )
     try:
-        answer = await protocol.call(message, timeout=ORDER_TIMEOUT)
+        reply = await protocol.call(message, timeout=ORDER_TIMEOUT)
     except LinkError as error:
         logger.info("orders: {} not reached: {}.", order.upstream, error)
         return
 
-    if isinstance(answer, OrderPassed) and answer.status != 200:
+    if isinstance(reply, OrderPassed) and reply.status != 200:
         logger.info(
             "orders: {} did not take its order: {} {}.",
             order.upstream,
-            answer.status,
-            answer.reason,
+            reply.status,
+            reply.reason,
         )
 
 
-def make_tables(context: ControlContext, answers: dict[str, KnownUpstreams]) -> Tables:
-    """Return tables with the configuration and the upstreams that entries know."""
+def make_tables(context: ControlContext, replies: dict[str, KnownUpstreams]) -> Tables:
+    """Return tables of the configuration and of the upstreams known to entries."""
     now = context.clock()
     config = context.holder.state.config
     tables = Tables(
@@ -116,8 +117,8 @@
         versions=dict(config.versions),
         rollouts=dict(config.rollouts),
     )
-    for answer in answers.values():
-        for item in answer.upstreams:
+    for reply in replies.values():
+        for item in reply.upstreams:
             present = tables.upstreams.get(item.announcement.upstream)
             expires_at = now + item.lease_left
             if present is None or expires_at > present.expires_at:
@@ -131,11 +132,11 @@
     return tables
 
 
-def _find_entry(order: LoadOrder, answers: dict[str, KnownUpstreams]) -> str:
+def _find_entry(order: LoadOrder, replies: dict[str, KnownUpstreams]) -> str:
     """Return an entry that knows the upstream."""
-    for name, answer in answers.items():
+    for name, reply in replies.items():
         if any(
-            item.announcement.upstream == order.upstream for item in answer.upstreams
+            item.announcement.upstream == order.upstream for item in reply.upstreams
         ):
             return name
 
--- a/src/waxwingwell/adapters/control/service.py
+++ b/src/waxwingwell/adapters/control/service.py
@@ -1,4 +1,4 @@
-"""What a control process answers over its links."""
+"""Handlers for the calls and casts that reach a control process."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
 
 def take_call(context: ControlContext, sender: str, body: Any) -> Deferred[Message]:
-    """Answer a call of an entry or of another control process."""
+    """Reply to a call from an entry or another control process."""
     if isinstance(body, Submit):
         return submit(context, body.command)
 
@@ -64,35 +64,36 @@
 
 
 def take_cast(context: ControlContext, sender: str, body: Any) -> None:
-    """Take in a message of the replicated log."""
+    """Handle a message of the replicated log; ignore any other."""
     if isinstance(body, ConsensusMessage):
         receive_message(context.group, sender, body, context.clock())
         request_flush(context)
 
 
 def submit(context: ControlContext, command: Command) -> Deferred[Message]:
-    """Put a command through the log; the result is its outcome.
+    """Commit a command to the log; the result is its outcome.
 
-    Others: ``NotLeader`` if it provably did not run, ``Failed`` if it may have.
+    Otherwise it is ``NotLeader`` if the command provably did not run, and ``Failed``
+    if it may have run.
     """
-    answer: Deferred[Message] = Deferred()
+    reply: Deferred[Message] = Deferred()
     stamped = stamp_command(command, context.wall_clock())
 
     def finish(outcome: ProposalOutcome) -> None:
         if isinstance(outcome, Committed):
-            answer.callback(_OUTCOMES.decode(outcome.result))
+            reply.callback(_OUTCOMES.decode(outcome.result))
         elif isinstance(outcome, NotLeading):
-            answer.callback(NotLeader(leader=outcome.leader))
+            reply.callback(NotLeader(leader=outcome.leader))
         else:
-            answer.callback(Failed(reason="leadership was lost", may_have_run=True))
+            reply.callback(Failed(reason="leadership was lost", may_have_run=True))
 
     propose(context.group, msgspec.msgpack.encode(stamped), finish, context.clock())
     request_flush(context)
-    return answer
+    return reply
 
 
 def ask_in_force(context: ControlContext, config_version: int) -> InForce | NotLeader:
-    """Tell whether a committed configuration is in force at every entry."""
+    """Return whether a committed configuration is in force at every entry."""
     now = context.clock()
     leases = get_leases(context, now)
     if leases is None:
@@ -105,10 +106,10 @@
 
 
 def get_leases(context: ControlContext, now: float) -> EntryLeases | None:
-    """Return the leases of this process's present term, or None unless it leads.
+    """Return the leases of this process's current term, or None unless it leads.
 
-    Failure guarded against: leadership is lost and won again between two ticks; the
-    table of the earlier term would claim to know all leases too soon.
+    The term is compared because leadership can be lost and won again between two
+    ticks; the table of the earlier term would claim too soon to know all leases.
     """
     if not leads(context.group, now):
         return None
@@ -120,7 +121,7 @@
 
 
 def request_flush(context: ControlContext) -> None:
-    """Flush once this turn is over: all that came in it shares one durable write."""
+    """Schedule a flush for all messages of this reactor turn: one durable write."""
     if context.flush_due:
         return
 
@@ -129,7 +130,7 @@
 
 
 def run_flush(context: ControlContext) -> None:
-    """Make everything since the last flush durable, then send and apply."""
+    """Write everything since the last flush durably, then send and apply it."""
     context.flush_due = False
     flush_group(context.group, context.clock())
 
@@ -137,8 +138,8 @@
 def _renew(context: ControlContext, message: RenewLease) -> Message:
     """Grant or refuse a configuration lease.
 
-    Leadership is confirmed for ``now`` after the snapshot was read: a leader that
-    was cut off would otherwise grant leases on an old configuration.
+    ``now`` is read after the snapshot, so leadership is confirmed for a time after it;
+    a partitioned leader would otherwise grant leases on an old configuration.
     """
     snapshot = make_snapshot(context.holder.state)
     now = context.clock()
@@ -146,7 +147,7 @@
     if leases is None:
         return NotLeader(leader=leader_of(context.group))
 
-    answer = renew_lease(
+    reply = renew_lease(
         leases,
         message,
         snapshot=snapshot,
@@ -154,8 +155,8 @@
         list_evidence=partial(list_evidence, context.holder.state.evidence),
         term=term_of(context.group),
     )
-    if isinstance(answer, LeaseGranted):
-        return answer
+    if isinstance(reply, LeaseGranted):
+        return reply
 
     config = context.holder.state.config
     return LeaseBehind(snapshot=make_delta(config, message.config_version))
--- a/src/waxwingwell/adapters/control/status.py
+++ b/src/waxwingwell/adapters/control/status.py
@@ -1,4 +1,4 @@
-"""The status of the control group, seen from one process."""
+"""The status of the control group as one process sees it."""
 
 from __future__ import annotations
 
@@ -18,24 +18,24 @@
 
 
 class EntryStatus(msgspec.Struct, frozen=True):
-    """One entry as the leader knows it."""
+    """An entry's state as known to the leader."""
 
     entry: str
     incarnation: int
     config_version: int
     lease_left: float
-    """Seconds; negative once it has run out."""
+    """Seconds; negative once the lease has expired."""
 
 
 class MemberStatus(msgspec.Struct, frozen=True):
-    """One control process as this one sees it."""
+    """A control process's state as this one sees it."""
 
     node: str
     up: bool
 
 
 class StatusReply(msgspec.Struct, frozen=True):
-    """State of the control group, seen from one process."""
+    """State of the control group as one process sees it."""
 
     node: str
     leader: str
@@ -47,15 +47,15 @@
     entries: tuple[EntryStatus, ...]
     open_rows: int
     breaches: dict[str, int]
-    """Invariants found broken in this process; empty if all held."""
+    """Number of violations by invariant in this process; empty if all held."""
     voters: tuple[str, ...] = ()
-    """Ids of the members that vote; a replaced disk has a new id."""
+    """Ids of the voting members; a member whose disk was replaced has a new id."""
     learners: tuple[str, ...] = ()
     """Ids of the members that are still catching up."""
 
 
 def describe_status(context: ControlContext) -> StatusReply:
-    """Return this process's view of the group."""
+    """Return the group's status as this process sees it."""
     now = context.clock()
     rows = context.leases.rows if context.leases is not None else {}
     entries = tuple(
--- a/src/waxwingwell/adapters/control/views.py
+++ b/src/waxwingwell/adapters/control/views.py
@@ -1,4 +1,4 @@
-"""Views of the administration API, read from this process's replica."""
+"""The administration API's views, read from this process's replica."""
 
 from __future__ import annotations
 
@@ -32,11 +32,11 @@
 
 
 MAX_SESSIONS = 10_000
-"""Sessions in one view."""
+"""Maximum sessions in one view."""
 
 
 def add_views(app: Klein, context: ControlContext) -> None:
-    """Add the routes that show things."""
+    """Add the read-only routes."""
     _add_workspace_views(app, context)
     _add_fleet_views(app, context)
 
