--- a/src/waxwingwell/commands/answer_files.py
+++ b/src/waxwingwell/commands/answer_files.py
@@ -1,4 +1,4 @@
-"""Files with answers: read, checked and written."""
+"""Reads, checks and writes files with answers."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from ..answers.findings import check_answers
 from ..keys import hash_key
 from .exits import ExitCode
-from .exits import leave
+from .exits import exit_with
 from .exits import render_findings
 
 
@@ -23,53 +23,54 @@
 
 
 KEY_BYTES = 32
+"""Random bytes of a new key."""
 KEY_PREFIX = "wax_"
 
 
 def read_file(path: Path) -> bytes:
-    """Return a file's bytes."""
+    """Return a file's bytes; an unreadable file ends the command."""
     try:
         return path.read_bytes()
     except OSError as error:
-        leave(ExitCode.BAD_INPUT, f"{path}: {error.strerror}")
+        exit_with(ExitCode.BAD_INPUT, f"{path}: {error.strerror}")
 
 
 def check_file(path: Path, versions: Collection[str] | None) -> Answers:
-    """Return a file's answers; findings are printed together and end the command."""
+    """Return a file's answers; if any are invalid, print all findings and exit."""
     result = check_answers(read_file(path), versions=versions)
     if is_successful(result):
         return result.unwrap()
 
     findings = result.failure()
     count = f"{path}: {len(findings)} finding{'s' if len(findings) > 1 else ''}"
-    leave(ExitCode.BAD_INPUT, count, *render_findings(findings))
+    exit_with(ExitCode.BAD_INPUT, count, *render_findings(findings))
     return None
 
 
 def write_new(path: Path, text: str) -> None:
-    """Write a file that must not exist yet, so that no answers are lost."""
+    """Write a new file; exit if it exists, so that no answers are overwritten."""
     try:
         with path.open("x", encoding="utf-8") as file:
             file.write(text)
     except FileExistsError:
-        leave(ExitCode.BAD_INPUT, f"{path}: this file exists already")
+        exit_with(ExitCode.BAD_INPUT, f"{path}: this file already exists")
     except OSError as error:
-        leave(ExitCode.BAD_INPUT, f"{path}: {error.strerror}")
+        exit_with(ExitCode.BAD_INPUT, f"{path}: {error.strerror}")
 
 
 def render_answers(answers: object) -> str:
-    """Return answers as JSON for people to edit."""
+    """Return answers as indented JSON for editing."""
     return json.dumps(answers, indent=2, ensure_ascii=False) + "\n"
 
 
 def create_key() -> tuple[str, str]:
-    """Return a new key and its digest; the key itself is kept nowhere."""
+    """Return a new key and its digest; the key itself is not stored."""
     key = KEY_PREFIX + secrets.token_urlsafe(KEY_BYTES)
     return key, hash_key(key)
 
 
 def make_template(workspace: str, digest: str) -> dict[str, object]:
-    """Return answers to start from; each is an example to be replaced."""
+    """Return initial answers; each is an example to be replaced."""
     return {
         "questionnaire": 1,
         "revises": 0,
--- a/src/waxwingwell/commands/answers.py
+++ b/src/waxwingwell/commands/answers.py
@@ -1,4 +1,4 @@
-"""``waxwingwell answers``: the questionnaire, from new answers to revisions."""
+"""``waxwingwell answers``: create, check, apply and revise a workspace's answers."""
 
 from __future__ import annotations
 
@@ -24,16 +24,16 @@
 from .answer_files import render_answers
 from .answer_files import write_new
 from .changes import OPERATOR
-from .changes import make_change
 from .changes import make_change_id
+from .changes import submit_change
 from .connection import fetch_config
 from .connection import open_client
 from .exits import ExitCode
-from .exits import leave
-from .exits import unwrap_or_leave
+from .exits import exit_with
+from .exits import unwrap_or_exit
+from .output import format_time
 from .output import print_json
 from .output import print_table
-from .output import show_time
 
 
 if TYPE_CHECKING:
@@ -42,7 +42,7 @@
 
 
 def new(file: str, workspace: str = "my-workspace") -> None:
-    """Write answers to start from, with a new caller's key that is shown once."""
+    """Write a file with initial answers and a new caller's key, which is shown once."""
     key, digest = create_key()
     write_new(Path(str(file)), render_answers(make_template(str(workspace), digest)))
     print(f"key of 'app', shown only now: {key}")
@@ -50,9 +50,9 @@
 
 
 def key(name: str, role: str = "caller") -> None:
-    """Make a key; show it once, with the entry for ``keys`` that holds its digest."""
+    """Create a key; show it once, with the entry for ``keys`` that has its digest."""
     if role not in ("caller", "operator"):
-        leave(ExitCode.BAD_INPUT, f"role: {role!r} is neither caller nor operator")
+        exit_with(ExitCode.BAD_INPUT, f"role: {role!r} is neither caller nor operator")
 
     secret, digest = create_key()
     print(f"key, shown only now: {secret}")
@@ -61,9 +61,9 @@
 
 
 def check(file: str, offline: bool = False, json: bool = False) -> None:
-    """Check a file's answers and show every finding at once.
+    """Check a file's answers and show all findings at once.
 
-    With ``--offline`` versions are not compared with the catalogue.
+    With ``--offline`` versions are not checked against the catalogue.
     """
     versions = None if offline else list_versions(fetch_config(open_client()))
     answers = check_file(Path(str(file)), versions)
@@ -72,20 +72,20 @@
         print_json(config)
         return
 
-    print("the answers are good; they mean:")
+    print("the answers are valid; they mean:")
     print("\n".join(describe_differences(None, config)))
 
 
 def show(workspace: str) -> None:
-    """Print a workspace's answers that are in force now."""
+    """Print a workspace's current answers."""
     sys.stdout.write(render_answers(fetch_answers(open_client(), str(workspace))))
 
 
 def revise(workspace: str, file: str) -> None:
-    """Write a workspace's present answers to a new file, to be edited and applied.
+    """Write a workspace's current answers to a new file, to be edited and applied.
 
-    The file names the revision it was made from. If another operator's revision
-    comes first, ``apply`` is refused and changes nothing.
+    The file records the revision that it is based on. If another operator applies a
+    revision first, ``apply`` is refused and changes nothing.
     """
     answers = fetch_answers(open_client(), str(workspace))
     write_new(Path(str(file)), render_answers(answers))
@@ -112,8 +112,8 @@
 def apply(file: str, yes: bool = False, wait: bool = True, change_id: str = "") -> None:
     """Check a file's answers, show the difference, apply them, wait until in force.
 
-    Asks first, unless ``--yes`` is given; ``--nowait`` ends once they are accepted.
-    ``--change_id`` resends a change whose answer was lost.
+    Asks for confirmation unless ``--yes`` is given; ``--nowait`` returns once they are
+    accepted. ``--change_id`` resends a change whose response was lost.
     """
     path = Path(str(file))
     client = open_client()
@@ -138,17 +138,17 @@
         now = find_workspace(fetch_config(client), answers.workspace)
         lines = describe_differences(now, config)
         if not lines:
-            return ("what is there now means the same as your answers",)
+            return ("the current answers mean the same as yours",)
 
-        return ("from what is there now to your answers:", *lines)
+        return ("from the current answers to yours:", *lines)
 
-    make_change(client, change, wait=wait, show_conflict=show_conflict)
+    submit_change(client, change, wait=wait, show_conflict=show_conflict)
 
 
 def history(workspace: str, json: bool = False) -> None:
     """Show who revised a workspace's answers, and when."""
     path = f"/answers/{quote(str(workspace))}/history"
-    rows = unwrap_or_leave(fetch_view(open_client(), path, tuple[HistoryView, ...]))
+    rows = unwrap_or_exit(fetch_view(open_client(), path, tuple[HistoryView, ...]))
     if json:
         print_json(rows)
         return
@@ -156,24 +156,24 @@
     print_table(
         ("revision", "at (UTC)", "operator", "change id"),
         [
-            (row.revision, show_time(row.at), row.operator, row.change_id)
+            (row.revision, format_time(row.at), row.operator, row.change_id)
             for row in rows
         ],
     )
 
 
 def confirm() -> None:
-    """Ask whether to go on; without a terminal the answer is no."""
+    """Ask for confirmation; without a terminal, refuse."""
     if not sys.stdin.isatty():
-        leave(ExitCode.BAD_INPUT, "nothing was changed; add --yes to apply this")
+        exit_with(ExitCode.BAD_INPUT, "nothing was changed; add --yes to apply this")
 
     if input("apply this? [y/N] ").strip().lower() not in ("y", "yes"):
-        leave(ExitCode.REFUSED, "nothing was changed")
+        exit_with(ExitCode.REFUSED, "nothing was changed")
 
 
 def fetch_answers(client: AdminClient, workspace: str) -> dict[str, Any]:
-    """Return a workspace's answers, made to revise their present revision."""
-    view = unwrap_or_leave(
+    """Return a workspace's answers, set to revise their current revision."""
+    view = unwrap_or_exit(
         fetch_view(client, f"/answers/{quote(workspace)}", AnswersView)
     )
     answers: dict[str, Any] = json.loads(bytes(view.answers))
@@ -181,7 +181,7 @@
 
 
 def list_versions(view: ConfigView) -> frozenset[str]:
-    """Return the known version ids."""
+    """Return the ids of the registered versions."""
     return frozenset(spec.version for spec in view.versions)
 
 
--- a/src/waxwingwell/commands/changes.py
+++ b/src/waxwingwell/commands/changes.py
@@ -1,4 +1,4 @@
-"""Sends a change, tells its outcome, and waits until it is in force."""
+"""Sends a change, reports its outcome and waits until it is in force."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 from ..messages import Conflict
 from ..messages import Rejected
 from .exits import ExitCode
-from .exits import leave
+from .exits import exit_with
 from .exits import render_findings
-from .exits import unwrap_or_leave
+from .exits import unwrap_or_exit
 
 
 if TYPE_CHECKING:
@@ -26,38 +26,38 @@
 
 
 OPERATOR = "command line"
-"""Placeholder; the API puts the name of the key's holder in its place."""
+"""Placeholder; the API replaces it with the name of the key's owner."""
 
-POLL = 0.2
-"""Seconds between two questions whether a change is in force."""
+POLL_SECONDS = 0.2
+"""Seconds between two polls of whether a change is in force."""
 
-MAX_WAIT = 60.0
-"""Seconds after which a wait ends without success."""
+MAX_WAIT_SECONDS = 60.0
+"""Seconds after which waiting for a change fails."""
 
 
 def make_change_id(given: str = "") -> str:
-    """Return the change id that an operator gave, or a new one."""
+    """Return the change id given by the operator, or a new one."""
     return given or uuid.uuid4().hex
 
 
-def make_change(
+def submit_change(
     client: AdminClient,
     change: Change,
     *,
     wait: bool,
     show_conflict: Callable[[], Iterable[str]] = tuple,
 ) -> Accepted:
-    """Send a change and wait for it; every other end leaves the command.
+    """Send a change, wait for it and return its acceptance; otherwise exit.
 
-    ``show_conflict`` gives lines about what the other change made different.
+    ``show_conflict`` returns lines that describe how the conflicting change differs.
     """
     hint = (
-        f"it may have been accepted; to learn it, send it again with "
+        f"it may have been accepted; to find out, send it again with "
         f"--change_id={change.change_id}"
     )
-    outcome = unwrap_or_leave(send_change(client, change), hint)  # type: ignore[arg-type]
+    outcome = unwrap_or_exit(send_change(client, change), hint)  # type: ignore[arg-type]
     if isinstance(outcome, Conflict):
-        leave(
+        exit_with(
             ExitCode.CONFLICT,
             f"conflict: {outcome.subject} is at revision {outcome.revision}, "
             f"not at {change.expected_revision}",
@@ -66,7 +66,7 @@
         )
 
     if isinstance(outcome, Rejected):
-        leave(ExitCode.REFUSED, "refused:", *render_findings(outcome.findings))
+        exit_with(ExitCode.REFUSED, "refused:", *render_findings(outcome.findings))
 
     print(f"accepted: {outcome.subject} is at revision {outcome.revision}")
     if wait:
@@ -76,29 +76,29 @@
 
 
 def wait_in_force(client: AdminClient, config_version: int) -> None:
-    """Wait until every entry has a configuration; progress on standard error."""
-    deadline = client.clock() + MAX_WAIT
+    """Wait until every entry has a configuration; report on standard error."""
+    deadline = client.clock() + MAX_WAIT_SECONDS
     shown = ""
     while True:
-        answer = unwrap_or_leave(
+        response = unwrap_or_exit(
             ask_in_force(client, config_version),
             f"configuration {config_version} is accepted; "
             "whether it is in force is not known",
         )
-        if answer.in_force:
+        if response.in_force:
             print(f"in force: configuration {config_version}", file=sys.stderr)
             return
 
-        names = ", ".join(answer.waiting) or "the new leader's first lease time"
+        names = ", ".join(response.waiting) or "the new leader's first lease period"
         if names != shown:
             print(f"waiting for {names}", file=sys.stderr)
             shown = names
 
         if client.clock() >= deadline:
-            leave(
+            exit_with(
                 ExitCode.UNAVAILABLE,
                 f"configuration {config_version} is accepted, and not yet in force "
-                f"after {MAX_WAIT:g} s",
+                f"after {MAX_WAIT_SECONDS:g} s",
             )
 
-        client.pause(POLL)
+        client.pause(POLL_SECONDS)
--- a/src/waxwingwell/commands/connection.py
+++ b/src/waxwingwell/commands/connection.py
@@ -1,9 +1,9 @@
-"""Finds the administration API by the environment.
+"""Creates the administration API's client from environment variables.
 
-``WAXWINGWELL_ADMIN`` holds its addresses with commas between them (by default the
-embedded role's), ``WAXWINGWELL_KEY`` the operator's key or ``WAXWINGWELL_KEY_FILE``
-a file with it, ``WAXWINGWELL_CA_FILE`` the certificates to trust. A key is never an
-argument, since other users of a machine can read those.
+``WAXWINGWELL_ADMIN`` holds its addresses, separated by commas (by default the embedded
+role's), ``WAXWINGWELL_KEY`` the operator's key or ``WAXWINGWELL_KEY_FILE`` the path of
+a file with it, ``WAXWINGWELL_CA_FILE`` the path of the trusted certificates. A key is
+never an argument, since other users of a machine can read those.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 from ..adapters.admin_transport import make_transport
 from ..adapters.admin_views import ConfigView
 from .exits import ExitCode
-from .exits import leave
-from .exits import unwrap_or_leave
+from .exits import exit_with
+from .exits import unwrap_or_exit
 
 
 DEFAULT_ADDRESS = "http://127.0.0.1:8081"
@@ -33,24 +33,24 @@
     addresses = tuple(part.strip() for part in text.split(",") if part.strip())
     for address in addresses:
         if not address.startswith(("http://", "https://")):
-            message = f"{ADDRESS_VARIABLE}: {address!r} is no http(s) address"
-            leave(ExitCode.BAD_INPUT, message)
+            message = f"{ADDRESS_VARIABLE}: {address!r} is not an http(s) address"
+            exit_with(ExitCode.BAD_INPUT, message)
 
     try:
         send = make_transport(os.environ.get(CA_FILE_VARIABLE, ""))
     except OSError as error:
-        leave(ExitCode.BAD_INPUT, f"{CA_FILE_VARIABLE}: {error}")
+        exit_with(ExitCode.BAD_INPUT, f"{CA_FILE_VARIABLE}: {error}")
 
     return AdminClient(addresses=addresses, key=read_key(), send=send)
 
 
 def fetch_config(client: AdminClient) -> ConfigView:
-    """Return all configuration."""
-    return unwrap_or_leave(fetch_view(client, "/config", ConfigView))
+    """Return the whole configuration."""
+    return unwrap_or_exit(fetch_view(client, "/config", ConfigView))
 
 
 def read_key() -> str:
-    """Return the operator's key."""
+    """Return the operator's key from the environment or its file."""
     key = os.environ.get(KEY_VARIABLE, "").strip()
     if key:
         return check_key(KEY_VARIABLE, key)
@@ -58,19 +58,21 @@
     path = os.environ.get(KEY_FILE_VARIABLE, "")
     if not path:
         message = f"set {KEY_VARIABLE} or {KEY_FILE_VARIABLE} to an operator's key"
-        leave(ExitCode.BAD_INPUT, message)
+        exit_with(ExitCode.BAD_INPUT, message)
 
     try:
         key = Path(path).read_text(encoding="utf-8").strip()
     except (OSError, UnicodeDecodeError) as error:
-        leave(ExitCode.BAD_INPUT, f"{KEY_FILE_VARIABLE}: {error}")
+        exit_with(ExitCode.BAD_INPUT, f"{KEY_FILE_VARIABLE}: {error}")
 
     return check_key(KEY_FILE_VARIABLE, key)
 
 
 def check_key(place: str, key: str) -> str:
-    """Return a key that a header can carry."""
+    """Return a key if a header can carry it; exit otherwise."""
     if not key or not key.isascii() or not key.isprintable():
-        leave(ExitCode.BAD_INPUT, f"{place}: a key is one line of ASCII")
+        exit_with(
+            ExitCode.BAD_INPUT, f"{place}: a key must be one line of printable ASCII"
+        )
 
     return key
--- a/src/waxwingwell/commands/demo.py
+++ b/src/waxwingwell/commands/demo.py
@@ -1,4 +1,4 @@
-"""``waxwingwell demo``: a scripted tour on an embedded system of its own."""
+"""``waxwingwell demo``: a scripted tour on a temporary embedded system."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def demo(*, log_level: str = "WARNING") -> None:
-    """Run the tour on free ports and print what happened; exit 0 if all went well."""
+    """Run the tour on free ports and print its results; exit 0 if all steps passed."""
     from twisted.internet import reactor
 
     start_logs(log_level)
@@ -50,11 +50,11 @@
         finally:
             await stop_embedded(system)
 
-    def begin() -> None:
+    def start() -> None:
         done = Deferred.fromCoroutine(run())
         done.addErrback(lambda failure: print(failure.getTraceback(), file=sys.stderr))
         done.addBoth(lambda _: reactor.stop())
 
-    reactor.callWhenRunning(begin)
+    reactor.callWhenRunning(start)
     reactor.run()
     return results
--- a/src/waxwingwell/commands/exits.py
+++ b/src/waxwingwell/commands/exits.py
@@ -1,4 +1,4 @@
-"""Exit codes of the command line, and how a command ends early."""
+"""Exit codes of the command line, and helpers that end a command early."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class ExitCode(IntEnum):
-    """What a script may rely on."""
+    """Exit codes that scripts may rely on."""
 
     OK = 0
     REFUSED = 1
@@ -35,8 +35,8 @@
     UNAVAILABLE = 4
 
 
-def leave(code: ExitCode, *lines: str) -> NoReturn:
-    """Print lines to standard error and end the command."""
+def exit_with(code: ExitCode, *lines: str) -> NoReturn:
+    """Print lines to standard error and exit."""
     for line in lines:
         print(line, file=sys.stderr)
 
@@ -48,12 +48,12 @@
     return [f"{finding.place}: {finding.message}" for finding in findings]
 
 
-def unwrap_or_leave(result: Result[ValueT, Problem], *hints: str) -> ValueT:
-    """Return a result's value; a problem ends the command with its exit code."""
+def unwrap_or_exit(result: Result[ValueT, Problem], *hints: str) -> ValueT:
+    """Return a result's value, or print its problem and exit with its code."""
     if is_successful(result):
         return result.unwrap()
 
     problem = result.failure()
     lines = [problem.message, *render_findings(problem.findings), *hints]
     refused = problem.kind is ProblemKind.REFUSED
-    leave(ExitCode.REFUSED if refused else ExitCode.UNAVAILABLE, *lines)
+    exit_with(ExitCode.REFUSED if refused else ExitCode.UNAVAILABLE, *lines)
--- a/src/waxwingwell/commands/experiment.py
+++ b/src/waxwingwell/commands/experiment.py
@@ -1,4 +1,4 @@
-"""``waxwingwell experiment``: measure the decisions against baselines."""
+"""``waxwingwell experiment``: compare the routing decisions with baselines."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
     "gateways": ("..experiments.gateways", "run_gateways"),
     "quality": ("..experiments.quality", "run_quality"),
 }
-"""Module and function of each experiment; imported only when it is run."""
+"""Module and function of each experiment, imported only when it runs."""
 
 
 class Report(Protocol):
-    """What each experiment gives."""
+    """The report of an experiment."""
 
     def render(self) -> str:
         """Return the report as text."""
@@ -41,27 +41,27 @@
     """Run an experiment and print its report.
 
     Args:
-        name: ``fleet`` (upstreams, priorities, overload) or ``quality`` (versions,
-            roll-outs).
+        name: ``fleet`` (upstreams, priorities, overload), ``gateways`` (balance of
+            many gateways over few engines) or ``quality`` (versions, roll-outs).
         profile: ``entoto`` or ``frio``.
-        seeds: how many seeded runs each figure rests on; 20 or more for a claim.
-        out: folder for the JSON report and the plots; made if it is missing.
-        plot: draw plots into ``out`` as well (needs matplotlib).
+        seeds: number of seeded runs behind each figure; use 20 or more for a claim.
+        out: folder for the JSON report and the plots; created if it is missing.
+        plot: also write plots to ``out`` (needs matplotlib).
     """
     if name not in RUNNERS:
         raise SystemExit(f"experiment: name: {name!r} is not one of {sorted(RUNNERS)}")
 
     if plot and not out:
-        raise SystemExit("experiment: plot: needs a folder, say --out=FOLDER")
+        raise SystemExit("experiment: plot: needs a folder, --out=FOLDER")
 
-    report = run_or_leave(load_runner(name), profile, seeds)
+    report = run_or_exit(load_runner(name), profile, seeds)
     print(report.render())
     if out:
         write_report(report, Path(out), f"{name}-{profile}", plot=plot)
 
 
 def load_runner(name: str) -> Callable[[str, int], Report]:
-    """Return an experiment's function."""
+    """Import and return an experiment's function."""
     module, function = RUNNERS[name]
     runner: Callable[[str, int], Report] = getattr(
         import_module(module, __package__), function
@@ -69,8 +69,8 @@
     return runner
 
 
-def run_or_leave(run: Callable[[str, int], Report], profile: str, seeds: int) -> Report:
-    """Run an experiment; a wrong argument ends the command with its reason."""
+def run_or_exit(run: Callable[[str, int], Report], profile: str, seeds: int) -> Report:
+    """Run an experiment; exit with the reason if an argument is invalid."""
     try:
         return run(profile, seeds)
     except ValueError as error:
@@ -78,7 +78,7 @@
 
 
 def write_report(report: Report, folder: Path, stem: str, *, plot: bool) -> None:
-    """Write the report as JSON, and its plots if they are wanted."""
+    """Write the report as JSON and, if ``plot`` is set, its plots."""
     folder.mkdir(parents=True, exist_ok=True)
     path = folder / f"{stem}.json"
     path.write_text(report.to_json() + "\n")
--- a/src/waxwingwell/commands/explain.py
+++ b/src/waxwingwell/commands/explain.py
@@ -1,4 +1,4 @@
-"""``waxwingwell explain``: one account of a request from several processes' logs."""
+"""``waxwingwell explain``: a request's history, joined from several logs."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from typing import Any
 
 from .exits import ExitCode
-from .exits import leave
+from .exits import exit_with
 
 
 if TYPE_CHECKING:
@@ -19,11 +19,11 @@
 
 
 STANDARD_INPUT = "-"
-KNOWN = frozenset({"at", "node", "level", "event", "request"})
-"""Fields of a line that the account shows by themselves."""
-BELIEFS = 3
-"""Changes of belief that are shown before the request, of each process it met."""
-CAUSES = {
+STANDARD_FIELDS = frozenset({"at", "node", "level", "event", "request"})
+"""Fields of every line, left out of the list of its other fields."""
+MAX_STATE_CHANGES = 3
+"""Preceding state changes shown for each process that handled the request."""
+OUTCOME_TEXTS = {
     "answered": "It was answered.",
     "passed_on_failure": "The upstream itself failed it; its answer was passed on.",
     "refused": "It did not run anywhere; the caller was told to come back.",
@@ -32,12 +32,12 @@
     "undelivered": "It was answered, and its connection ended before all had left.",
     "caller_left": "The caller went away before the answer was complete.",
 }
-"""What each outcome of a request means."""
+"""Explanation of each outcome of a request."""
 
 
 @dataclass(frozen=True, slots=True)
 class Line:
-    """One structured line of a process's log."""
+    """A structured line of a process's log."""
 
     at: float
     node: str
@@ -47,25 +47,25 @@
 
 
 @dataclass(slots=True)
-class Account:
-    """All that is known of one request."""
+class Explanation:
+    """The log lines that explain a request."""
 
     lines: list[Line] = field(default_factory=list)
-    beliefs: list[Line] = field(default_factory=list)
-    """Last changes of belief at the processes that the request met."""
+    state_changes: list[Line] = field(default_factory=list)
+    """Last state changes, before the request, of the processes that handled it."""
 
 
 def explain(request_id: str, *files: str) -> str:
-    """Join the lines about a request; files or standard input (``-`` or none)."""
-    account = find_account(request_id, read_files(files))
-    if not account.lines:
-        leave(ExitCode.REFUSED, f"no line tells of request {request_id}")
+    """Explain a request from log files or standard input (``-`` or no file)."""
+    explanation = collect_lines(request_id, read_files(files))
+    if not explanation.lines:
+        exit_with(ExitCode.REFUSED, f"no log line mentions request {request_id}")
 
-    return "\n".join(render_account(account))
+    return "\n".join(render_explanation(explanation))
 
 
 def read_files(files: Iterable[str]) -> Iterable[Line]:
-    """Yield the structured lines of files; what is no such line is passed over."""
+    """Yield the structured lines of log files; other lines are skipped."""
     for name in files or (STANDARD_INPUT,):
         if name == STANDARD_INPUT:
             yield from read_lines(sys.stdin)
@@ -75,11 +75,11 @@
             with Path(name).open(errors="replace") as stream:
                 yield from read_lines(stream)
         except OSError as error:
-            leave(ExitCode.BAD_INPUT, f"{name}: {error.strerror}")
+            exit_with(ExitCode.BAD_INPUT, f"{name}: {error.strerror}")
 
 
 def read_lines(stream: Iterable[str]) -> Iterable[Line]:
-    """Yield the structured lines of a log; other programs may put text before them."""
+    """Yield a log's structured lines, without text that other programs put before."""
     for text in stream:
         line = read_line(text[text.find("{") :]) if "{" in text else None
         if line is not None:
@@ -87,7 +87,7 @@
 
 
 def read_line(text: str) -> Line | None:
-    """Return a structured line, or None."""
+    """Return a structured line, or None if the text isn't one."""
     try:
         found = json.loads(text)
     except ValueError:
@@ -101,46 +101,46 @@
         node=str(found.get("node", "?")),
         event=str(found["event"]),
         request=str(found.get("request", "")),
-        fields={name: found[name] for name in found if name not in KNOWN},
+        fields={name: found[name] for name in found if name not in STANDARD_FIELDS},
     )
 
 
-def find_account(request_id: str, lines: Iterable[Line]) -> Account:
-    """Collect a request's lines, and what its processes last came to believe before.
+def collect_lines(request_id: str, lines: Iterable[Line]) -> Explanation:
+    """Collect a request's lines and the preceding state changes of its processes.
 
-    Clocks of processes differ, so lines of one process are only ordered against each
-    other; the account shows them process by process.
+    The processes' clocks differ, so only lines of the same process can be ordered;
+    they are grouped by process.
     """
-    account = Account()
+    explanation = Explanation()
     latest: dict[str, list[Line]] = {}
     seen: set[str] = set()
     for line in lines:
         if line.request == request_id:
-            account.lines.append(line)
+            explanation.lines.append(line)
             seen.add(line.node)
         elif not line.request and line.node not in seen:
             latest.setdefault(line.node, []).append(line)
-            del latest[line.node][:-BELIEFS]
+            del latest[line.node][:-MAX_STATE_CHANGES]
 
-    account.lines.sort(key=lambda line: (line.node, line.at))
+    explanation.lines.sort(key=lambda line: (line.node, line.at))
     for node in sorted(seen):
-        account.beliefs.extend(latest.get(node, ()))
+        explanation.state_changes.extend(latest.get(node, ()))
 
-    return account
+    return explanation
 
 
-def render_account(account: Account) -> list[str]:
-    """Return the account as text."""
-    text = ["Before it:"] if account.beliefs else []
-    text += [render_line(line) for line in account.beliefs]
+def render_explanation(explanation: Explanation) -> list[str]:
+    """Return the explanation as lines of text."""
+    text = ["Before it:"] if explanation.state_changes else []
+    text += [render_line(line) for line in explanation.state_changes]
     text.append("The request:")
-    text += [render_line(line) for line in account.lines]
-    text.append(find_cause(account))
+    text += [render_line(line) for line in explanation.lines]
+    text.append(describe_outcome(explanation))
     return text
 
 
 def render_line(line: Line) -> str:
-    """Return one line of the account."""
+    """Return one log line as text."""
     fields = " ".join(
         f"{name}={value}"
         for name, value in line.fields.items()
@@ -149,13 +149,13 @@
     return f"  {line.at:.3f} {line.node} {line.event} {fields}".rstrip()
 
 
-def find_cause(account: Account) -> str:
-    """Return what the last line of the request says of its end."""
-    ends = [line for line in account.lines if "outcome" in line.fields]
+def describe_outcome(explanation: Explanation) -> str:
+    """Return the outcome that the last line of the request reports."""
+    ends = [line for line in explanation.lines if "outcome" in line.fields]
     if not ends:
-        return "No process tells how it ended: the one that held it may have died."
+        return "No process logged how it ended: the one that handled it may have died."
 
     end = ends[-1].fields
-    cause = CAUSES.get(str(end["outcome"]), f"It ended as {end['outcome']}.")
+    cause = OUTCOME_TEXTS.get(str(end["outcome"]), f"It ended as {end['outcome']}.")
     reason = end.get("reason") or "none given"
     return f"{cause} Status {end.get('status', 0)}, reason: {reason}."
--- a/src/waxwingwell/commands/main.py
+++ b/src/waxwingwell/commands/main.py
@@ -20,7 +20,7 @@
 
 
 def main() -> None:
-    """Run the command that the arguments name."""
+    """Run the command given by the arguments."""
     commands: dict[str, object] = {
         **COMMANDS,
         "demo": demo,
--- a/src/waxwingwell/commands/members.py
+++ b/src/waxwingwell/commands/members.py
@@ -1,4 +1,4 @@
-"""``waxwingwell members``: control processes join and leave, entries are drained."""
+"""``waxwingwell members``: show, add, remove and drain the system's processes."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from ..adapters.admin_views import MembersChange
 from ..adapters.admin_views import MembersReply
 from ..adapters.admin_views import MemberView
-from .changes import MAX_WAIT
-from .changes import POLL
+from .changes import MAX_WAIT_SECONDS
+from .changes import POLL_SECONDS
 from .changes import make_change_id
 from .connection import open_client
 from .exits import ExitCode
-from .exits import leave
-from .exits import unwrap_or_leave
+from .exits import exit_with
+from .exits import unwrap_or_exit
 from .output import print_json
 from .output import print_table
 
@@ -32,11 +32,11 @@
 MAX_PORT = 65535
 
 Row = MemberView | None
-"""What is known of the process that a change is about."""
+"""The process that a change affects, or None if it isn't listed."""
 
 
 def show(json: bool = False) -> None:
-    """Show every process of the system."""
+    """Show all control processes and entries."""
     rows = fetch_members(open_client())
     if json:
         print_json(rows)
@@ -49,9 +49,9 @@
 
 
 def add(node: str, host: str, port: int, wait: bool = True) -> None:
-    """Add a control process; it votes once it has caught up."""
+    """Add a control process, which votes once it has caught up."""
     if not isinstance(port, int) or not 0 < port <= MAX_PORT:
-        leave(ExitCode.BAD_INPUT, f"port: {port!r} is no port")
+        exit_with(ExitCode.BAD_INPUT, f"port: {port!r} is not a port number")
 
     change = MembersChange("add", str(node), make_change_id(), str(host), port)
     change_members(change, lambda row: row is not None and row.role == VOTER, wait)
@@ -64,7 +64,7 @@
 
 
 def drain(node: str, wait: bool = True) -> None:
-    """Let a process finish what it has and take no new work."""
+    """Let a process finish its requests and accept no new ones."""
     change = MembersChange("drain", str(node), make_change_id())
     change_members(change, lambda row: row is None or row.state == DRAINED, wait)
 
@@ -72,9 +72,9 @@
 def change_members(
     change: MembersChange, is_done: Callable[[Row], bool], wait: bool
 ) -> None:
-    """Ask for a change and wait until it is done."""
+    """Send a change and wait until it is done."""
     client = open_client()
-    unwrap_or_leave(post_view(client, "/members", change, MembersReply))
+    unwrap_or_exit(post_view(client, "/members", change, MembersReply))
     print(f"accepted: {change.action} {change.node}")
     if wait:
         wait_done(client, change, is_done)
@@ -83,8 +83,8 @@
 def wait_done(
     client: AdminClient, change: MembersChange, is_done: Callable[[Row], bool]
 ) -> None:
-    """Wait until a change is done; progress on standard error."""
-    deadline = client.clock() + MAX_WAIT
+    """Wait until a change is done; report progress on standard error."""
+    deadline = client.clock() + MAX_WAIT_SECONDS
     shown = ""
     while True:
         rows = {row.node: row for row in fetch_members(client)}
@@ -99,14 +99,17 @@
             shown = text
 
         if client.clock() >= deadline:
-            message = f"{change.action} {change.node} is not done after {MAX_WAIT:g} s"
-            leave(ExitCode.UNAVAILABLE, message)
+            message = (
+                f"{change.action} {change.node} is not done "
+                f"after {MAX_WAIT_SECONDS:g} s"
+            )
+            exit_with(ExitCode.UNAVAILABLE, message)
 
-        client.pause(POLL)
+        client.pause(POLL_SECONDS)
 
 
 def describe_row(node: str, row: Row) -> str:
-    """Return where a process stands."""
+    """Return a process's role, state and load as text."""
     if row is None:
         return f"{node} is not known yet"
 
@@ -114,8 +117,8 @@
 
 
 def fetch_members(client: AdminClient) -> tuple[MemberView, ...]:
-    """Return every process."""
-    return unwrap_or_leave(fetch_view(client, "/members", MembersReply)).members
+    """Return all processes."""
+    return unwrap_or_exit(fetch_view(client, "/members", MembersReply)).members
 
 
 MEMBERS = {"show": show, "add": add, "remove": remove, "drain": drain}
--- a/src/waxwingwell/commands/output.py
+++ b/src/waxwingwell/commands/output.py
@@ -15,7 +15,8 @@
     from collections.abc import Sequence
 
 
-MICRO = 1_000_000
+MICRO_UNITS = 1_000_000
+"""Micro-units of a unit of currency."""
 
 
 def print_json(body: object) -> None:
@@ -24,13 +25,13 @@
 
 
 def print_table(headers: Sequence[str], rows: Iterable[Sequence[object]]) -> None:
-    """Print a table; without rows it has its headers only."""
-    cells = [[show_cell(value) for value in row] for row in rows]
+    """Print a table; without rows it consists of its headers."""
+    cells = [[format_cell(value) for value in row] for row in rows]
     print(tabulate(cells, headers=headers, disable_numparse=True))
 
 
-def show_cell(value: object) -> str:
-    """Return a value as a table shows it."""
+def format_cell(value: object) -> str:
+    """Return a value as text for a table cell."""
     if isinstance(value, bool):
         return "yes" if value else "no"
 
@@ -43,14 +44,14 @@
     return str(value)
 
 
-def show_time(at: float) -> str:
-    """Return seconds since the epoch as a date and time in UTC."""
+def format_time(at: float) -> str:
+    """Return seconds since the epoch as date and time in UTC, or nothing for none."""
     if at <= 0:
         return ""
 
     return datetime.fromtimestamp(at, UTC).strftime("%Y-%m-%d %H:%M:%S")
 
 
-def show_money(micro_units: int) -> str:
-    """Return micro-units as units of the currency."""
-    return f"{micro_units / MICRO:.6f}"
+def format_money(micro_units: int) -> str:
+    """Return micro-units of the currency as a decimal number of units."""
+    return f"{micro_units / MICRO_UNITS:.6f}"
--- a/src/waxwingwell/commands/recover.py
+++ b/src/waxwingwell/commands/recover.py
@@ -1,6 +1,6 @@
-"""``waxwingwell recover``: work on the data folder of a stopped control process.
+"""``waxwingwell recover``: inspect or repair a stopped control process's data.
 
-See docs/operations/lost-disk.md for when to use it.
+docs/operations/lost-disk.md says when to use it.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from ..state.recovery import keep_alone
 from ..state.storage import open_store
 from .exits import ExitCode
-from .exits import leave
+from .exits import exit_with
 from .output import print_table
 
 
@@ -30,48 +30,50 @@
 
 
 def show(folder: str, group: str = GROUP_ID) -> None:
-    """Show what the disk of a stopped control process holds."""
-    print_held(work_on(folder, group, describe_store))
+    """Show the last log position and the voters stored by a stopped control process."""
+    print_store(use_store(folder, group, describe_store))
 
 
-def go_on_alone(folder: str, sure: bool = False, group: str = GROUP_ID) -> None:
-    """Make a stopped control process the only voter; ``--sure`` is needed.
+def continue_alone(folder: str, sure: bool = False, group: str = GROUP_ID) -> None:
+    """Make a stopped control process the only voter; requires ``--sure``.
 
-    The other voters' data folders must be emptied before they start again.
+    The other voters' data folders must be emptied before they are restarted.
     """
     if not sure:
-        leave(
+        exit_with(
             ExitCode.BAD_INPUT,
-            "sure: two groups would bill and promise apart if the other voters still "
-            "have their disks; read docs/operations/lost-disk.md, then pass --sure",
+            "sure: if the other voters still have their disks, two separate groups "
+            "would commit and bill; read docs/operations/lost-disk.md, then use --sure",
         )
 
-    print_held(work_on(folder, group, keep_alone))
+    print_store(use_store(folder, group, keep_alone))
 
 
-def work_on(folder: str, group: str, work: Callable[[Store], Held]) -> Held:
-    """Open a store for one piece of work; leave with its error if it fails."""
+def use_store(folder: str, group: str, operation: Callable[[Store], Held]) -> Held:
+    """Run an operation on a store; exit with the error if one occurs."""
     path = Path(folder)
     if not (path / f"{group}.sqlite").exists():
-        leave(ExitCode.BAD_INPUT, f"folder: {path} holds no group {group!r}")
+        exit_with(ExitCode.BAD_INPUT, f"folder: {path} holds no group {group!r}")
 
     try:
         store = open_store(path, group)
     except StateError as error:
-        leave(ExitCode.REFUSED, str(error))
+        exit_with(ExitCode.REFUSED, str(error))
 
     try:
-        return work(store)
+        return operation(store)
     except StateError as error:
-        leave(ExitCode.REFUSED, str(error))
+        exit_with(ExitCode.REFUSED, str(error))
     finally:
         store.close()
 
 
-def print_held(held: Held) -> None:
-    """Print what a disk holds."""
-    voters = tuple(name_of(voter) for voter in held.voters)
-    print_table(HEADERS, [(held.member, held.last_term, held.last_index, voters)])
+def print_store(summary: Held) -> None:
+    """Print a store's last log position and its voters."""
+    voters = tuple(name_of(voter) for voter in summary.voters)
+    print_table(
+        HEADERS, [(summary.member, summary.last_term, summary.last_index, voters)]
+    )
 
 
-COMMANDS = {"show": show, "go-on-alone": go_on_alone}
+COMMANDS = {"show": show, "go-on-alone": continue_alone}
--- a/src/waxwingwell/commands/review.py
+++ b/src/waxwingwell/commands/review.py
@@ -1,4 +1,4 @@
-"""``waxwingwell review``: what became of all requests, from several processes' logs."""
+"""``waxwingwell review``: outcomes of all requests, from several processes' logs."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 import msgspec
 
 from .exits import ExitCode
-from .exits import leave
+from .exits import exit_with
 from .output import print_table
 
 
@@ -23,12 +23,12 @@
 
 STANDARD_INPUT = "-"
 WINDOW_SECONDS = 2.0
-MOST_REASONS = 15
-"""Rows of the tables of reasons."""
-NAMED_LINES = 3
-"""Unreadable lines that are named by their place."""
-UNPLACED = "(none)"
-"""Route of requests that were refused before a route was found."""
+MAX_REASONS = 15
+"""Maximum rows of the tables of reasons."""
+MAX_UNREADABLE_PLACES = 3
+"""Maximum unreadable lines that are listed with file and number."""
+NO_ROUTE = "(none)"
+"""Route of requests that were refused before their route was determined."""
 OUTCOMES = (
     "answered",
     "passed_on_failure",
@@ -42,12 +42,12 @@
 
 
 class LogLine(msgspec.Struct, frozen=True):
-    """The fields of a structured line that a review reads."""
+    """The fields of a structured log line that the review uses."""
 
     at: float
     event: str
     request: str = ""
-    route: str = UNPLACED
+    route: str = NO_ROUTE
     outcome: str = ""
     reason: str = ""
     fate: str = ""
@@ -59,77 +59,79 @@
 
 @dataclass(slots=True)
 class Tally:
-    """What became of some requests."""
+    """Outcomes and delays of a set of requests."""
 
     outcomes: Counter[str] = field(default_factory=Counter)
-    firsts: list[int] = field(default_factory=list)
-    """Milliseconds to the first event, of those that had one."""
-    pauses: list[int] = field(default_factory=list)
-    """Longest pauses between two events, in milliseconds."""
-    tries: int = 0
+    first_event_delays: list[int] = field(default_factory=list)
+    """Milliseconds to the first event, of requests that received one."""
+    longest_pauses: list[int] = field(default_factory=list)
+    """Each request's longest pause between two events, in milliseconds."""
+    sends: int = 0
 
 
 @dataclass(slots=True)
 class Review:
-    """What the lines tell."""
+    """Totals over the log lines that were read."""
 
     window: float
     routes: dict[str, Tally] = field(default_factory=dict)
     windows: dict[int, Tally] = field(default_factory=dict)
-    """By number of the window since the epoch."""
+    """Tallies by number of the window since the epoch."""
     reasons: Counter[str] = field(default_factory=Counter)
-    """Requests that were not answered, by route, outcome and reason."""
+    """Number of unanswered requests by route, outcome and reason."""
     attempts: Counter[str] = field(default_factory=Counter)
-    """Sends that failed, by fate and reason."""
-    broken_after: Counter[str] = field(default_factory=Counter)
-    """Streams that were cut, by route and how many events had come."""
-    larger: int = 0
+    """Number of failed attempts by outcome and reason."""
+    cut_streams: Counter[str] = field(default_factory=Counter)
+    """Number of cut streams by route and number of events received."""
+    larger_model: int = 0
+    """Responses that were discarded in favour of a larger model's."""
     lines: int = 0
-    unreadable: list[str] = field(default_factory=list)
-    """Places of lines that could not be read."""
-    unread: int = 0
+    unreadable_places: list[str] = field(default_factory=list)
+    """File and number of the first lines that could not be read."""
+    unreadable_count: int = 0
+    """Number of lines that could not be read."""
 
 
 def review(*files: str, window: float = WINDOW_SECONDS, plot: str = "") -> None:
-    """Tell what became of requests by route and by time, and why.
+    """Show the outcomes of requests by route and by time, and the reasons of failures.
 
     Args:
-        files: logs of any processes; ``-`` or none: standard input.
-        window: seconds that a row of the table by time covers.
-        plot: file for a drawing of the outcomes by time (needs matplotlib).
+        files: logs of any processes; ``-`` or none for standard input.
+        window: seconds covered by one row of the table by time.
+        plot: file for a plot of the outcomes over time (needs matplotlib).
     """
     if window <= 0:
-        leave(ExitCode.BAD_INPUT, f"review: window: {window} is not above 0")
+        exit_with(ExitCode.BAD_INPUT, f"review: window: {window} is not above 0")
 
-    found = Review(window)
+    result = Review(window)
     for name in files or (STANDARD_INPUT,):
-        read_log(found, name)
+        read_log(result, name)
 
-    if not found.lines:
-        leave(ExitCode.REFUSED, "no structured line in what was read")
+    if not result.lines:
+        exit_with(ExitCode.REFUSED, "no structured line in what was read")
 
-    show_review(found)
+    show_review(result)
     if plot:
         from .review_plot import plot_windows
 
-        print(f"written: {plot_windows(found, Path(plot))}")
+        print(f"written: {plot_windows(result, Path(plot))}")
 
 
-def read_log(found: Review, name: str) -> None:
-    """Take in one log; a file that can't be opened ends the command."""
+def read_log(result: Review, name: str) -> None:
+    """Count the lines of one log; a file that can't be opened ends the command."""
     if name == STANDARD_INPUT:
-        take_lines(found, name, sys.stdin)
+        count_lines(result, name, sys.stdin)
         return
 
     try:
         with Path(name).open(errors="replace") as stream:
-            take_lines(found, name, stream)
+            count_lines(result, name, stream)
     except OSError as error:
-        leave(ExitCode.BAD_INPUT, f"{name}: {error.strerror}")
+        exit_with(ExitCode.BAD_INPUT, f"{name}: {error.strerror}")
 
 
-def take_lines(found: Review, name: str, stream: Iterable[str]) -> None:
-    """Take in the structured lines of a log, whatever stands before them."""
+def count_lines(result: Review, name: str, stream: Iterable[str]) -> None:
+    """Count a log's structured lines, skipping any text before each."""
     decode = msgspec.json.Decoder(LogLine).decode
     for number, text in enumerate(stream, 1):
         start = text.find("{")
@@ -139,94 +141,97 @@
         try:
             line = decode(text[max(start, 0) :])
         except (msgspec.DecodeError, UnicodeEncodeError):
-            found.unread += 1
-            if len(found.unreadable) < NAMED_LINES:
-                found.unreadable.append(f"{name}:{number}")
+            result.unreadable_count += 1
+            if len(result.unreadable_places) < MAX_UNREADABLE_PLACES:
+                result.unreadable_places.append(f"{name}:{number}")
 
             continue
 
-        found.lines += 1
-        take_line(found, line)
+        result.lines += 1
+        count_line(result, line)
 
 
-def take_line(found: Review, line: LogLine) -> None:
-    """Count one line."""
+def count_line(result: Review, line: LogLine) -> None:
+    """Count one line according to its event."""
     if line.event == "gateway: Request ended":
-        take_end(found, line)
+        count_request(result, line)
     elif line.event == "gateway: Attempt ended":
-        found.attempts[f"{line.fate} {generalise(line.reason)}"] += 1
+        result.attempts[f"{line.fate} {mask_numbers(line.reason)}"] += 1
     elif line.event == "gateway: Larger model":
-        found.larger += 1
+        result.larger_model += 1
 
 
-def take_end(found: Review, line: LogLine) -> None:
-    """Count a request."""
-    number = int(line.at // found.window)
+def count_request(result: Review, line: LogLine) -> None:
+    """Count a finished request."""
+    number = int(line.at // result.window)
     for tally in (
-        found.routes.setdefault(line.route, Tally()),
-        found.windows.setdefault(number, Tally()),
+        result.routes.setdefault(line.route, Tally()),
+        result.windows.setdefault(number, Tally()),
     ):
         tally.outcomes[line.outcome] += 1
-        tally.tries += line.attempts
+        tally.sends += line.attempts
         if line.first_ms is not None:
-            tally.firsts.append(line.first_ms)
-            tally.pauses.append(line.pause_ms)
+            tally.first_event_delays.append(line.first_ms)
+            tally.longest_pauses.append(line.pause_ms)
 
     if line.outcome != "answered":
-        reason = generalise(line.reason)
-        found.reasons[f"{line.route} {line.outcome} {reason}"] += 1
+        reason = mask_numbers(line.reason)
+        result.reasons[f"{line.route} {line.outcome} {reason}"] += 1
 
     if line.outcome == "cut":
-        found.broken_after[f"{line.route} after {line.events} events"] += 1
+        result.cut_streams[f"{line.route} after {line.events} events"] += 1
 
 
-def generalise(reason: str) -> str:
-    """Return a reason without its figures, so that like ones count together."""
+def mask_numbers(reason: str) -> str:
+    """Return a reason with its numbers masked, so that similar reasons are grouped."""
     return NUMBER.sub("#", reason)
 
 
-def show_review(found: Review) -> None:
-    """Print the tables."""
+def show_review(result: Review) -> None:
+    """Print the review's tables."""
     headers = ["requests", *OUTCOMES, "sends", "first p50", "p95", "pause p95", "max"]
     print("By route (ms):")
-    routes = sorted(found.routes.items(), key=lambda item: -total(item[1]))
-    print_table(["route", *headers], [[name, *describe(one)] for name, one in routes])
+    routes = sorted(result.routes.items(), key=lambda item: -total(item[1]))
+    print_table(["route", *headers], [[name, *make_cells(one)] for name, one in routes])
     print("\nBy time (s since the first, ms):")
-    first = min(found.windows, default=0)
+    first = min(result.windows, default=0)
     rows = [
-        [f"{(number - first) * found.window:g}", *describe(tally)]
-        for number, tally in sorted(found.windows.items())
+        [f"{(number - first) * result.window:g}", *make_cells(tally)]
+        for number, tally in sorted(result.windows.items())
     ]
     print_table(["from", *headers], rows)
-    show_counts("Not answered", found.reasons)
-    show_counts("Sends that failed", found.attempts)
-    show_counts("Streams cut", found.broken_after)
-    print(f"\nAnswers dropped for a larger model's: {found.larger}")
-    if found.unread:
-        places = ", ".join(found.unreadable)
-        print(f"Lines that could not be read: {found.unread}, the first: {places}")
+    show_counts("Not answered", result.reasons)
+    show_counts("Sends that failed", result.attempts)
+    show_counts("Streams cut", result.cut_streams)
+    print(f"\nAnswers dropped for a larger model's: {result.larger_model}")
+    if result.unreadable_count:
+        places = ", ".join(result.unreadable_places)
+        print(
+            f"Lines that could not be read: {result.unreadable_count}, "
+            f"the first: {places}"
+        )
 
 
 def total(tally: Tally) -> int:
-    """Return how many requests a tally counts."""
+    """Return the number of requests of a tally."""
     return tally.outcomes.total()
 
 
-def describe(tally: Tally) -> list[object]:
-    """Return the cells of one row."""
+def make_cells(tally: Tally) -> list[object]:
+    """Return a tally's cells of a table row."""
     return [
         total(tally),
         *(tally.outcomes[name] for name in OUTCOMES),
-        tally.tries,
-        find_quantile(tally.firsts, 0.5),
-        find_quantile(tally.firsts, 0.95),
-        find_quantile(tally.pauses, 0.95),
-        max(tally.pauses, default=""),
+        tally.sends,
+        find_quantile(tally.first_event_delays, 0.5),
+        find_quantile(tally.first_event_delays, 0.95),
+        find_quantile(tally.longest_pauses, 0.95),
+        max(tally.longest_pauses, default=""),
     ]
 
 
 def find_quantile(values: list[int], share: float) -> object:
-    """Return a quantile of values, or nothing where there are none."""
+    """Return a quantile of values, or an empty cell without any."""
     if not values:
         return ""
 
@@ -239,5 +244,5 @@
         return
 
     print(f"\n{title}:")
-    for name, count in counts.most_common(MOST_REASONS):
+    for name, count in counts.most_common(MAX_REASONS):
         print(f"  {count:6d}  {name}")
--- a/src/waxwingwell/commands/rollout.py
+++ b/src/waxwingwell/commands/rollout.py
@@ -1,4 +1,4 @@
-"""``waxwingwell rollout``: versions come and go; and ``register`` for new ones."""
+"""``waxwingwell rollout`` and ``register``: change the versions of models."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 from ..state.catalogue import name_rollout
 from ..state.catalogue import name_version
 from .changes import OPERATOR
-from .changes import make_change
 from .changes import make_change_id
+from .changes import submit_change
 from .connection import fetch_config
 from .connection import open_client
 from .exits import ExitCode
-from .exits import leave
-from .exits import unwrap_or_leave
+from .exits import exit_with
+from .exits import unwrap_or_exit
+from .output import format_time
 from .output import print_json
 from .output import print_table
-from .output import show_time
 
 
 if TYPE_CHECKING:
@@ -38,7 +38,7 @@
 
 
 def show(json: bool = False) -> None:
-    """Show where each model's roll-out stands."""
+    """Show the progress of each model's roll-out."""
     view = fetch_config(open_client())
     if json:
         print_json(view.rollouts)
@@ -53,7 +53,7 @@
                 row.incumbent,
                 row.status,
                 f"{row.pace.stages[row.stage]:.0%}",
-                show_time(row.stage_at),
+                format_time(row.stage_at),
                 row.reason,
             )
             for row in view.rollouts
@@ -70,9 +70,9 @@
     wait: bool = True,
     change_id: str = "",
 ) -> None:
-    """Begin to move a model's new sessions from one version to another."""
+    """Start to move a model's new sessions from one version to another."""
     if pace not in tuple(Pace):
-        leave(ExitCode.BAD_INPUT, f"pace: {pace!r} is none of {', '.join(Pace)}")
+        exit_with(ExitCode.BAD_INPUT, f"pace: {pace!r} is not one of {', '.join(Pace)}")
 
     client = open_client()
     change = StartRollout(
@@ -85,23 +85,23 @@
         incumbent=VersionId(str(incumbent)),
         pace=PACES[Pace(pace)],
     )
-    make_change(client, change, wait=wait)
+    submit_change(client, change, wait=wait)
 
 
 def pause(model: str, reason: str = "", revision: int = -1, wait: bool = True) -> None:
-    """Keep a roll-out at its stage until it is resumed."""
+    """Hold a roll-out at its stage until it is resumed."""
     step(model, RolloutStatus.PAUSED, reason, revision, wait)
 
 
 def resume(model: str, reason: str = "", revision: int = -1, wait: bool = True) -> None:
-    """Let a paused roll-out go on from its stage."""
+    """Let a paused roll-out continue from its stage."""
     step(model, RolloutStatus.RUNNING, reason, revision, wait)
 
 
 def step(
     model: str, status: RolloutStatus, reason: str, revision: int, wait: bool
 ) -> None:
-    """Change a roll-out's status at its present stage."""
+    """Change a roll-out's status at its current stage."""
     client = open_client()
     view = fetch_config(client)
     change = StepRollout(
@@ -114,7 +114,7 @@
         status=status.value,
         reason=str(reason),
     )
-    make_change(client, change, wait=wait)
+    submit_change(client, change, wait=wait)
 
 
 def withdraw(
@@ -124,7 +124,7 @@
     wait: bool = True,
     change_id: str = "",
 ) -> None:
-    """Withdraw a version at once, or with ``--graceful`` let its sessions end."""
+    """Withdraw a version at once; ``--graceful`` lets its sessions end first."""
     client = open_client()
     change = WithdrawVersion(
         change_id=make_change_id(str(change_id)),
@@ -134,7 +134,7 @@
         version=VersionId(str(version)),
         graceful=graceful,
     )
-    make_change(client, change, wait=wait)
+    submit_change(client, change, wait=wait)
 
 
 def register(
@@ -148,7 +148,7 @@
 ) -> None:
     """Register a version (``model@version``) or correct its prices and prior.
 
-    Prices are micro-units for one token.
+    Prices are in micro-units of the currency per token.
     """
     client = open_client()
     view = fetch_config(client)
@@ -163,7 +163,7 @@
             quality_prior=float(quality_prior),
         )
     except ValueError as error:
-        leave(ExitCode.BAD_INPUT, f"a price or prior is no number: {error}")
+        exit_with(ExitCode.BAD_INPUT, f"a price or the prior is not a number: {error}")
 
     if before:
         spec = replace(spec, status=before[0])
@@ -175,15 +175,15 @@
         at=time.time(),
         spec=spec,
     )
-    make_change(client, change, wait=wait)
+    submit_change(client, change, wait=wait)
 
 
 def choose_revision(client: AdminClient, subject: str, given: int) -> int:
-    """Return the revision that a change is made on: as given, or as just read."""
+    """Return the revision that a change expects: the given or the current one."""
     if given >= 0:
         return int(given)
 
-    revisions = unwrap_or_leave(fetch_view(client, "/revisions", dict[str, int]))
+    revisions = unwrap_or_exit(fetch_view(client, "/revisions", dict[str, int]))
     return revisions.get(subject, 0)
 
 
@@ -193,7 +193,7 @@
         if row.model == model:
             return row
 
-    leave(ExitCode.REFUSED, f"there is no roll-out of {model!r}")
+    exit_with(ExitCode.REFUSED, f"there is no roll-out of {model!r}")
     return None
 
 
--- a/src/waxwingwell/commands/serve.py
+++ b/src/waxwingwell/commands/serve.py
@@ -1,4 +1,4 @@
-"""``waxwingwell serve``: run one of the roles until it is told to stop."""
+"""``waxwingwell serve``: run one of the roles until a signal stops it."""
 
 from __future__ import annotations
 
@@ -38,6 +38,7 @@
 
 
 COLLECTOR_THRESHOLDS = (10_000, 50, 100)
+"""Allocations and collections after which each generation is collected."""
 EXIT_FAULT = 1
 EXIT_BAD_INPUT = 2
 AnySettings = EntrySettings | ControlSettings | EmbeddedSettings
@@ -45,15 +46,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Running:
-    """A started role and how to stop it."""
+    """A started role and the function that stops it."""
 
     stop: Callable[[], Awaitable[None]]
 
 
 def serve(role: str = "embedded", *, settings: str = "") -> None:
-    """Serve as ``entry``, ``control`` or ``embedded`` with the settings file given.
+    """Serve as ``entry``, ``control`` or ``embedded`` with the given settings file.
 
-    The embedded role needs no settings. Ctrl-C or SIGTERM stops gracefully.
+    The embedded role needs no settings file. Ctrl-C or SIGTERM stops gracefully.
     """
     checked = load_settings(role, settings)
     telemetry: Telemetry = checked.telemetry
@@ -64,25 +65,25 @@
 
 
 def load_settings(role: str, path: str) -> AnySettings:
-    """Return the checked settings, or end the process with every finding."""
+    """Return the validated settings, or print all findings and exit."""
     if not path:
         if role == "embedded":
             return EmbeddedSettings()
 
-        _refuse(f"serve {role}: --settings FILE is needed")
+        _exit_bad_input(f"serve {role}: --settings FILE is needed")
 
     try:
         data = Path(path).read_bytes()
     except OSError as error:
-        _refuse(f"{path}: {error.strerror}")
+        _exit_bad_input(f"{path}: {error.strerror}")
 
     result = read_settings(data)
     if isinstance(result, Failure):
-        _refuse(f"{path}:\n{render_findings(result.failure())}")
+        _exit_bad_input(f"{path}:\n{render_findings(result.failure())}")
 
     settings = result.unwrap()
     if settings.role != role:
-        _refuse(f"{path}: role: {settings.role!r}, but asked to serve {role!r}")
+        _exit_bad_input(f"{path}: role: {settings.role!r}, but asked to serve {role!r}")
 
     return settings
 
@@ -94,19 +95,19 @@
     stopping: list[bool] = []
 
     def stop() -> None:
-        # A second signal while draining changes nothing: requests still end.
+        # A second signal is ignored, so that requests in progress can finish.
         if stopping:
             return
 
         stopping.append(True)
         if running:
-            end()
+            finish()
 
-    def end() -> None:
+    def finish() -> None:
         done = ensureDeferred(_stop_all(running))
-        done.addErrback(report).addBoth(lambda _: _stop_reactor(reactor))
+        done.addErrback(report_fault).addBoth(lambda _: _stop_reactor(reactor))
 
-    def report(failure: Any) -> None:
+    def report_fault(failure: Any) -> None:
         code[0] = EXIT_FAULT
         stopping.append(True)
         if failure.check(SettingsError):
@@ -115,15 +116,15 @@
 
         logger.error("serve: {}.", failure.getTraceback())
 
-    def begin() -> None:
+    def start() -> None:
         started = Deferred.fromCoroutine(_start(settings, reactor, stop))
-        started.addCallbacks(running.append, report)
-        # Told to stop meanwhile: the ports are open, and callers may wait in them.
-        started.addCallback(lambda _: end() if stopping else None)
+        started.addCallbacks(running.append, report_fault)
+        # Stopped while starting: the ports are open, and callers may be waiting.
+        started.addCallback(lambda _: finish() if stopping else None)
 
-    _catch_signals(reactor, stop, settings)
-    _calm_collector()
-    reactor.callWhenRunning(begin)
+    _install_signal_handlers(reactor, stop, settings)
+    _tune_collector()
+    reactor.callWhenRunning(start)
     reactor.run(installSignalHandlers=False)
     ignore_signals()
     return code[0]
@@ -140,7 +141,7 @@
         entry = start_entry(settings, reactor, stop=stop)
         return Running(stop=lambda: stop_entry(entry))
 
-    # The stand-ins are loaded for this role only.
+    # Only this role imports the stand-ins.
     from ..embedded.system import start_embedded
     from ..embedded.system import stop_embedded
 
@@ -153,36 +154,37 @@
         await item.stop()
 
 
-def _calm_collector() -> None:
-    """Keep the garbage collector from looking through long-lived tables often.
+def _tune_collector() -> None:
+    """Reduce how often the garbage collector scans long-lived tables.
 
-    A full collection took 0.16 s at 100,000 ledger rows, which shows as a pause of
-    every stream and eats into the leader's lease. What is loaded at the start never
-    becomes garbage; what requests leave behind is young.
+    A full collection took 0.16 s at 100,000 ledger rows, which pauses every stream and
+    uses up part of the leader's lease. Objects loaded at the start never become
+    garbage, and those that requests leave behind are young.
     """
     gc.collect()
     gc.freeze()
     gc.set_threshold(*COLLECTOR_THRESHOLDS)
 
 
-def _catch_signals(
+def _install_signal_handlers(
     reactor: Any, stop: Callable[[], None], settings: AnySettings
 ) -> None:
-    """Stop at SIGINT and SIGTERM; SIGHUP ends only what belongs to a terminal."""
+    """Stop on SIGINT and SIGTERM; SIGHUP stops only the embedded role."""
 
     def handle(number: int, frame: object) -> None:
         reactor.callFromThread(stop)
 
-    def note_change(number: int, frame: object) -> None:
+    def warn_unapplied(number: int, frame: object) -> None:
         reactor.callFromThread(
-            logger.warning, "serve: Settings are read at the start; restart to change."
+            logger.warning,
+            "serve: Settings are read only at the start; restart to apply changes.",
         )
 
     for number in STOP_SIGNALS:
         signal.signal(number, handle)
 
     embedded = isinstance(settings, EmbeddedSettings)
-    signal.signal(RELOAD_SIGNAL, handle if embedded else note_change)
+    signal.signal(RELOAD_SIGNAL, handle if embedded else warn_unapplied)
 
 
 def _stop_reactor(reactor: Any) -> None:
@@ -190,6 +192,6 @@
         reactor.stop()
 
 
-def _refuse(text: str) -> None:
+def _exit_bad_input(text: str) -> None:
     print(text, file=sys.stderr)
     sys.exit(EXIT_BAD_INPUT)
--- a/src/waxwingwell/commands/views.py
+++ b/src/waxwingwell/commands/views.py
@@ -1,4 +1,4 @@
-"""Commands that show the system: status, upstreams, versions, sessions, bills."""
+"""Commands that show status, upstreams, versions, sessions, bills and the audit."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from ..adapters.control.status import StatusReply
 from ..state.bills import Bill
 from .connection import open_client
-from .exits import unwrap_or_leave
+from .exits import unwrap_or_exit
+from .output import format_money
+from .output import format_time
 from .output import print_json
 from .output import print_table
-from .output import show_money
-from .output import show_time
 
 
 if TYPE_CHECKING:
@@ -29,12 +29,12 @@
 
 
 def fetch(path: str, kind: type[ViewT]) -> ViewT:
-    """Return a view; a problem ends the command."""
-    return unwrap_or_leave(fetch_view(open_client(), path, kind))
+    """Return a view of the administration API; a problem ends the command."""
+    return unwrap_or_exit(fetch_view(open_client(), path, kind))
 
 
 def status(json: bool = False) -> None:
-    """Show the control group and every entry's configuration and lease."""
+    """Show the control group's state and every entry's configuration and lease."""
     view = fetch("/status", StatusReply)
     if json:
         print_json(view)
@@ -58,7 +58,7 @@
 
 
 def list_alarms(view: StatusReply) -> Iterable[str]:
-    """Return what somebody on call must see first."""
+    """Yield the problems that need an operator's attention."""
     if view.halted:
         yield f"HALTED: {view.halted}"
 
@@ -74,7 +74,7 @@
 
 
 def upstreams(json: bool = False) -> None:
-    """Show every upstream that has announced itself."""
+    """Show all upstreams that have announced themselves."""
     rows = fetch("/upstreams", tuple[UpstreamView, ...])
     if json:
         print_json(rows)
@@ -98,7 +98,7 @@
 
 
 def describe_upstream(row: UpstreamView) -> str:
-    """Return whether an upstream gets new work."""
+    """Return an upstream's state; only ``serving`` ones receive new requests."""
     if row.leaving:
         return "leaving"
 
@@ -109,7 +109,7 @@
 
 
 def versions(json: bool = False) -> None:
-    """Show every registered version, its prices and its standing."""
+    """Show all registered versions with status, prices and allowed workspaces."""
     view = fetch("/config", ConfigView)
     if json:
         print_json(view.versions)
@@ -137,7 +137,7 @@
 
 
 def sessions(workspace: str = "", json: bool = False) -> None:
-    """Show sessions and the version that each keeps."""
+    """Show sessions and the version that each is pinned to."""
     path = f"/sessions?workspace={quote(str(workspace))}"
     rows = fetch(path, tuple[SessionView, ...])
     if json:
@@ -146,12 +146,15 @@
 
     print_table(
         ("workspace", "session", "version", "since (UTC)"),
-        [(row.workspace, row.session, row.version, show_time(row.at)) for row in rows],
+        [
+            (row.workspace, row.session, row.version, format_time(row.at))
+            for row in rows
+        ],
     )
 
 
 def bills(workspace: str = "", json: bool = False) -> None:
-    """Show what each workspace owes for each version."""
+    """Show the cost of each workspace by version."""
     rows = [
         row
         for row in fetch("/bills", tuple[Bill, ...])
@@ -183,7 +186,7 @@
                 row.unknown,
                 row.prompt_tokens,
                 row.answer_tokens,
-                show_money(row.cost),
+                format_money(row.cost),
             )
             for row in rows
         ],
@@ -191,7 +194,7 @@
 
 
 def audit(json: bool = False) -> None:
-    """Show the changes that operators asked for, and what became of them."""
+    """Show operators' changes and their outcomes."""
     rows = fetch("/audit", tuple[AuditView, ...])
     if json:
         print_json(rows)
@@ -201,7 +204,7 @@
         ("at (UTC)", "operator", "subject", "outcome", "revision", "change id"),
         [
             (
-                show_time(row.at),
+                format_time(row.at),
                 row.operator,
                 row.subject,
                 row.outcome,
--- a/tests/commands/fake_admin.py
+++ b/tests/commands/fake_admin.py
@@ -43,10 +43,10 @@
     table: ConfigTable = field(default_factory=ConfigTable)
     views: dict[str, object] = field(default_factory=dict)
     """Fixed answers by path."""
-    lose_answers: int = 0
+    lost_responses: int = 0
     """Take the next changes in, and lose the answer."""
     down: bool = False
-    behind: int = 0
+    polls_until_in_force: int = 0
     """Questions until a change is in force."""
     requests: list[WireRequest] = field(default_factory=list)
     now: float = 0.0
@@ -62,20 +62,20 @@
 
         path = request.url.partition("/admin/v1")[2]
         if path == "/commands":
-            return self.take_change(request.body or b"")
+            return self.handle_change(request.body or b"")
 
         if path in self.views:
             return reply(self.views[path])
 
         return self.show(path)
 
-    def take_change(self, body: bytes) -> WireReply | Unreachable:
+    def handle_change(self, body: bytes) -> WireReply | Unreachable:
         """Put a change through the table."""
         change = msgspec.json.decode(body, type=Command)
         assert isinstance(change, ConfigChange)
         outcome = apply_change(self.table, change)
-        if self.lose_answers > 0:
-            self.lose_answers -= 1
+        if self.lost_responses > 0:
+            self.lost_responses -= 1
             return Unreachable("connection lost")
 
         if isinstance(outcome, Accepted):
@@ -99,9 +99,11 @@
             return reply(self.table.revisions)
 
         if path.startswith("/in-force"):
-            self.behind -= 1
-            waiting = (EntryId("entry-2"),) if self.behind >= 0 else ()
-            return reply(InForce(in_force=self.behind < 0, waiting=waiting))
+            self.polls_until_in_force -= 1
+            waiting = (EntryId("entry-2"),) if self.polls_until_in_force >= 0 else ()
+            return reply(
+                InForce(in_force=self.polls_until_in_force < 0, waiting=waiting)
+            )
 
         name = WorkspaceId(path.removeprefix("/answers/"))
         answers = self.table.answers.get(name)
@@ -149,7 +151,7 @@
         stack.enter_context(contextlib.redirect_stderr(err))
         try:
             fire.Fire(COMMANDS, command=list(words), name="waxwingwell")
-        except SystemExit as leaving:
-            code = int(leaving.code or 0)
+        except SystemExit as exited:
+            code = int(exited.code or 0)
 
     return code, out.getvalue(), err.getvalue()
--- a/tests/commands/test_answers.py
+++ b/tests/commands/test_answers.py
@@ -57,7 +57,7 @@
         self.assertEqual(run(self.admin, "answers", "check", file)[0], 4)
 
     def test_apply_waits_until_in_force(self) -> None:
-        self.admin.behind = 2
+        self.admin.polls_until_in_force = 2
         code, out, err = run(
             self.admin, "answers", "apply", self.write("a.json"), "--yes"
         )
@@ -70,7 +70,7 @@
         self.assertEqual(shown["revises"], 1)
 
     def test_apply_that_stays_behind(self) -> None:
-        self.admin.behind = 100_000
+        self.admin.polls_until_in_force = 100_000
         code, _, err = run(
             self.admin, "answers", "apply", self.write("a.json"), "--yes"
         )
@@ -90,7 +90,7 @@
         The operator sees one accepted revision: the client sends the change again
         under its change id, and the first outcome comes back.
         """
-        self.admin.lose_answers = 1
+        self.admin.lost_responses = 1
         code, out, _ = run(
             self.admin, "answers", "apply", self.write("a.json"), "--yes"
         )
--- a/tests/commands/test_explain.py
+++ b/tests/commands/test_explain.py
@@ -38,9 +38,9 @@
         ):
             with self.subTest(outcome), tempfile.TemporaryDirectory() as folder:
                 path = write_log(folder, "e1.log", end(outcome=outcome, reason=reason))
-                account = explain("q1", path)
-                self.assertIn(expected, account)
-                self.assertIn(f"reason: {reason}", account)
+                explanation = explain("q1", path)
+                self.assertIn(expected, explanation)
+                self.assertIn(f"reason: {reason}", explanation)
 
     def test_an_answer_that_did_not_leave_is_told(self) -> None:
         """A caller with half an answer.
@@ -56,10 +56,10 @@
                 end(outcome="answered", status=200),
                 {**cut, "outcome": "undelivered", "unsent": 61, "stopping": True},
             )
-            account = explain("q1", path)
+            explanation = explain("q1", path)
 
-        self.assertIn("unsent=61", account)
-        self.assertIn("before all had left", account)
+        self.assertIn("unsent=61", explanation)
+        self.assertIn("before all had left", explanation)
 
     def test_lines_of_several_processes_are_joined(self) -> None:
         """Two gateways and a control.
@@ -67,7 +67,7 @@
         The control's clock is ahead. Lines of other requests are left out; what the
         gateway had just come to believe is shown first.
         """
-        belief = {"at": 11.0, "node": "e1", "event": "gateway: Document in force"}
+        state_change = {"at": 11.0, "node": "e1", "event": "gateway: Document in force"}
         placed = {"at": 11.5, "node": "e1", "event": "gateway: Placed", "request": "q1"}
         other = {"at": 11.6, "node": "e1", "event": "gateway: Placed", "request": "q2"}
         control = {"at": 99.0, "node": "c1", "event": "registry: Order"}
@@ -75,19 +75,19 @@
             first = write_log(
                 folder,
                 "e1.log",
-                {**belief, "version": 4},
+                {**state_change, "version": 4},
                 {**placed, "upstream": "u1"},
                 {**other, "upstream": "u2"},
                 end(outcome="cut", reason="answer not whole"),
             )
             second = write_log(folder, "c1.log", control)
-            account = explain("q1", first, second)
+            explanation = explain("q1", first, second)
 
-        self.assertIn("Document in force version=4", account)
-        self.assertIn("upstream=u1", account)
-        self.assertNotIn("u2", account)
-        self.assertNotIn("registry", account)
-        self.assertLess(account.index("Document"), account.index("Placed"))
+        self.assertIn("Document in force version=4", explanation)
+        self.assertIn("upstream=u1", explanation)
+        self.assertNotIn("u2", explanation)
+        self.assertNotIn("registry", explanation)
+        self.assertLess(explanation.index("Document"), explanation.index("Placed"))
 
     def test_unknown_requests_and_files(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
--- a/tests/commands/test_recover.py
+++ b/tests/commands/test_recover.py
@@ -13,7 +13,7 @@
 from tests.state.consensus.fakes import Node
 from tests.state.consensus.fakes import make_machine
 from waxwingwell.commands.exits import ExitCode
-from waxwingwell.commands.recover import go_on_alone
+from waxwingwell.commands.recover import continue_alone
 from waxwingwell.commands.recover import show
 from waxwingwell.state.consensus.records import Timing
 from waxwingwell.state.group import open_group
@@ -52,7 +52,7 @@
         printed = io.StringIO()
         with contextlib.redirect_stdout(printed):
             show(self.folder)
-            go_on_alone(self.folder, sure=True)
+            continue_alone(self.folder, sure=True)
 
         self.assertIn("solo~", printed.getvalue())
         self.assertGreater(self.start(), before + 100)
@@ -62,7 +62,7 @@
         held = open_store(Path(self.folder), "other")
         self.addCleanup(held.close)
         cases = (
-            ("not sure", partial(go_on_alone, self.folder), ExitCode.BAD_INPUT),
+            ("not sure", partial(continue_alone, self.folder), ExitCode.BAD_INPUT),
             ("no group", partial(show, self.folder, "third"), ExitCode.BAD_INPUT),
             ("in use", partial(show, self.folder, "other"), ExitCode.REFUSED),
         )
