--- a/src/waxwingwell/adapters/control/changes.py
+++ b/src/waxwingwell/adapters/control/changes.py
@@ -158,8 +158,8 @@
     """Return whether an operator's key allows a change.
 
     Fleet-wide changes need a key that isn't limited to a workspace. The workspace
-    that the configuration names can be trusted here: ``generate_change`` rejects a
-    change whose answers are for another workspace.
+    that the configuration names is compared with that of the answers when it is
+    generated, so a limited key can't change another workspace.
     """
     if not operator.workspace:
         return True
--- a/src/waxwingwell/adapters/control/duties.py
+++ b/src/waxwingwell/adapters/control/duties.py
@@ -50,7 +50,7 @@
         context.leases = None
         return
 
-    _reset_leases(context, now)
+    _ensure_leases(context, now)
     _sweep_abandoned(context, now)
     _step_rollouts(context, now)
     _start_reconciliation(context, now)
@@ -71,7 +71,7 @@
         raise HaltedError(text)
 
 
-def _reset_leases(context: ControlContext, now: float) -> None:
+def _ensure_leases(context: ControlContext, now: float) -> None:
     term = term_of(context.group)
     if context.leases is not None and context.leases_term == term:
         return
