--- a/tests/commands/fake_admin.py
+++ b/tests/commands/fake_admin.py
@@ -1,4 +1,4 @@
-"""An administration API in memory, over the real configuration table."""
+"""An in-memory administration API over the real configuration table."""
 
 from __future__ import annotations
 
@@ -38,21 +38,21 @@
 
 @dataclass(slots=True)
 class FakeAdmin:
-    """The table, and what the API shall do wrong."""
+    """A fake administration API with its table and the faults to inject."""
 
     table: ConfigTable = field(default_factory=ConfigTable)
     views: dict[str, object] = field(default_factory=dict)
-    """Fixed answers by path."""
+    """Fixed response bodies by path."""
     lost_responses: int = 0
-    """Take the next changes in, and lose the answer."""
+    """Number of changes to apply without delivering their responses."""
     down: bool = False
     polls_until_in_force: int = 0
-    """Questions until a change is in force."""
+    """Number of polls that report a change as not yet in force."""
     requests: list[WireRequest] = field(default_factory=list)
     now: float = 0.0
 
     def send(self, request: WireRequest) -> WireReply | Unreachable:
-        """Answer one request."""
+        """Handle one request."""
         self.requests.append(request)
         if self.down:
             return Unreachable("connection refused")
@@ -70,7 +70,7 @@
         return self.show(path)
 
     def handle_change(self, body: bytes) -> WireReply | Unreachable:
-        """Put a change through the table."""
+        """Apply a change to the table."""
         change = msgspec.json.decode(body, type=Command)
         assert isinstance(change, ConfigChange)
         outcome = apply_change(self.table, change)
@@ -84,7 +84,7 @@
         return reply(outcome, 409 if isinstance(outcome, Conflict) else 422)
 
     def show(self, path: str) -> WireReply:
-        """Show configuration, answers, or whether it is in force."""
+        """Return the configuration, revisions, in-force state or answers."""
         if path == "/config":
             return reply(
                 ConfigView(
@@ -114,17 +114,17 @@
         return reply(AnswersView(revision, msgspec.Raw(answers)))
 
     def pause(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the clock."""
         self.now += seconds
 
 
 def reply(body: object, status: int = 200) -> WireReply:
-    """Return an answer in JSON."""
+    """Return a JSON response."""
     return WireReply(status, msgspec.json.encode(body))
 
 
 def add_versions(admin: FakeAdmin, *names: str) -> None:
-    """Put versions into the catalogue."""
+    """Add versions to the catalogue."""
     for name in names:
         version = VersionId(name)
         spec = VersionSpec(version, name.partition("@")[0], 1.0, 2.0)
--- a/tests/commands/test_answers.py
+++ b/tests/commands/test_answers.py
@@ -1,4 +1,4 @@
-"""Answers by the command line, from new ones to a race of two operators."""
+"""The answers commands: new files, checks, applied changes and conflicts."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class AnswersTest(unittest.TestCase):
-    """Each test has an empty system with the demo's versions registered."""
+    """Commands on an empty system that has the demo's versions registered."""
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
@@ -31,7 +31,7 @@
         path.write_text(json.dumps(answers), encoding="utf-8")
         return str(path)
 
-    def test_new_answers_are_good(self) -> None:
+    def test_new_answers_are_valid(self) -> None:
         file = str(self.folder / "mine.json")
         code, out, _ = run(self.admin, "answers", "new", file, "--workspace=mine")
         self.assertEqual(code, 0)
@@ -69,7 +69,7 @@
         shown = json.loads(run(self.admin, "answers", "show", "demo")[1])
         self.assertEqual(shown["revises"], 1)
 
-    def test_apply_that_stays_behind(self) -> None:
+    def test_apply_that_is_never_in_force(self) -> None:
         self.admin.polls_until_in_force = 100_000
         code, _, err = run(
             self.admin, "answers", "apply", self.write("a.json"), "--yes"
@@ -84,11 +84,10 @@
         self.assertIn("nothing was changed", err)
         self.assertEqual(self.admin.table.config_version, 0)
 
-    def test_lost_answer_applies_once(self) -> None:
-        """The answer to an apply is lost on the way.
+    def test_lost_response_applies_once(self) -> None:
+        """Guards against applying a change twice when its response is lost.
 
-        The operator sees one accepted revision: the client sends the change again
-        under its change id, and the first outcome comes back.
+        The client retries under the same change id and receives the first outcome.
         """
         self.admin.lost_responses = 1
         code, out, _ = run(
@@ -99,10 +98,10 @@
         self.assertEqual(self.admin.table.config_version, 1)
 
     def test_two_operators_race(self) -> None:
-        """Two operators revise the same revision; both apply.
+        """Guards against a lost update when two operators revise the same revision.
 
-        The first gets revision 2. The second is told of the conflict, with the
-        difference to what is there now, and nothing of the first's is lost.
+        The first apply creates revision 2. The second is refused as a conflict, which
+        shows the difference from the current answers.
         """
         run(self.admin, "answers", "apply", self.write("a.json"), "--yes")
         first = self.write("b.json", revises=1, limits={"max_in_flight": 10})
--- a/tests/commands/test_experiment.py
+++ b/tests/commands/test_experiment.py
@@ -1,4 +1,4 @@
-"""The experiment command: its arguments and what it writes."""
+"""The experiment command: its arguments and its output."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def make_report(profile: str, seeds: int) -> FleetReport:
-    """Return a report with a sweep of two loads."""
+    """Return a report of a sweep over two loads."""
     figures = dict.fromkeys(
         ["goodput", "order_first_p99", "first_p95", "refused"], Spread(0.5, 1.0)
     )
--- a/tests/commands/test_explain.py
+++ b/tests/commands/test_explain.py
@@ -1,4 +1,4 @@
-"""The account of a failed request, from the logs of several processes."""
+"""The explain command on logs of several processes."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def write_log(folder: str, name: str, *lines: dict[str, Any]) -> str:
-    """Write a log with some lines that are none, and return its path."""
+    """Write a log that also has unstructured lines, and return its path."""
     path = Path(folder) / name
     text = ["not a line of ours", '{"half":', *(json.dumps(line) for line in lines)]
     path.write_text("\n".join(text))
@@ -20,15 +20,15 @@
 
 
 def end(**fields: Any) -> dict[str, Any]:
-    """Return the line of a request's end."""
+    """Return the line that a gateway logs at the end of a request."""
     known = {"at": 12.0, "node": "e1", "event": "gateway: Request ended"}
     return {**known, "request": "q1", "status": 503, **fields}
 
 
 class ExplainTest(unittest.TestCase):
-    """From a request's id to its cause."""
+    """The explanation of a request, found by its id."""
 
-    def test_the_cause_is_named(self) -> None:
+    def test_outcome_and_reason_are_shown(self) -> None:
         for outcome, reason, expected in (
             ("refused", "no upstream left", "did not run anywhere"),
             ("cut", "answer not whole", "broke off after it had begun"),
@@ -42,11 +42,11 @@
                 self.assertIn(expected, explanation)
                 self.assertIn(f"reason: {reason}", explanation)
 
-    def test_an_answer_that_did_not_leave_is_told(self) -> None:
-        """A caller with half an answer.
+    def test_an_undelivered_response_is_reported(self) -> None:
+        """Guards against an explanation that hides a response cut short.
 
-        The gateway had the whole of it and counted the request as answered. Its process
-        ended before the last bytes had left.
+        The gateway had received the complete response and logged the request as
+        answered, but its process ended before the last bytes were sent.
         """
         cut = {"at": 12.001, "node": "e1", "event": "http: Answer cut", "request": "q1"}
         with tempfile.TemporaryDirectory() as folder:
@@ -62,10 +62,10 @@
         self.assertIn("before all had left", explanation)
 
     def test_lines_of_several_processes_are_joined(self) -> None:
-        """Two gateways and a control.
+        """A gateway's log and that of a control whose clock is ahead are joined.
 
-        The control's clock is ahead. Lines of other requests are left out; what the
-        gateway had just come to believe is shown first.
+        Lines of other requests and of processes that didn't handle the request are left
+        out; the gateway's preceding state change is shown first.
         """
         state_change = {"at": 11.0, "node": "e1", "event": "gateway: Document in force"}
         placed = {"at": 11.5, "node": "e1", "event": "gateway: Placed", "request": "q1"}
--- a/tests/commands/test_operations.py
+++ b/tests/commands/test_operations.py
@@ -1,4 +1,4 @@
-"""Views, roll-outs and members by the command line."""
+"""The commands that show the system or change roll-outs, versions and members."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
 
 
 class ViewTest(unittest.TestCase):
-    """A table by default, and JSON on request."""
+    """Views print a table by default and JSON with ``--json``."""
 
     def test_tables_and_json(self) -> None:
         cases: tuple[tuple[tuple[str, ...], tuple[str, ...]], ...] = (
@@ -89,7 +89,7 @@
                 self.assertEqual(code, 0)
                 json.loads(out)
 
-    def test_nothing_answers(self) -> None:
+    def test_no_control_is_reachable(self) -> None:
         admin = FakeAdmin(down=True)
         code, _, err = run(admin, "status")
         self.assertEqual((code, err), (4, "connection refused\n"))
@@ -97,7 +97,7 @@
 
 
 class RolloutTest(unittest.TestCase):
-    """The commands move the roll-out that the real table holds."""
+    """Commands that change roll-outs and versions in the real configuration table."""
 
     def setUp(self) -> None:
         self.admin = FakeAdmin()
@@ -144,7 +144,7 @@
 
 
 class MembersTest(unittest.TestCase):
-    """A change of members is waited for."""
+    """Commands that change members wait until the change is done."""
 
     def test_waits(self) -> None:
         voter = MemberView("control-4", "voter", "up")
--- a/tests/commands/test_recover.py
+++ b/tests/commands/test_recover.py
@@ -1,4 +1,4 @@
-"""The last resort from the command line."""
+"""The recover command: one member continues as the only voter."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class RecoverTest(unittest.TestCase):
-    """A folder with a group of one, named ``solo``."""
+    """Commands on a data folder whose group has one member, ``solo``."""
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
@@ -30,7 +30,7 @@
         self.folder = folder.name
 
     def start(self) -> int:
-        """Start and stop the member; return its term."""
+        """Start and stop the member and return its term."""
         store = open_store(Path(self.folder), "control")
         group = open_group(
             group_id="control",
--- a/tests/commands/test_review.py
+++ b/tests/commands/test_review.py
@@ -1,4 +1,4 @@
-"""What became of requests, from the logs of several processes."""
+"""The review command on logs of several processes."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def end(at: float, outcome: str, **fields: Any) -> dict[str, Any]:
-    """Return the line of a request's end."""
+    """Return the line that a gateway logs at the end of a request."""
     known = {"at": at, "node": "g1", "event": "gateway: Request ended", "request": "q"}
     return {**known, "route": "chat", "outcome": outcome, "attempts": 1, **fields}
 
@@ -35,7 +35,7 @@
 
 
 class ReviewTest(unittest.TestCase):
-    """Tables over files."""
+    """Tables of outcomes, computed from log files."""
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
@@ -43,13 +43,13 @@
         self.folder = Path(folder.name)
 
     def write(self, name: str, *text: str) -> str:
-        """Write a log; return its path."""
+        """Write a log and return its path."""
         path = self.folder / name
         path.write_text("\n".join(text))
         return str(path)
 
     def run_review(self, *files: str, **options: Any) -> str:
-        """Return what the command prints."""
+        """Run the command and return its output."""
         output = io.StringIO()
         with contextlib.redirect_stdout(output):
             review(*files, **options)
--- a/tests/commands/test_serve.py
+++ b/tests/commands/test_serve.py
@@ -1,4 +1,4 @@
-"""Signals to a role of ``waxwingwell serve``, before and after it has started."""
+"""Signals to a role of ``waxwingwell serve`` while it starts, runs and stops."""
 
 from __future__ import annotations
 
@@ -38,17 +38,17 @@
 
 
 def send(*names: str) -> str:
-    """Return code by which a process signals itself."""
+    """Return code with which a process sends signals to itself."""
     return "; ".join(f"os.kill(os.getpid(), signal.{name})" for name in names)
 
 
 class SignalTest(unittest.TestCase):
-    """A role whose callers must get their answers."""
+    """A signalled role stops gracefully, so that its callers receive responses."""
 
     CASES: ClassVar[dict[str, tuple[str, dict[str, tuple[str, ...]]]]] = {
-        "told to stop while it starts": (DAEMON, {"while_it_starts": ("SIGTERM",)}),
-        "told to stop afterwards": (DAEMON, {"after_the_start": ("SIGTERM",)}),
-        "told twice": (
+        "stopped while it starts": (DAEMON, {"while_it_starts": ("SIGTERM",)}),
+        "stopped after the start": (DAEMON, {"after_the_start": ("SIGTERM",)}),
+        "signalled twice": (
             DAEMON,
             {"after_the_start": ("SIGTERM",), "while_it_stops": ("SIGTERM", "SIGINT")},
         ),
@@ -68,7 +68,7 @@
     MOMENTS = ("while_it_starts", "after_the_start", "while_it_stops", "at_the_end")
 
     def test_the_role_stops_in_order(self) -> None:
-        """Guards against a role that ends by a signal with its callers unanswered."""
+        """Guards against a signal that kills a role before its callers are answered."""
         for name, (settings, signals) in self.CASES.items():
             with self.subTest(name):
                 steps = {one: send(*signals.get(one, ())) for one in self.MOMENTS}
