--- a/src/waxwingwell/adapters/control/context.py
+++ b/src/waxwingwell/adapters/control/context.py
@@ -39,7 +39,7 @@
     accepted: set[LinkProtocol] = field(default_factory=set)
     """Inbound connections from other processes."""
     leases: EntryLeases | None = None
-    """Set only while this process leads; created anew after each election."""
+    """Set only while this process leads; created again after each election."""
     leases_term: int = 0
     flush_due: bool = False
     answering: int = 0
--- a/src/waxwingwell/adapters/control/entries.py
+++ b/src/waxwingwell/adapters/control/entries.py
@@ -57,8 +57,8 @@
         for item in reply.upstreams:
             name = item.announcement.upstream
             running[name] = running.get(name, 0) + item.in_flight
-            present = newest.get(name)
-            if present is None or _sort_key(item) > _sort_key(present):
+            known = newest.get(name)
+            if known is None or _sort_key(item) > _sort_key(known):
                 newest[name] = item
 
     return [make_view(item, running[name]) for name, item in sorted(newest.items())]
--- a/src/waxwingwell/adapters/control/orders.py
+++ b/src/waxwingwell/adapters/control/orders.py
@@ -119,9 +119,9 @@
     )
     for reply in replies.values():
         for item in reply.upstreams:
-            present = tables.upstreams.get(item.announcement.upstream)
+            known = tables.upstreams.get(item.announcement.upstream)
             expires_at = now + item.lease_left
-            if present is None or expires_at > present.expires_at:
+            if known is None or expires_at > known.expires_at:
                 tables.upstreams[item.announcement.upstream] = UpstreamRow(
                     announcement=item.announcement,
                     expires_at=expires_at,
--- a/src/waxwingwell/commands/answers.py
+++ b/src/waxwingwell/commands/answers.py
@@ -120,8 +120,8 @@
     view = fetch_config(client)
     answers = check_file(path, list_versions(view))
     config = generate_config(answers, answers.revises + 1)
-    present = find_workspace(view, answers.workspace)
-    print("\n".join(describe_differences(present, config)) or "nothing changes")
+    current = find_workspace(view, answers.workspace)
+    print("\n".join(describe_differences(current, config)) or "nothing changes")
     if not yes:
         confirm()
 
--- a/src/waxwingwell/commands/explain.py
+++ b/src/waxwingwell/commands/explain.py
@@ -25,12 +25,12 @@
 """Preceding state changes shown for each process that handled the request."""
 OUTCOME_TEXTS = {
     "answered": "It was answered.",
-    "passed_on_failure": "The upstream itself failed it; its answer was passed on.",
+    "passed_on_failure": "The upstream itself failed it; its response was passed on.",
     "refused": "It did not run anywhere; the caller was told to come back.",
     "may_have_run": "It was sent and no whole answer came; whether it ran is unknown.",
     "cut": "Its stream broke off after it had begun and could not be resumed.",
     "undelivered": "It was answered, and its connection ended before all had left.",
-    "caller_left": "The caller went away before the answer was complete.",
+    "caller_left": "The caller disconnected before the response was complete.",
 }
 """Explanation of each outcome of a request."""
 
