--- a/tests/commands/fake_admin.py
+++ b/tests/commands/fake_admin.py
@@ -1,4 +1,4 @@
-"""An administration API in memory, over the real configuration table."""
+"""An in-memory administration API over the real configuration table."""
 
 from __future__ import annotations
 
@@ -38,21 +38,21 @@
 
 @dataclass(slots=True)
 class FakeAdmin:
-    """The table, and what the API shall do wrong."""
+    """A fake administration API with its table and the faults to inject."""
 
     table: ConfigTable = field(default_factory=ConfigTable)
     views: dict[str, object] = field(default_factory=dict)
-    """Fixed answers by path."""
-    lose_answers: int = 0
-    """Take the next changes in, and lose the answer."""
+    """Fixed response bodies by path."""
+    lost_responses: int = 0
+    """Number of changes to apply without delivering their responses."""
     down: bool = False
-    behind: int = 0
-    """Questions until a change is in force."""
+    polls_until_in_force: int = 0
+    """Number of polls that report a change as not yet in force."""
     requests: list[WireRequest] = field(default_factory=list)
     now: float = 0.0
 
     def send(self, request: WireRequest) -> WireReply | Unreachable:
-        """Answer one request."""
+        """Handle one request."""
         self.requests.append(request)
         if self.down:
             return Unreachable("connection refused")
@@ -62,20 +62,20 @@
 
         path = request.url.partition("/admin/v1")[2]
         if path == "/commands":
-            return self.take_change(request.body or b"")
+            return self.handle_change(request.body or b"")
 
         if path in self.views:
             return reply(self.views[path])
 
         return self.show(path)
 
-    def take_change(self, body: bytes) -> WireReply | Unreachable:
-        """Put a change through the table."""
+    def handle_change(self, body: bytes) -> WireReply | Unreachable:
+        """Apply a change to the table."""
         change = msgspec.json.decode(body, type=Command)
         assert isinstance(change, ConfigChange)
         outcome = apply_change(self.table, change)
-        if self.lose_answers > 0:
-            self.lose_answers -= 1
+        if self.lost_responses > 0:
+            self.lost_responses -= 1
             return Unreachable("connection lost")
 
         if isinstance(outcome, Accepted):
@@ -84,7 +84,7 @@
         return reply(outcome, 409 if isinstance(outcome, Conflict) else 422)
 
     def show(self, path: str) -> WireReply:
-        """Show configuration, answers, or whether it is in force."""
+        """Return the configuration, revisions, in-force state or answers."""
         if path == "/config":
             return reply(
                 ConfigView(
@@ -99,9 +99,11 @@
             return reply(self.table.revisions)
 
         if path.startswith("/in-force"):
-            self.behind -= 1
-            waiting = (EntryId("entry-2"),) if self.behind >= 0 else ()
-            return reply(InForce(in_force=self.behind < 0, waiting=waiting))
+            self.polls_until_in_force -= 1
+            waiting = (EntryId("entry-2"),) if self.polls_until_in_force >= 0 else ()
+            return reply(
+                InForce(in_force=self.polls_until_in_force < 0, waiting=waiting)
+            )
 
         name = WorkspaceId(path.removeprefix("/answers/"))
         answers = self.table.answers.get(name)
@@ -112,17 +114,17 @@
         return reply(AnswersView(revision, msgspec.Raw(answers)))
 
     def pause(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the clock."""
         self.now += seconds
 
 
 def reply(body: object, status: int = 200) -> WireReply:
-    """Return an answer in JSON."""
+    """Return a JSON response."""
     return WireReply(status, msgspec.json.encode(body))
 
 
 def add_versions(admin: FakeAdmin, *names: str) -> None:
-    """Put versions into the catalogue."""
+    """Add versions to the catalogue."""
     for name in names:
         version = VersionId(name)
         spec = VersionSpec(version, name.partition("@")[0], 1.0, 2.0)
@@ -149,7 +151,7 @@
         stack.enter_context(contextlib.redirect_stderr(err))
         try:
             fire.Fire(COMMANDS, command=list(words), name="waxwingwell")
-        except SystemExit as leaving:
-            code = int(leaving.code or 0)
+        except SystemExit as exited:
+            code = int(exited.code or 0)
 
     return code, out.getvalue(), err.getvalue()
--- a/tests/commands/test_explain.py
+++ b/tests/commands/test_explain.py
@@ -1,4 +1,4 @@
-"""The account of a failed request, from the logs of several processes."""
+"""The explain command on logs of several processes."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def write_log(folder: str, name: str, *lines: dict[str, Any]) -> str:
-    """Write a log with some lines that are none, and return its path."""
+    """Write a log that also has unstructured lines, and return its path."""
     path = Path(folder) / name
     text = ["not a line of ours", '{"half":', *(json.dumps(line) for line in lines)]
     path.write_text("\n".join(text))
@@ -20,15 +20,15 @@
 
 
 def end(**fields: Any) -> dict[str, Any]:
-    """Return the line of a request's end."""
+    """Return the line that a gateway logs at the end of a request."""
     known = {"at": 12.0, "node": "e1", "event": "gateway: Request ended"}
     return {**known, "request": "q1", "status": 503, **fields}
 
 
 class ExplainTest(unittest.TestCase):
-    """From a request's id to its cause."""
+    """The explanation of a request, found by its id."""
 
-    def test_the_cause_is_named(self) -> None:
+    def test_outcome_and_reason_are_shown(self) -> None:
         for outcome, reason, expected in (
             ("refused", "no upstream left", "did not run anywhere"),
             ("cut", "answer not whole", "broke off after it had begun"),
@@ -38,15 +38,15 @@
         ):
             with self.subTest(outcome), tempfile.TemporaryDirectory() as folder:
                 path = write_log(folder, "e1.log", end(outcome=outcome, reason=reason))
-                account = explain("q1", path)
-                self.assertIn(expected, account)
-                self.assertIn(f"reason: {reason}", account)
+                explanation = explain("q1", path)
+                self.assertIn(expected, explanation)
+                self.assertIn(f"reason: {reason}", explanation)
 
-    def test_an_answer_that_did_not_leave_is_told(self) -> None:
-        """A caller with half an answer.
+    def test_an_undelivered_response_is_reported(self) -> None:
+        """Guards against an explanation that hides a response cut short.
 
-        The gateway had the whole of it and counted the request as answered. Its process
-        ended before the last bytes had left.
+        The gateway had received the complete response and logged the request as
+        answered, but its process ended before the last bytes were sent.
         """
         cut = {"at": 12.001, "node": "e1", "event": "http: Answer cut", "request": "q1"}
         with tempfile.TemporaryDirectory() as folder:
@@ -56,18 +56,18 @@
                 end(outcome="answered", status=200),
                 {**cut, "outcome": "undelivered", "unsent": 61, "stopping": True},
             )
-            account = explain("q1", path)
+            explanation = explain("q1", path)
 
-        self.assertIn("unsent=61", account)
-        self.assertIn("before all had left", account)
+        self.assertIn("unsent=61", explanation)
+        self.assertIn("before all had left", explanation)
 
     def test_lines_of_several_processes_are_joined(self) -> None:
-        """Two gateways and a control.
+        """A gateway's log and that of a control whose clock is ahead are joined.
 
-        The control's clock is ahead. Lines of other requests are left out; what the
-        gateway had just come to believe is shown first.
+        Lines of other requests and of processes that didn't handle the request are left
+        out; the gateway's preceding state change is shown first.
         """
-        belief = {"at": 11.0, "node": "e1", "event": "gateway: Document in force"}
+        state_change = {"at": 11.0, "node": "e1", "event": "gateway: Document in force"}
         placed = {"at": 11.5, "node": "e1", "event": "gateway: Placed", "request": "q1"}
         other = {"at": 11.6, "node": "e1", "event": "gateway: Placed", "request": "q2"}
         control = {"at": 99.0, "node": "c1", "event": "registry: Order"}
@@ -75,19 +75,19 @@
             first = write_log(
                 folder,
                 "e1.log",
-                {**belief, "version": 4},
+                {**state_change, "version": 4},
                 {**placed, "upstream": "u1"},
                 {**other, "upstream": "u2"},
                 end(outcome="cut", reason="answer not whole"),
             )
             second = write_log(folder, "c1.log", control)
-            account = explain("q1", first, second)
+            explanation = explain("q1", first, second)
 
-        self.assertIn("Document in force version=4", account)
-        self.assertIn("upstream=u1", account)
-        self.assertNotIn("u2", account)
-        self.assertNotIn("registry", account)
-        self.assertLess(account.index("Document"), account.index("Placed"))
+        self.assertIn("Document in force version=4", explanation)
+        self.assertIn("upstream=u1", explanation)
+        self.assertNotIn("u2", explanation)
+        self.assertNotIn("registry", explanation)
+        self.assertLess(explanation.index("Document"), explanation.index("Placed"))
 
     def test_unknown_requests_and_files(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
