--- a/src/waxwingwell_standins/__init__.py
+++ b/src/waxwingwell_standins/__init__.py
@@ -1,6 +1,6 @@
-"""Stand-ins for outside systems, used by tests, the demo and the bench.
+"""Stand-ins for external systems, used by tests, the demo and the benchmarks.
 
-The product never imports this package, the embedded role aside.
+Only the embedded role of the product imports this package.
 """
 
 from __future__ import annotations
--- a/src/waxwingwell_standins/announcer.py
+++ b/src/waxwingwell_standins/announcer.py
@@ -1,4 +1,4 @@
-"""Sends an upstream's announcements of itself to the entries."""
+"""Sends the announcements of one upstream to the entries."""
 
 from __future__ import annotations
 
@@ -33,16 +33,16 @@
 
 @dataclass(slots=True)
 class Announcer:
-    """The announcements of one upstream."""
+    """State of the announcements of one upstream."""
 
     settings: AnnounceSettings
     describe: Callable[[], Announcement]
-    """Gives the announcement as of now; incarnation and sequence are filled in."""
+    """Returns the current announcement; incarnation and sequence are filled in."""
     incarnation: int
     agent: Any
     sequence: int = 0
     entry: int = 0
-    """Index of the entry that is used now."""
+    """Index of the entry in use, modulo the number of entries."""
     accepted: int = 0
     failed: int = 0
     leaving: bool = False
@@ -50,7 +50,7 @@
     pending: Deferred[None] | None = None
 
     def stop(self) -> Deferred[None]:
-        """Stop without a word; the lease then runs out."""
+        """Stop without announcing it; the lease then expires."""
         if self.loop is not None and self.loop.running:
             self.loop.stop()
 
@@ -60,7 +60,7 @@
         return succeed(None)
 
     def leave(self) -> Deferred[None]:
-        """Announce that it leaves; later announcements repeat it."""
+        """Announce that the upstream leaves; later announcements repeat it."""
         self.leaving = True
         return send_announcement(self)
 
@@ -71,18 +71,18 @@
     *,
     incarnation: int | None = None,
 ) -> Announcer:
-    """Announce now and every third of the lease."""
-    born = time.time_ns() // 1000 if incarnation is None else incarnation
-    timeout = settings.lease / RENEWALS_PER_LEASE
-    agent = make_agent(timeout)
-    announcer = Announcer(settings, describe, born, agent)
+    """Announce immediately and then ``RENEWALS_PER_LEASE`` times per lease."""
+    chosen_incarnation = time.time_ns() // 1000 if incarnation is None else incarnation
+    interval = settings.lease / RENEWALS_PER_LEASE
+    agent = make_agent(interval)
+    announcer = Announcer(settings, describe, chosen_incarnation, agent)
     announcer.loop = LoopingCall(send_announcement, announcer)
-    announcer.loop.start(timeout).addErrback(lambda _: None)
+    announcer.loop.start(interval).addErrback(lambda _: None)
     return announcer
 
 
 def send_announcement(announcer: Announcer) -> Deferred[None]:
-    """Send one announcement; on failure the next goes to another entry."""
+    """Send one announcement; after a failure the next one goes to another entry."""
     settings = announcer.settings
     announcer.sequence += 1
     body = replace(
@@ -96,27 +96,27 @@
     if settings.key:
         headers["Authorization"] = f"Bearer {settings.key}"
 
-    answer: Deferred[Any] = treq.request(
+    response: Deferred[Any] = treq.request(
         "POST",
         entry.rstrip("/") + ANNOUNCE_PATH,
         data=msgspec.json.encode(body),
         headers=headers,
         agent=announcer.agent,
     )
-    answer.addCallback(read_status)
-    return watch_answer(announcer, answer)
+    response.addCallback(read_status)
+    return track_response(announcer, response)
 
 
-def watch_answer(announcer: Announcer, answer: Deferred[Any]) -> Deferred[None]:
-    """Bound an answer's time, count it, and change the entry if it failed.
+def track_response(announcer: Announcer, response: Deferred[Any]) -> Deferred[None]:
+    """Bound the response time, count the outcome, and switch entries on failure.
 
-    An entry whose connection went silent would otherwise hold up every later
-    renewal until the lease has run out.
+    Without the timeout, an entry whose connection is unresponsive would block every
+    later renewal until the lease has expired.
     """
-    limit = announcer.settings.lease / RENEWALS_PER_LEASE
-    timer: DelayedCall = get_reactor().callLater(limit, answer.cancel)
+    timeout = announcer.settings.lease / RENEWALS_PER_LEASE
+    timer: DelayedCall = get_reactor().callLater(timeout, response.cancel)
 
-    def end(result: object) -> None:
+    def finish(result: object) -> None:
         announcer.pending = None
         if timer.active():
             timer.cancel()
@@ -128,5 +128,5 @@
         announcer.failed += 1
         announcer.entry += 1
 
-    announcer.pending = answer
-    return answer.addBoth(end)
+    announcer.pending = response
+    return response.addBoth(finish)
--- a/src/waxwingwell_standins/balancer.py
+++ b/src/waxwingwell_standins/balancer.py
@@ -1,4 +1,4 @@
-"""TCP balancer: gives new connections to the targets whose ``/readyz`` is good."""
+"""TCP load balancer that sends new connections to targets with a good ``/readyz``."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from .client import make_agent
 from .listener import get_reactor
 from .pipes import Acceptor
-from .pipes import Pair
+from .pipes import ConnectionPair
 from .pipes import PipeTable
 from .pipes import abort_pair
 from .pipes import connect_pair
@@ -29,26 +29,26 @@
 
 @dataclass(slots=True)
 class Target:
-    """One target and its health."""
+    """A target and its health."""
 
     address: str
     ready: bool = False
     failures: int = 0
-    """Failed checks in a row."""
-    given: int = 0
-    """Connections given to it."""
+    """Consecutive failed health checks."""
+    connections: int = 0
+    """Connections assigned to the target so far."""
     check: Deferred[None] | None = None
 
 
 @dataclass(slots=True)
 class Balancer:
-    """A running balancer."""
+    """A running load balancer."""
 
     settings: BalancerSettings
     targets: list[Target]
     pipes: PipeTable = field(default_factory=PipeTable)
     agent: Any = None
-    turn: int = 0
+    next_index: int = 0
     loop: LoopingCall | None = None
     first_check: Deferred[None] = field(default_factory=Deferred)
     """Fires after the first check of every target."""
@@ -61,23 +61,25 @@
 
     @property
     def url(self) -> str:
-        """Base address."""
+        """Base URL."""
         return f"http://{self.settings.host}:{self.port}"
 
     def check_now(self) -> Deferred[None]:
-        """Check every target once; fires when all checks are over."""
+        """Check every target once; fires when all checks have finished."""
         return check_targets(self)
 
     def stop(self) -> Deferred[None]:
-        """Stop at once."""
+        """Stop immediately and abort open connections."""
         return stop_balancer(self)
 
 
 def start_balancer(settings: BalancerSettings) -> Balancer:
-    """Listen and check the targets now and at each interval."""
+    """Listen, and check the targets now and at every interval."""
     targets = [Target(address) for address in settings.targets]
     balancer = Balancer(settings, targets, agent=make_agent(settings.timeout))
-    acceptor = Acceptor(balancer.pipes, lambda pair: give_pair(balancer, pair))
+    acceptor = Acceptor(
+        balancer.pipes, lambda pair: connect_ready_target(balancer, pair)
+    )
     balancer.listening = get_reactor().listenTCP(
         settings.port, acceptor, interface=settings.host
     )
@@ -87,7 +89,7 @@
 
 
 def stop_balancer(balancer: Balancer) -> Deferred[None]:
-    """Stop checks and connections."""
+    """Stop the health checks and abort the connections."""
     if balancer.loop is not None and balancer.loop.running:
         balancer.loop.stop()
 
@@ -99,27 +101,27 @@
 
 
 def check_targets(balancer: Balancer) -> Deferred[None]:
-    """Check every target that is not being checked yet."""
+    """Check every target that has no check under way."""
     checks = [check_target(balancer, target) for target in balancer.targets]
 
-    def end(_: object) -> None:
+    def finish(_: object) -> None:
         if not balancer.first_check.called:
             balancer.first_check.callback(None)
 
-    return DeferredList(checks, consumeErrors=True).addCallback(end)
+    return DeferredList(checks, consumeErrors=True).addCallback(finish)
 
 
 def check_target(balancer: Balancer, target: Target) -> Deferred[None]:
-    """Check one target and note the result."""
+    """Check one target and record the result."""
     if target.check is not None:
         return succeed(None)
 
     url = f"http://{target.address}{HEALTH_PATH}"
-    answer: Deferred[Any] = fetch_status(
+    status: Deferred[Any] = fetch_status(
         balancer.agent, url, timeout=balancer.settings.timeout
     )
 
-    def end(result: object) -> None:
+    def finish(result: object) -> None:
         target.check = None
         if isinstance(result, int) and result < 300:
             target.failures = 0
@@ -130,25 +132,30 @@
         if target.failures >= balancer.settings.falls:
             target.ready = False
 
-    target.check = answer
-    return answer.addBoth(end)
+    target.check = status
+    return status.addBoth(finish)
+
 
+def connect_ready_target(
+    balancer: Balancer, pair: ConnectionPair, attempts: int = 0
+) -> None:
+    """Connect a new pair to the next ready target, round robin.
 
-def give_pair(balancer: Balancer, pair: Pair, tries: int = 0) -> None:
-    """Give a new connection to the next ready target, or cut it if there is none."""
+    The pair is aborted if no target is ready or every attempt has failed.
+    """
     ready = [target for target in balancer.targets if target.ready]
-    if tries >= len(ready):
+    if attempts >= len(ready):
         abort_pair(pair)
         return
 
-    target = ready[balancer.turn % len(ready)]
-    balancer.turn += 1
-    target.given += 1
+    target = ready[balancer.next_index % len(ready)]
+    balancer.next_index += 1
+    target.connections += 1
     connect_pair(
         balancer.pipes,
         pair,
         target.address,
-        lambda: give_pair(balancer, pair, tries + 1),
+        lambda: connect_ready_target(balancer, pair, attempts + 1),
     )
 
 
--- a/src/waxwingwell_standins/chat_routes.py
+++ b/src/waxwingwell_standins/chat_routes.py
@@ -1,4 +1,4 @@
-"""Routes of an engine for callers: chat completions, resume, cancel."""
+"""Engine routes for callers: chat completions, resume and cancel."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import msgspec
 from twisted.internet.defer import Deferred
 
-from .faults import take_faults
+from .faults import next_faults
 from .jobs import cancel_job
 from .jobs import make_job
 from .jobs import queue_job
@@ -21,8 +21,8 @@
 from .listener import reply_json
 from .text import ChatMessage
 from .text import read_prompt
+from .watchers import watch_complete_response
 from .watchers import watch_stream
-from .watchers import watch_whole
 
 
 if TYPE_CHECKING:
@@ -36,12 +36,12 @@
 
 Body = bytes | Deferred[None]
 PRIORITY_HEADER = "X-Priority"
-REFUSAL_DELAY = 1.0
-"""Seconds of a refusal's Retry-After."""
+REFUSAL_RETRY_AFTER = 1.0
+"""Retry-After of a refused request, in seconds."""
 
 
 class ChatRequest(msgspec.Struct, frozen=True):
-    """The fields of a chat completion request that the engine reads."""
+    """The fields of a chat completion request that the engine uses."""
 
     model: str
     messages: tuple[ChatMessage, ...]
@@ -52,13 +52,13 @@
 
 
 def add_chat_routes(app: Klein, engine: Engine, step: Callable[[], None]) -> None:
-    """Add chat completions, resume and cancel; ``step`` runs the engine."""
+    """Add the routes for chats, resume and cancel; ``step`` advances the engine."""
 
     @app.route("/v1/chat/completions", methods=["POST"])
     def complete(request: Request) -> Body:
-        faults = take_faults(engine.faults)
+        faults = next_faults(engine.faults)
         if faults.refuse:
-            return refuse_work(request)
+            return reply_overloaded(request)
 
         try:
             chat = msgspec.json.decode(read_body(request), type=ChatRequest)
@@ -68,10 +68,10 @@
             )
 
         if chat.model not in engine.orders.loaded:
-            return refuse_version(request, chat.model)
+            return reply_unknown_version(request, chat.model)
 
-        job = take_chat(engine, request, chat)
-        watch = watch_stream if chat.stream else watch_whole
+        job = queue_chat(engine, request, chat)
+        watch = watch_stream if chat.stream else watch_complete_response
         done = watch(request, job, faults, on_lost=lambda: abandon_job(engine, job))
         step()
         return done
@@ -80,7 +80,7 @@
     def resume(request: Request, name: str) -> Body:
         job = engine.tables.jobs.get(name)
         if job is None or not engine.settings.resume:
-            return refuse_stream(request, name)
+            return reply_unknown_stream(request, name)
 
         args: dict[bytes, list[bytes]] = request.args or {}
         after = args.get(b"after", [b"0"])[0]
@@ -92,7 +92,7 @@
         return watch_stream(
             request,
             job,
-            take_faults(engine.faults),
+            next_faults(engine.faults),
             after=int(after),
             on_lost=lambda: abandon_job(engine, job),
         )
@@ -101,15 +101,15 @@
     def cancel(request: Request, name: str) -> Body:
         job = engine.tables.jobs.get(name)
         if job is None or not engine.settings.cancel:
-            return refuse_stream(request, name)
+            return reply_unknown_stream(request, name)
 
         cancel_job(engine.tables, job, get_reactor().seconds())
         body = {"request": name, "status": job.status.value, "usage": job.usage}
         return reply_json(request, body)
 
 
-def take_chat(engine: Engine, request: Request, chat: ChatRequest) -> Job:
-    """Queue the job of a chat request."""
+def queue_chat(engine: Engine, request: Request, chat: ChatRequest) -> Job:
+    """Create and queue the job of a chat request."""
     name = get_header(request, REQUEST_ID_HEADER) or uuid.uuid4().hex
     job = make_job(
         name,
@@ -124,34 +124,34 @@
 
 
 def abandon_job(engine: Engine, job: Job) -> None:
-    """Give up a job whose caller has gone, unless the caller can resume it."""
+    """Cancel a job whose caller disconnected, unless it can be resumed."""
     if engine.settings.resume or job.watchers:
         return
 
     cancel_job(engine.tables, job, get_reactor().seconds())
 
 
-def refuse_work(request: Request) -> bytes:
-    """Refuse before anything ran."""
+def reply_overloaded(request: Request) -> bytes:
+    """Return the error of an engine that accepts no work; nothing was run."""
     return reply_error(
         request,
         status=503,
         code="overloaded",
         message="the engine takes no work now; nothing was run",
-        retry_after=REFUSAL_DELAY,
+        retry_after=REFUSAL_RETRY_AFTER,
         not_run=True,
     )
 
 
-def refuse_version(request: Request, model: str) -> bytes:
-    """Refuse a version that is not loaded."""
+def reply_unknown_version(request: Request, model: str) -> bytes:
+    """Return the error for a version that is not loaded."""
     message = f"model: {model!r} is not loaded"
     return reply_error(
         request, status=404, code="model_not_found", message=message, not_run=True
     )
 
 
-def refuse_stream(request: Request, name: str) -> bytes:
-    """Refuse a stream that is not known (any more)."""
+def reply_unknown_stream(request: Request, name: str) -> bytes:
+    """Return the error for a stream that is unknown or has expired."""
     message = f"stream {name!r} is not known"
     return reply_error(request, status=404, code="stream_not_found", message=message)
--- a/src/waxwingwell_standins/client.py
+++ b/src/waxwingwell_standins/client.py
@@ -1,4 +1,4 @@
-"""HTTP client of the stand-ins: one connection for each request, bounded in time."""
+"""HTTP client of the stand-ins: one connection per request, with timeouts."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 
 Response: TypeAlias = Any
-"""A response of treq."""
+"""A treq response."""
 
 ClientAgent: TypeAlias = Any
-"""An agent of twisted.web, whose methods carry no types."""
+"""A twisted.web agent, whose methods are untyped."""
 
 
 def make_agent(timeout: float) -> ClientAgent:
-    """Return an agent that keeps no connection open; seconds to connect."""
+    """Return an agent without keep-alive; ``timeout`` in seconds limits connecting."""
     reactor = get_reactor()
     pool: Any = HTTPConnectionPool(reactor, persistent=False)
     agent: ClientAgent = Agent(reactor, connectTimeout=timeout, pool=pool)
@@ -33,14 +33,14 @@
 
 
 def read_status(response: Response) -> Deferred[int]:
-    """Read an answer to its end and return its status."""
+    """Read a response to its end and return the status code."""
     code = int(response.code)
     body: Deferred[Any] = treq.content(response)
     return body.addCallback(lambda _: code)
 
 
 def fetch_status(agent: ClientAgent, url: str, *, timeout: float) -> Deferred[int]:
-    """GET an address and return the status; fails after ``timeout`` seconds."""
-    answer: Deferred[Any] = treq.get(url, agent=agent)
-    answer.addCallback(read_status)
-    return answer.addTimeout(timeout, get_reactor())
+    """GET a URL and return the status code; fails after ``timeout`` seconds."""
+    status: Deferred[Any] = treq.get(url, agent=agent)
+    status.addCallback(read_status)
+    return status.addTimeout(timeout, get_reactor())
--- a/src/waxwingwell_standins/engine.py
+++ b/src/waxwingwell_standins/engine.py
@@ -1,6 +1,6 @@
-"""Model engine: OpenAI-shape chat with numbered, resumable streams.
+"""Model engine: an OpenAI-compatible chat API with numbered, resumable streams.
 
-``python -m waxwingwell_standins.engine --settings FILE`` runs it alone.
+``python -m waxwingwell_standins.engine --settings FILE`` runs it as a program.
 """
 
 from __future__ import annotations
@@ -24,18 +24,18 @@
 from .chat_routes import add_chat_routes
 from .faults import EngineFaults
 from .jobs import JobTables
-from .jobs import forget_jobs
+from .jobs import drop_expired_jobs
 from .jobs import step_jobs
 from .listener import Listener
 from .listener import close_listener
 from .listener import get_reactor
 from .listener import listen
 from .loads import LoadHistory
-from .loads import note_load
+from .loads import record_load
 from .loads import report_load
 from .order_routes import add_order_routes
 from .orders import OrderTable
-from .orders import stop_loads
+from .orders import cancel_loads
 from .prefixes import PrefixCache
 from .program import run_program
 from .settings import EngineSettings
@@ -61,28 +61,28 @@
 
     @property
     def url(self) -> str:
-        """Base address."""
+        """Base URL."""
         return self.listener.url if self.listener else ""
 
     @property
     def runs(self) -> dict[str, int]:
-        """Runs begun, by request id."""
+        """Number of runs started, by request id."""
         return self.tables.runs
 
     def stop(self) -> Deferred[None]:
-        """Stop at once: connections are cut, nothing is announced."""
+        """Stop immediately: connections are aborted and nothing is announced."""
         return stop_engine(self)
 
     def leave(self) -> Deferred[None]:
-        """Announce that the engine leaves; it goes on serving."""
+        """Announce that the engine leaves; it continues to serve requests."""
         if self.announcer is None:
-            raise RuntimeError("the engine does not announce itself")
+            raise RuntimeError("the engine has no announce settings")
 
         return self.announcer.leave()
 
 
 def start_engine(settings: EngineSettings) -> Engine:
-    """Listen, and announce the engine if the settings say so."""
+    """Listen, and announce the engine if it has announce settings."""
     engine = Engine(
         settings=settings,
         tables=JobTables(PrefixCache(settings.cached_prefixes)),
@@ -102,39 +102,39 @@
 
 
 def stop_engine(engine: Engine) -> Deferred[None]:
-    """Stop listener, announcer and timers."""
+    """Stop the listener, the announcer and the timers."""
     if engine.timer is not None and engine.timer.active():
         engine.timer.cancel()
 
-    stop_loads(engine.orders)
-    waits = []
+    cancel_loads(engine.orders)
+    pending = []
     if engine.listener is not None:
-        waits.append(close_listener(engine.listener))
+        pending.append(close_listener(engine.listener))
 
     if engine.announcer is not None:
-        waits.append(engine.announcer.stop())
+        pending.append(engine.announcer.stop())
 
-    return gatherResults(waits).addCallback(lambda _: None)
+    return gatherResults(pending).addCallback(lambda _: None)
 
 
 def step_engine(engine: Engine) -> None:
-    """Run one step and come back while there is work."""
+    """Run one step, and schedule the next one while there is work."""
     reactor = get_reactor()
     now = reactor.seconds()
     step_jobs(engine.tables, engine.settings, now)
-    forget_jobs(engine.tables, engine.settings, now)
-    note_load(engine, now)
+    drop_expired_jobs(engine.tables, engine.settings, now)
+    record_load(engine, now)
     busy = engine.tables.running or engine.tables.queue
-    waiting = engine.timer is not None and engine.timer.active()
-    if busy and not waiting:
+    scheduled = engine.timer is not None and engine.timer.active()
+    if busy and not scheduled:
         engine.timer = reactor.callLater(engine.settings.tick, step_engine, engine)
 
 
 def describe_engine(engine: Engine) -> Announcement:
-    """Return the engine's announcement as of now."""
+    """Return the current announcement of the engine."""
     settings = engine.settings
     if settings.announce is None:
-        raise RuntimeError("the engine does not announce itself")
+        raise RuntimeError("the engine has no announce settings")
 
     return Announcement(
         upstream=UpstreamId(settings.announce.upstream),
--- a/src/waxwingwell_standins/events.py
+++ b/src/waxwingwell_standins/events.py
@@ -1,4 +1,4 @@
-"""Server-sent events and whole answers in the shape of the OpenAI API."""
+"""Server-sent events and complete responses in the format of the OpenAI API."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 
 def encode_event(request: str, number: int, data: bytes) -> bytes:
-    """Return one numbered event; numbers start at 1."""
+    """Encode one numbered event; numbers start at 1."""
     return b"id: %b:%d\ndata: %b\n\n" % (request.encode(), number, data)
 
 
 def encode_token(request: str, version: str, token: str, *, first: bool) -> bytes:
-    """Return the chunk that carries one token."""
+    """Encode the chunk that carries one token."""
     delta = {"content": token}
     if first:
         delta = {"role": "assistant", "content": token}
@@ -31,7 +31,7 @@
 
 
 def encode_finish(request: str, version: str, reason: str) -> bytes:
-    """Return the chunk that ends the choice."""
+    """Encode the chunk that carries the finish reason."""
     choice = {"index": 0, "delta": {}, "finish_reason": reason}
     return encode_chunk(request, version, choices=[choice])
 
@@ -43,7 +43,7 @@
     choices: Sequence[object],
     usage: dict[str, Any] | None = None,
 ) -> bytes:
-    """Return one chunk as JSON."""
+    """Encode one chunk as JSON."""
     chunk: dict[str, object] = {
         "id": f"chatcmpl-{request}",
         "object": "chat.completion.chunk",
@@ -57,20 +57,22 @@
     return msgspec.json.encode(chunk)
 
 
-def make_usage(prompt_tokens: int, answer_tokens: int, cached: int) -> dict[str, Any]:
-    """Return the usage block; ``cached`` prompt tokens needed no prefill."""
+def make_usage(
+    prompt_tokens: int, completion_tokens: int, cached_tokens: int
+) -> dict[str, Any]:
+    """Return the usage object; ``cached_tokens`` of the prompt needed no prefill."""
     return {
         "prompt_tokens": prompt_tokens,
-        "completion_tokens": answer_tokens,
-        "total_tokens": prompt_tokens + answer_tokens,
-        "prompt_tokens_details": {"cached_tokens": cached},
+        "completion_tokens": completion_tokens,
+        "total_tokens": prompt_tokens + completion_tokens,
+        "prompt_tokens_details": {"cached_tokens": cached_tokens},
     }
 
 
-def encode_whole(
+def encode_complete_response(
     request: str, version: str, text: str, reason: str, usage: dict[str, Any]
 ) -> bytes:
-    """Return a whole answer as JSON."""
+    """Encode a complete, non-streaming response as JSON."""
     message = {"role": "assistant", "content": text}
     return msgspec.json.encode(
         {
--- a/src/waxwingwell_standins/faults.py
+++ b/src/waxwingwell_standins/faults.py
@@ -1,4 +1,4 @@
-"""Faults that a stand-in engine makes on its connections."""
+"""Faults that a stand-in engine injects into its connections."""
 
 from __future__ import annotations
 
@@ -12,28 +12,28 @@
 
 
 class EngineFaults(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """Faults of the next connections; ``times`` bounds how many, None is no bound."""
+    """Faults to inject into the next ``times`` connections; None means all of them."""
 
     times: int | None = None
     drop_after: int | None = None
-    """Cut the connection after this many events (or before a whole answer)."""
+    """Abort the connection after this many events, or before a complete response."""
     silent_after: int | None = None
-    """Write nothing more after this many events, and keep the connection open."""
+    """Send nothing after this many events, and keep the connection open."""
     answer_as: str = ""
-    """Answer under this request id in place of the right one."""
+    """Respond with this request id instead of the actual one."""
     duplicate_every: int = 0
-    """Send each event whose number this divides twice; 0 sends none twice."""
+    """Send every n-th event twice; 0 duplicates none."""
     reorder_every: int = 0
-    """Swap each event whose number this divides with the next one; 0 swaps none."""
+    """Swap every n-th event with its successor; 0 swaps none."""
     refuse: bool = False
-    """Answer 503 before anything runs."""
+    """Respond with 503 before anything runs."""
 
 
 NO_FAULTS = EngineFaults()
 
 
-def take_faults(faults: EngineFaults) -> EngineFaults:
-    """Return the faults of one new connection and count it."""
+def next_faults(faults: EngineFaults) -> EngineFaults:
+    """Return the faults for a new connection and count it against ``times``."""
     if faults.times is None:
         return faults
 
@@ -44,14 +44,14 @@
     return faults
 
 
-def arrange_events(
+def select_events(
     faults: EngineFaults, events: Sequence[bytes], start: int, *, ended: bool
 ) -> tuple[list[bytes], int]:
-    """Return the events to write, and up to which number they account for.
+    """Return the events to write and the number of the last event they cover.
 
-    ``events`` holds all from number 1; those after ``start`` are due.
+    ``events`` holds all events from number 1; those after ``start`` are due.
     """
-    out: list[bytes] = []
+    selected: list[bytes] = []
     number = start + 1
     while number <= len(events):
         swap = faults.reorder_every > 0 and number % faults.reorder_every == 0
@@ -59,14 +59,14 @@
             break
 
         if swap and number < len(events):
-            out += [events[number], events[number - 1]]
+            selected += [events[number], events[number - 1]]
             number += 2
             continue
 
-        out.append(events[number - 1])
+        selected.append(events[number - 1])
         if faults.duplicate_every > 0 and number % faults.duplicate_every == 0:
-            out.append(events[number - 1])
+            selected.append(events[number - 1])
 
         number += 1
 
-    return out, number - 1
+    return selected, number - 1
--- a/src/waxwingwell_standins/jobs.py
+++ b/src/waxwingwell_standins/jobs.py
@@ -1,4 +1,4 @@
-"""The engine's tables of jobs and watchers, and the step that runs over them."""
+"""The job queue of an engine, and the step that advances its jobs."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 from .events import encode_token
 from .events import make_usage
 from .prefixes import PrefixCache
-from .prefixes import count_cached
-from .prefixes import keep_prefixes
+from .prefixes import count_cached_tokens
+from .prefixes import store_prefixes
 from .text import count_tokens
 from .text import make_answer
 
@@ -33,7 +33,7 @@
 
 
 class JobStatus(StrEnum):
-    """Where a job stands."""
+    """State of a job."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -43,50 +43,50 @@
 
 @dataclass(slots=True)
 class Job:
-    """One run of one request, and every event it has made."""
+    """One run of a request and the events emitted so far."""
 
     request: str
     version: str
     prompt: str
     tokens: list[str]
-    cut: bool
-    """The caller's ``max_tokens`` ended the answer."""
+    truncated: bool
+    """True if the caller's ``max_tokens`` limits the response."""
     prompt_tokens: int
     priority: str
     status: JobStatus = JobStatus.QUEUED
-    cached: int = 0
-    first_at: float = 0.0
-    """When the first token is due."""
-    made: int = 0
-    """Tokens made so far."""
+    cached_tokens: int = 0
+    first_token_at: float = 0.0
+    """Time at which the first token is due."""
+    emitted: int = 0
+    """Number of tokens emitted so far."""
     events: list[bytes] = field(default_factory=list)
     ended_at: float = 0.0
     watchers: list[Callable[[], None]] = field(default_factory=list)
-    """Called after new events and at the end."""
+    """Callbacks for new events and for the end of the job."""
 
     @property
     def ended(self) -> bool:
-        """True once no more events come."""
+        """True once no more events will be emitted."""
         return self.status in (JobStatus.DONE, JobStatus.CANCELLED)
 
     @property
     def usage(self) -> dict[str, Any]:
-        """Usage up to now."""
-        return make_usage(self.prompt_tokens, self.made, self.cached)
+        """Token usage so far."""
+        return make_usage(self.prompt_tokens, self.emitted, self.cached_tokens)
 
 
 @dataclass(slots=True)
 class JobTables:
-    """All jobs of one engine."""
+    """All jobs of an engine."""
 
     cache: PrefixCache
     jobs: dict[str, Job] = field(default_factory=dict)
-    """The newest run of each request id, kept for a time after its end."""
+    """Latest run of each request id, kept for ``keep`` seconds after it ends."""
     queue: list[tuple[int, int, Job]] = field(default_factory=list)
-    """Heap by priority and arrival."""
+    """Heap ordered by priority, then arrival."""
     running: list[Job] = field(default_factory=list)
     runs: dict[str, int] = field(default_factory=dict)
-    """Runs begun, by request id."""
+    """Number of runs started, by request id."""
     arrivals: int = 0
 
 
@@ -99,22 +99,22 @@
     min_tokens: int = 0,
     priority: str = "",
 ) -> Job:
-    """Return a job that has not been queued yet."""
+    """Create a job without queueing it."""
     tokens = make_answer(version, prompt, max_tokens, min_tokens=min_tokens)
-    cut = 0 < max_tokens == len(tokens)
+    truncated = 0 < max_tokens == len(tokens)
     return Job(
         request=request,
         version=version,
         prompt=prompt,
         tokens=tokens,
-        cut=cut,
+        truncated=truncated,
         prompt_tokens=count_tokens(prompt),
         priority=priority,
     )
 
 
 def queue_job(tables: JobTables, job: Job) -> None:
-    """Take a job in; it runs when a slot is free, by priority and arrival."""
+    """Queue a job; jobs get free slots by priority, then arrival."""
     tables.arrivals += 1
     tables.jobs[job.request] = job
     rank = PRIORITY_RANKS.get(job.priority, DEFAULT_RANK)
@@ -122,54 +122,54 @@
 
 
 def step_jobs(tables: JobTables, settings: EngineSettings, now: float) -> None:
-    """Start what fits, make the tokens that are due, tell the watchers."""
+    """Start queued jobs, emit the tokens that are due and notify the watchers."""
     progress = True
     while progress:
         start_jobs(tables, settings, now)
         for job in tables.running:
-            make_tokens(job, settings, now)
+            emit_tokens(job, settings, now)
 
-        still = [job for job in tables.running if not job.ended]
-        progress = len(still) < len(tables.running) and bool(tables.queue)
-        tables.running = still
+        unfinished = [job for job in tables.running if not job.ended]
+        progress = len(unfinished) < len(tables.running) and bool(tables.queue)
+        tables.running = unfinished
 
 
 def start_jobs(tables: JobTables, settings: EngineSettings, now: float) -> None:
-    """Give free slots to waiting jobs."""
+    """Start queued jobs while slots are free."""
     while tables.queue and len(tables.running) < settings.slots:
         job = heapq.heappop(tables.queue)[2]
         if job.ended:
             continue
 
         job.status = JobStatus.RUNNING
-        job.cached = count_cached(tables.cache, job.version, job.prompt)
-        keep_prefixes(tables.cache, job.version, job.prompt)
+        job.cached_tokens = count_cached_tokens(tables.cache, job.version, job.prompt)
+        store_prefixes(tables.cache, job.version, job.prompt)
         prefill = 0.0
         if settings.prefill_rate > 0:
-            prefill = (job.prompt_tokens - job.cached) / settings.prefill_rate
+            prefill = (job.prompt_tokens - job.cached_tokens) / settings.prefill_rate
 
-        job.first_at = now + prefill + settings.token_interval
+        job.first_token_at = now + prefill + settings.token_interval
         tables.runs[job.request] = tables.runs.get(job.request, 0) + 1
         tables.running.append(job)
 
 
-def make_tokens(job: Job, settings: EngineSettings, now: float) -> None:
-    """Make the tokens of one job that are due by now."""
-    if job.ended or now < job.first_at:
+def emit_tokens(job: Job, settings: EngineSettings, now: float) -> None:
+    """Emit the tokens of one job that are due."""
+    if job.ended or now < job.first_token_at:
         return
 
     due = len(job.tokens)
     if settings.token_interval > 0:
-        due = min(due, 1 + int((now - job.first_at) / settings.token_interval))
+        due = min(due, 1 + int((now - job.first_token_at) / settings.token_interval))
 
-    if due <= job.made:
+    if due <= job.emitted:
         return
 
-    for index in range(job.made, due):
+    for index in range(job.emitted, due):
         token = job.tokens[index]
         add_event(job, encode_token(job.request, job.version, token, first=index == 0))
 
-    job.made = due
+    job.emitted = due
     if due == len(job.tokens):
         finish_job(job, now)
 
@@ -177,8 +177,8 @@
 
 
 def finish_job(job: Job, now: float) -> None:
-    """Add the closing events: finish reason, usage, end mark."""
-    reason = "length" if job.cut else "stop"
+    """Add the final events: finish reason, usage and ``[DONE]``."""
+    reason = "length" if job.truncated else "stop"
     add_event(job, encode_finish(job.request, job.version, reason))
     add_event(job, encode_chunk(job.request, job.version, choices=(), usage=job.usage))
     add_event(job, DONE)
@@ -187,7 +187,7 @@
 
 
 def cancel_job(tables: JobTables, job: Job, now: float) -> None:
-    """End a job where it stands and free its slot."""
+    """Cancel a job that has not ended and free its slot."""
     if job.ended:
         return
 
@@ -198,19 +198,21 @@
 
 
 def add_event(job: Job, data: bytes) -> None:
-    """Append one event under the next number."""
+    """Append an event with the next number."""
     job.events.append(encode_event(job.request, len(job.events) + 1, data))
 
 
 def notify_watchers(job: Job) -> None:
-    """Call every watcher of a job; a watcher may take itself off."""
+    """Call every watcher of a job; a watcher may remove itself during the call."""
     for watcher in list(job.watchers):
         watcher()
 
 
-def forget_jobs(tables: JobTables, settings: EngineSettings, now: float) -> None:
-    """Drop the jobs whose time to be resumed is over."""
-    over = now - settings.keep
-    old = [key for key, job in tables.jobs.items() if job.ended and job.ended_at < over]
-    for key in old:
+def drop_expired_jobs(tables: JobTables, settings: EngineSettings, now: float) -> None:
+    """Drop ended jobs that can no longer be resumed."""
+    cutoff = now - settings.keep
+    expired = [
+        key for key, job in tables.jobs.items() if job.ended and job.ended_at < cutoff
+    ]
+    for key in expired:
         del tables.jobs[key]
--- a/src/waxwingwell_standins/listener.py
+++ b/src/waxwingwell_standins/listener.py
@@ -1,4 +1,4 @@
-"""HTTP listeners of the stand-ins, which stop without leaving anything open."""
+"""HTTP listeners of the stand-ins, which close all their connections on stop."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 
 
 Request: TypeAlias = Any
-"""A request of twisted.web, whose methods carry no types."""
+"""A twisted.web request, whose methods are untyped."""
 
 Reactor: TypeAlias = Any
-"""The reactor, whose interfaces carry no types that a checker can use."""
+"""The reactor, whose interfaces have no types that a type checker can use."""
 
 Resource: TypeAlias = Any
-"""A resource of twisted.web."""
+"""A twisted.web resource."""
 
 LOOPBACK = "127.0.0.1"
 JSON_TYPE = b"application/json"
@@ -37,14 +37,14 @@
 
 
 def get_reactor() -> Reactor:
-    """Return the process's reactor; imported late so that no import installs it."""
+    """Return the reactor, imported here so that importing a module installs none."""
     from twisted.internet import reactor
 
     return reactor
 
 
-class QuietSite(Site):
-    """A site that writes no access log and knows its open connections."""
+class TrackingSite(Site):
+    """A site without an access log that tracks its open connections."""
 
     noisy = False
 
@@ -54,34 +54,37 @@
         self.open_transports: dict[Any, Deferred[None]] = {}
 
     def log(self, request: Request) -> None:
-        """Write nothing: a log line costs more than the request here."""
+        """Write nothing: an access log line costs more than the request itself."""
 
     def buildProtocol(self, addr: Any) -> Any:  # noqa: N802
-        """Build a channel and remember its transport until it is lost."""
+        """Build a channel and track its transport until the connection is lost."""
         channel: Any = super().buildProtocol(addr)  # type: ignore[no-untyped-call]
-        lost: Deferred[None] = Deferred()
-        connect, lose = channel.makeConnection, channel.connectionLost
-
-        def remember(transport: Any) -> None:
-            self.open_transports[transport] = lost
-            connect(transport)
+        closed: Deferred[None] = Deferred()
+        make_connection, lose_connection = (
+            channel.makeConnection,
+            channel.connectionLost,
+        )
+
+        def track(transport: Any) -> None:
+            self.open_transports[transport] = closed
+            make_connection(transport)
             channel.transport = transport
 
-        def forget(reason: Failure) -> None:
-            lose(reason)
+        def untrack(reason: Failure) -> None:
+            lose_connection(reason)
             self.open_transports.pop(channel.transport, None)
-            lost.callback(None)
+            closed.callback(None)
 
-        channel.makeConnection = remember
-        channel.connectionLost = forget
+        channel.makeConnection = track
+        channel.connectionLost = untrack
         return channel
 
 
 @dataclass(slots=True)
 class Listener:
-    """A listening HTTP port and the site behind it."""
+    """A listening HTTP port and the site that it serves."""
 
-    site: QuietSite
+    site: TrackingSite
     listening: Any
     host: str
     port: int
@@ -89,40 +92,40 @@
 
     @property
     def url(self) -> str:
-        """Base address without a slash at its end."""
+        """Base URL without a trailing slash."""
         return f"http://{self.host}:{self.port}"
 
 
 def listen(app: Klein, *, port: int = 0, host: str = LOOPBACK) -> Listener:
-    """Serve a klein application; port 0 takes a free one."""
-    site = QuietSite(app.resource())
+    """Serve a klein application; port 0 selects a free port."""
+    site = TrackingSite(app.resource())
     listening = get_reactor().listenTCP(port, site, interface=host)
     return Listener(site, listening, host, listening.getHost().port)
 
 
 def close_listener(listener: Listener) -> Deferred[None]:
-    """Stop listening and abort what is open; fires once nothing is left."""
+    """Stop listening and abort open connections; fires once all are closed."""
     if listener.stopped:
         return maybeDeferred(lambda: None)
 
     listener.stopped = True
-    waits: list[Deferred[Any]] = [maybeDeferred(listener.listening.stopListening)]
-    for transport, lost in list(listener.site.open_transports.items()):
-        waits.append(lost)
+    pending: list[Deferred[Any]] = [maybeDeferred(listener.listening.stopListening)]
+    for transport, closed in list(listener.site.open_transports.items()):
+        pending.append(closed)
         transport.abortConnection()
 
-    return DeferredList(waits, consumeErrors=True).addCallback(lambda _: None)
+    return DeferredList(pending, consumeErrors=True).addCallback(lambda _: None)
 
 
 def abort_request(request: Request) -> None:
-    """Cut the connection of a request without another byte."""
+    """Abort the connection of a request without sending anything more."""
     channel = request.channel
     if channel is not None:
         channel.forceAbortClient()
 
 
 def reply_json(request: Request, body: object, *, status: int = 200) -> bytes:
-    """Set status and type of an answer and return its JSON body."""
+    """Set the status and content type of a response and return its JSON body."""
     request.setResponseCode(status)
     request.setHeader(b"Content-Type", JSON_TYPE)
     return msgspec.json.encode(body)
@@ -137,9 +140,9 @@
     retry_after: float | None = None,
     not_run: bool = False,
 ) -> bytes:
-    """Return an error in the shape of the OpenAI API.
+    """Return an error in the format of the OpenAI API.
 
-    ``not_run`` marks a refusal after which nothing was done.
+    ``not_run`` marks a request that was refused before anything ran.
     """
     if not_run:
         request.setHeader(OUTCOME_HEADER, b"not_run")
@@ -152,11 +155,11 @@
 
 
 def get_header(request: Request, name: str, default: str = "") -> str:
-    """Return a request header as text."""
+    """Return the first value of a request header, or ``default``."""
     value = request.requestHeaders.getRawHeaders(name)
     return str(value[0]) if value else default
 
 
 def read_body(request: Request) -> bytes:
-    """Return the whole request body."""
+    """Return the complete request body."""
     return cast("bytes", request.content.read())
--- a/src/waxwingwell_standins/loads.py
+++ b/src/waxwingwell_standins/loads.py
@@ -1,4 +1,4 @@
-"""An engine's load, reported with a lag."""
+"""Load of an engine, reported with a configurable lag."""
 
 from __future__ import annotations
 
@@ -16,45 +16,45 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Measured:
-    """A load and when it was measured."""
+class LoadSample:
+    """A load and the time of its measurement."""
 
-    at: float
+    measured_at: float
     load: LoadReport
 
 
 @dataclass(slots=True)
 class LoadHistory:
-    """Loads as measured, oldest first, no older than the report's lag needs."""
+    """Load samples, oldest first, kept only as long as the report lag requires."""
 
-    rows: deque[Measured] = field(default_factory=deque)
+    samples: deque[LoadSample] = field(default_factory=deque)
 
 
 def measure_load(engine: Engine) -> LoadReport:
-    """Return the present load."""
+    """Return the current load."""
     running = engine.tables.running
     waiting = [item[2] for item in engine.tables.queue if not item[2].ended]
     interval = engine.settings.token_interval
     return LoadReport(
         running=len(running),
         queued=len(waiting),
-        backlog_tokens=sum(len(job.tokens) - job.made for job in running + waiting),
+        backlog_tokens=sum(len(job.tokens) - job.emitted for job in running + waiting),
         tokens_per_second=1.0 / interval if interval > 0 else 0.0,
         prefill_per_second=engine.settings.prefill_rate,
     )
 
 
-def note_load(engine: Engine, now: float) -> None:
-    """Keep the present load; drop what is older than the report's lag."""
-    rows = engine.loads.rows
-    rows.append(Measured(now, measure_load(engine)))
-    over = now - engine.settings.load_lag
-    while len(rows) > 1 and rows[1].at <= over:
-        rows.popleft()
+def record_load(engine: Engine, now: float) -> None:
+    """Record the current load and drop samples that the report lag no longer needs."""
+    samples = engine.loads.samples
+    samples.append(LoadSample(now, measure_load(engine)))
+    cutoff = now - engine.settings.load_lag
+    while len(samples) > 1 and samples[1].measured_at <= cutoff:
+        samples.popleft()
 
 
 def report_load(engine: Engine, now: float) -> LoadReport:
     """Return the load as it was ``load_lag`` seconds ago."""
-    note_load(engine, now)
-    oldest = engine.loads.rows[0]
-    return replace(oldest.load, age=now - oldest.at)
+    record_load(engine, now)
+    oldest = engine.loads.samples[0]
+    return replace(oldest.load, age=now - oldest.measured_at)
--- a/src/waxwingwell_standins/order_routes.py
+++ b/src/waxwingwell_standins/order_routes.py
@@ -1,4 +1,4 @@
-"""Routes of an engine for control: orders to load versions, and the load report."""
+"""Engine routes for control: load orders and the load report."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from .listener import reply_json
 from .loads import report_load
 from .orders import LoadOrder
-from .orders import obey_order
+from .orders import apply_order
 
 
 if TYPE_CHECKING:
@@ -27,25 +27,25 @@
 
 
 def add_order_routes(app: Klein, engine: Engine) -> None:
-    """Add orders to load versions, and the load report."""
+    """Add the routes for load orders and the load report."""
 
     @app.route("/v1/versions", methods=["PUT"])
-    def order(request: Request) -> bytes:
+    def put_versions(request: Request) -> bytes:
         try:
-            wanted = msgspec.json.decode(read_body(request), type=LoadOrder)
+            order = msgspec.json.decode(read_body(request), type=LoadOrder)
         except msgspec.DecodeError as error:
             return reply_error(
                 request, status=400, code="bad_order", message=str(error)
             )
 
         header = get_header(request, FENCING_HEADER)
-        if header and header != str(wanted.fencing):
-            message = f"{FENCING_HEADER} is {header}, the body says {wanted.fencing}"
+        if header and header != str(order.fencing):
+            message = f"{FENCING_HEADER} is {header}, the body says {order.fencing}"
             return reply_error(
                 request, status=400, code="fencing_mismatch", message=message
             )
 
-        if not obey_order(engine.orders, engine.settings, wanted):
+        if not apply_order(engine.orders, engine.settings, order):
             message = f"fencing number {engine.orders.fencing} was seen"
             return reply_error(
                 request, status=409, code="fencing_too_low", message=message
@@ -63,7 +63,7 @@
 
 
 def describe_orders(engine: Engine) -> dict[str, object]:
-    """Return what is loaded, what is loading, and the highest fencing number."""
+    """Return the loaded and loading versions and the highest fencing number."""
     return {
         "fencing": engine.orders.fencing,
         "versions": sorted(engine.orders.loaded),
--- a/src/waxwingwell_standins/orders.py
+++ b/src/waxwingwell_standins/orders.py
@@ -1,4 +1,4 @@
-"""Orders to load versions: desired state under a fencing number."""
+"""Load orders: the desired set of versions, protected by a fencing number."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 
 
 FETCH_TIMEOUT = 10.0
-"""Seconds for one download."""
+"""Timeout of one download, in seconds."""
 
-RETRY_PAUSE = 0.5
-"""Seconds after a download that failed."""
+RETRY_DELAY = 0.5
+"""Seconds before a failed download is retried."""
 
 
 class LoadOrder(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The versions that an engine shall have, all of them."""
+    """The complete set of versions that an engine should have loaded."""
 
     fencing: int
     versions: tuple[str, ...]
@@ -39,11 +39,11 @@
 
 @dataclass(slots=True)
 class OrderTable:
-    """What was ordered and what is there."""
+    """Desired and actual versions of an engine."""
 
     loaded: set[str]
     loading: set[str] = field(default_factory=set)
-    wanted: set[str] = field(default_factory=set)
+    desired: set[str] = field(default_factory=set)
     fencing: int = 0
     """Highest fencing number seen."""
     obeyed: int = 0
@@ -53,85 +53,85 @@
     stopped: bool = False
 
 
-def obey_order(table: OrderTable, settings: EngineSettings, order: LoadOrder) -> bool:
-    """Obey an order; False if it came from a leader that has been replaced."""
+def apply_order(table: OrderTable, settings: EngineSettings, order: LoadOrder) -> bool:
+    """Apply an order; return False if it came from a leader that has been replaced."""
     if settings.checks_fencing and order.fencing < table.fencing:
         table.refused += 1
         return False
 
     table.obeyed += 1
     table.fencing = max(table.fencing, order.fencing)
-    table.wanted = set(order.versions)
-    table.loaded &= table.wanted
-    table.loading &= table.wanted
-    for version in sorted(table.wanted - table.loaded - table.loading):
-        load_version(table, settings, version)
+    table.desired = set(order.versions)
+    table.loaded &= table.desired
+    table.loading &= table.desired
+    for version in sorted(table.desired - table.loaded - table.loading):
+        start_load(table, settings, version)
 
     return True
 
 
-def load_version(table: OrderTable, settings: EngineSettings, version: str) -> None:
-    """Begin to load one version; it is there after the settings' time."""
+def start_load(table: OrderTable, settings: EngineSettings, version: str) -> None:
+    """Start to load a version, with a download first if a store is configured."""
     table.loading.add(version)
     if settings.weights:
         fetch_weights(table, settings, version)
         return
 
-    wait_load(table, settings, version)
+    schedule_load(table, settings, version)
 
 
 def fetch_weights(table: OrderTable, settings: EngineSettings, version: str) -> None:
-    """Download a version's weights; come back when the store's limit allows it."""
+    """Download the weights of a version; retry when the store's rate limit allows."""
     if version not in table.loading:
         return
 
     agent = make_agent(FETCH_TIMEOUT)
     url = f"{settings.weights.rstrip('/')}/weights/{version}"
-    answer: Deferred[Any] = treq.get(url, agent=agent)
-    answer.addCallback(read_wait)
-    answer.addTimeout(FETCH_TIMEOUT, get_reactor())
+    fetch: Deferred[Any] = treq.get(url, agent=agent)
+    fetch.addCallback(read_retry_after)
+    fetch.addTimeout(FETCH_TIMEOUT, get_reactor())
 
-    def end(wait: object) -> None:
-        table.fetches.discard(answer)
+    def finish(retry_after: object) -> None:
+        table.fetches.discard(fetch)
         if table.stopped:
             return
 
-        if wait == 0.0:
-            wait_load(table, settings, version)
+        if retry_after == 0.0:
+            schedule_load(table, settings, version)
             return
 
-        pause = wait if isinstance(wait, float) else RETRY_PAUSE
-        call_later(table, pause, lambda: fetch_weights(table, settings, version))
+        delay = retry_after if isinstance(retry_after, float) else RETRY_DELAY
+        call_later(table, delay, lambda: fetch_weights(table, settings, version))
 
-    table.fetches.add(answer)
-    answer.addBoth(end)
+    table.fetches.add(fetch)
+    fetch.addBoth(finish)
 
 
-def read_wait(response: Response) -> Deferred[float]:
-    """Return 0 for a download, else the seconds after which to come back."""
+def read_retry_after(response: Response) -> Deferred[float]:
+    """Return 0 for a successful download, otherwise the seconds before a retry."""
     after = response.headers.getRawHeaders("Retry-After", ["1"])[0]
-    wait = 0.0 if response.code == 200 else float(after)
+    retry_after = 0.0 if response.code == 200 else float(after)
     body: Deferred[Any] = treq.content(response)
-    return body.addCallback(lambda _: wait)
+    return body.addCallback(lambda _: retry_after)
 
 
-def wait_load(table: OrderTable, settings: EngineSettings, version: str) -> None:
-    """Wait for the time that loading takes."""
+def schedule_load(table: OrderTable, settings: EngineSettings, version: str) -> None:
+    """Finish loading a version after ``load_time`` seconds."""
     if settings.load_time <= 0:
-        end_load(table, version)
+        finish_load(table, version)
         return
 
-    call_later(table, settings.load_time, lambda: end_load(table, version))
+    call_later(table, settings.load_time, lambda: finish_load(table, version))
 
 
 def call_later(table: OrderTable, delay: float, run: Callable[[], None]) -> None:
-    """Run something later, unless the engine is stopped before."""
+    """Call ``run`` after ``delay`` seconds, unless the engine stops first."""
     table.timers = [timer for timer in table.timers if timer.active()]
     table.timers.append(get_reactor().callLater(delay, run))
 
 
-def stop_loads(table: OrderTable) -> None:
-    """Give up all loading."""
+def cancel_loads(table: OrderTable) -> None:
+    """Cancel all downloads and loading timers."""
     table.stopped = True
     for timer in table.timers:
         if timer.active():
@@ -141,8 +141,8 @@
         fetch.cancel()
 
 
-def end_load(table: OrderTable, version: str) -> None:
-    """Note that a version is there, unless a later order gave it up."""
+def finish_load(table: OrderTable, version: str) -> None:
+    """Mark a version as loaded, unless a later order dropped it."""
     if version in table.loading:
         table.loading.discard(version)
         table.loaded.add(version)
--- a/src/waxwingwell_standins/pipes.py
+++ b/src/waxwingwell_standins/pipes.py
@@ -1,4 +1,4 @@
-"""Pairs of TCP connections that pass bytes both ways, for balancer and relay."""
+"""Pairs of TCP connections that forward bytes both ways, for balancer and relay."""
 
 from __future__ import annotations
 
@@ -29,31 +29,31 @@
 
 
 @dataclass(slots=True, eq=False)
-class Pair:
-    """Two joined connections and the faults on them."""
+class ConnectionPair:
+    """A client connection, its target connection and the faults injected into them."""
 
-    ends: list[End] = field(default_factory=list)
-    silent: bool = False
-    """Drop what arrives, and keep both connections open."""
+    connections: list[PairedConnection] = field(default_factory=list)
+    blackholed: bool = False
+    """Drop all received data and keep both connections open."""
     mute: bool = False
-    """Drop what arrives over the second connection; what goes there passes."""
+    """Drop data received from the target; data sent to the target still passes."""
     delay: float = 0.0
-    waiting: list[bytes] = field(default_factory=list)
-    """Bytes that came before the second connection was made."""
+    buffered: list[bytes] = field(default_factory=list)
+    """Data received before the target connection was established."""
 
 
 @dataclass(slots=True)
 class PipeTable:
     """All open pairs of one balancer or relay."""
 
-    pairs: list[Pair] = field(default_factory=list)
-    lost: dict[End, Deferred[None]] = field(default_factory=dict)
-    """Fires when the connection has gone, for a clean stop."""
+    pairs: list[ConnectionPair] = field(default_factory=list)
+    on_closed: dict[PairedConnection, Deferred[None]] = field(default_factory=dict)
+    """Open connections; each deferred fires once its connection has closed."""
     timers: set[DelayedCall] = field(default_factory=set)
 
 
 def call_later(table: PipeTable, delay: float, run: Callable[[], None]) -> None:
-    """Run something later, unless the pipes are stopped before."""
+    """Call ``run`` after ``delay`` seconds, unless the pipes are stopped first."""
 
     def fire() -> None:
         table.timers.discard(timer)
@@ -63,157 +63,169 @@
     table.timers.add(timer)
 
 
-class End(Protocol):
-    """One connection of a pair."""
+class PairedConnection(Protocol):
+    """A connection of a pair, to the client or to the target."""
 
-    def __init__(self, table: PipeTable, pair: Pair) -> None:
-        """Belong to ``pair``."""
+    def __init__(self, table: PipeTable, pair: ConnectionPair) -> None:
+        """Create a connection of ``pair``."""
         self.table = table
         self.pair = pair
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Join the pair; the second connection takes what has come meanwhile."""
-        self.table.lost[self] = Deferred()
-        self.pair.ends.append(self)
-        if len(self.pair.ends) < 2:
+        """Join the pair; the target connection first sends the buffered data."""
+        self.table.on_closed[self] = Deferred()
+        self.pair.connections.append(self)
+        if len(self.pair.connections) < 2:
             return
 
-        first: Any = self.pair.ends[0].transport
+        first: Any = self.pair.connections[0].transport
         second: Any = self.transport
-        if self.pair.ends[0] not in self.table.lost:
+        if self.pair.connections[0] not in self.table.on_closed:
             second.abortConnection()
             return
 
-        if not self.pair.silent:
+        if not self.pair.blackholed:
             first.registerProducer(second, True)
             second.registerProducer(first, True)
 
-        second.write(b"".join(self.pair.waiting))
-        self.pair.waiting.clear()
+        second.write(b"".join(self.pair.buffered))
+        self.pair.buffered.clear()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Pass bytes on, unless the pair is silent."""
-        if self.pair.silent or (self.pair.mute and self is not self.pair.ends[0]):
+        """Forward data, unless a fault of the pair drops it."""
+        if self.pair.blackholed or (
+            self.pair.mute and self is not self.pair.connections[0]
+        ):
             return
 
-        if len(self.pair.ends) < 2:
-            self.pair.waiting.append(data)
+        if len(self.pair.connections) < 2:
+            self.pair.buffered.append(data)
             return
 
         if self.pair.delay > 0:
-            call_later(self.table, self.pair.delay, lambda: pass_on(self, data))
+            call_later(self.table, self.pair.delay, lambda: forward(self, data))
             return
 
-        pass_on(self, data)
+        forward(self, data)
 
     def connectionLost(self, reason: Failure) -> None:  # type: ignore[override]  # noqa: N802
-        """Close the other connection, unless the pair is silent."""
-        lost = self.table.lost.pop(self)
-        for end in self.pair.ends:
-            if end is not self and not self.pair.silent:
-                call_later(self.table, self.pair.delay, closer(end))
+        """Close the other connection, unless the pair is blackholed."""
+        on_closed = self.table.on_closed.pop(self)
+        for connection in self.pair.connections:
+            if connection is not self and not self.pair.blackholed:
+                call_later(self.table, self.pair.delay, make_closer(connection))
 
-        if all(end not in self.table.lost for end in self.pair.ends):
-            forget_pair(self.table, self.pair)
+        if all(
+            connection not in self.table.on_closed
+            for connection in self.pair.connections
+        ):
+            remove_pair(self.table, self.pair)
 
-        lost.callback(None)
+        on_closed.callback(None)
 
 
-def closer(end: End) -> Callable[[], None]:
-    """Return a function that closes a connection after its last bytes."""
+def make_closer(connection: PairedConnection) -> Callable[[], None]:
+    """Return a function that closes a connection once its buffered data is sent."""
 
     def close() -> None:
-        transport: Any = end.transport
-        if end in end.table.lost:
+        transport: Any = connection.transport
+        if connection in connection.table.on_closed:
             transport.unregisterProducer()
             transport.loseConnection()
 
     return close
 
 
-def pass_on(end: End, data: bytes) -> None:
-    """Write bytes to the other connection of the pair."""
-    for other in end.pair.ends:
-        if other is not end and not end.pair.silent and other in end.table.lost:
+def forward(connection: PairedConnection, data: bytes) -> None:
+    """Write data to the other connection of the pair."""
+    for other in connection.pair.connections:
+        if (
+            other is not connection
+            and not connection.pair.blackholed
+            and other in connection.table.on_closed
+        ):
             transport: Any = other.transport
             transport.write(data)
 
 
-def forget_pair(table: PipeTable, pair: Pair) -> None:
-    """Take a pair off the table."""
+def remove_pair(table: PipeTable, pair: ConnectionPair) -> None:
+    """Remove a pair from the table."""
     if pair in table.pairs:
         table.pairs.remove(pair)
 
 
-def silence_pair(pair: Pair) -> None:
-    """Let nothing more through, and keep both connections open for good.
+def blackhole_pair(pair: ConnectionPair) -> None:
+    """Drop all further data and keep both connections open indefinitely.
 
-    A registered producer would be stopped, and so closed, when the other
-    connection is lost; the caller would see an end in place of silence.
+    A producer that stays registered is stopped, and so closed, when the other
+    connection is lost; the caller would then see the connection close instead of
+    becoming unresponsive.
     """
-    pair.silent = True
-    for end in pair.ends:
-        transport: Any = end.transport
+    pair.blackholed = True
+    for connection in pair.connections:
+        transport: Any = connection.transport
         transport.unregisterProducer()
         transport.resumeProducing()
 
 
-def abort_pair(pair: Pair) -> None:
-    """Cut both connections of a pair."""
-    pair.silent = False
-    for end in list(pair.ends):
-        transport: Any = end.transport
+def abort_pair(pair: ConnectionPair) -> None:
+    """Abort both connections of a pair."""
+    pair.blackholed = False
+    for connection in list(pair.connections):
+        transport: Any = connection.transport
         transport.abortConnection()
 
 
 class Connector(ClientFactory):
-    """Makes the second connection of a pair."""
+    """Factory of the target connection of a pair."""
 
     noisy = False
 
     def __init__(
-        self, table: PipeTable, pair: Pair, on_failed: Callable[[], None]
+        self, table: PipeTable, pair: ConnectionPair, on_failed: Callable[[], None]
     ) -> None:
-        """Join ``pair``, or call ``on_failed``."""
+        """Connect ``pair`` to its target; ``on_failed`` is called if that fails."""
         self.table = table
         self.pair = pair
         self.on_failed = on_failed
 
     def buildProtocol(self, addr: Any) -> Any:  # noqa: N802
-        """Build the second connection."""
-        return End(self.table, self.pair)
+        """Build the target connection."""
+        return PairedConnection(self.table, self.pair)
 
     def clientConnectionFailed(  # noqa: N802
         self,
         connector: Any,
         reason: Failure,
     ) -> None:
-        """Tell that there is no second connection."""
+        """Report that the target connection failed."""
         self.on_failed()
 
 
 class Acceptor(Factory):
-    """Takes the first connection of each pair."""
+    """Factory of the client connection of each pair."""
 
     noisy = False
 
-    def __init__(self, table: PipeTable, on_pair: Callable[[Pair], None]) -> None:
-        """Call ``on_pair`` for each connection that comes in."""
+    def __init__(
+        self, table: PipeTable, on_pair: Callable[[ConnectionPair], None]
+    ) -> None:
+        """Call ``on_pair`` for each accepted connection."""
         self.table = table
         self.on_pair = on_pair
 
     def buildProtocol(self, addr: Any) -> Any:  # noqa: N802
-        """Build the first connection and look for the second."""
-        pair = Pair()
+        """Build the client connection and call ``on_pair`` in the next reactor turn."""
+        pair = ConnectionPair()
         self.table.pairs.append(pair)
         call_later(self.table, 0, lambda: self.on_pair(pair))
-        return End(self.table, pair)
+        return PairedConnection(self.table, pair)
 
 
 def connect_pair(
-    table: PipeTable, pair: Pair, target: str, on_failed: Callable[[], None]
+    table: PipeTable, pair: ConnectionPair, target: str, on_failed: Callable[[], None]
 ) -> None:
-    """Connect a pair to ``host:port``, unless its caller has gone already."""
+    """Connect a pair to ``host:port``, unless its client has disconnected."""
     if pair not in table.pairs:
         return
 
@@ -223,7 +235,7 @@
 
 
 def stop_pipes(table: PipeTable, listening: Any) -> Deferred[None]:
-    """Stop listening and cut every pair; fires once all have gone."""
+    """Stop listening and abort every pair; fires once all connections are closed."""
     if listening is None:
         return succeed(None)
 
@@ -231,9 +243,9 @@
         timer.cancel()
 
     table.timers.clear()
-    waits: list[Deferred[Any]] = [maybeDeferred(listening.stopListening)]
-    waits += table.lost.values()
+    pending: list[Deferred[Any]] = [maybeDeferred(listening.stopListening)]
+    pending += table.on_closed.values()
     for pair in list(table.pairs):
         abort_pair(pair)
 
-    return DeferredList(waits, consumeErrors=True).addCallback(lambda _: None)
+    return DeferredList(pending, consumeErrors=True).addCallback(lambda _: None)
--- a/src/waxwingwell_standins/prefixes.py
+++ b/src/waxwingwell_standins/prefixes.py
@@ -1,4 +1,4 @@
-"""Cache of prompt prefixes with limited memory, the least recently used go first."""
+"""Bounded LRU cache of prompt prefixes."""
 
 from __future__ import annotations
 
@@ -14,29 +14,29 @@
     from collections.abc import Iterator
 
 
-BLOCK = 256
-"""Characters in a block; a prefix is a whole number of blocks."""
+BLOCK_CHARACTERS = 256
+"""Characters in a prompt block; a prefix is a whole number of blocks."""
 
 
 @dataclass(slots=True)
 class PrefixCache:
-    """Prefixes by version, in the order of their last use."""
+    """Cached prefixes per version, least recently used first."""
 
-    limit: int
-    used: OrderedDict[tuple[str, str], None] = field(default_factory=OrderedDict)
+    max_prefixes: int
+    prefixes: OrderedDict[tuple[str, str], None] = field(default_factory=OrderedDict)
 
 
-def cut_prefixes(prompt: str) -> Iterator[str]:
-    """Yield the prefixes of a prompt, shortest first."""
-    for end in range(BLOCK, len(prompt) + 1, BLOCK):
+def split_prefixes(prompt: str) -> Iterator[str]:
+    """Yield the block-aligned prefixes of a prompt, shortest first."""
+    for end in range(BLOCK_CHARACTERS, len(prompt) + 1, BLOCK_CHARACTERS):
         yield prompt[:end]
 
 
-def count_cached(cache: PrefixCache, version: str, prompt: str) -> int:
-    """Return the prompt tokens that a cached prefix covers."""
+def count_cached_tokens(cache: PrefixCache, version: str, prompt: str) -> int:
+    """Return the number of prompt tokens covered by the longest cached prefix."""
     covered = 0
-    for prefix in cut_prefixes(prompt):
-        if (version, prefix) not in cache.used:
+    for prefix in split_prefixes(prompt):
+        if (version, prefix) not in cache.prefixes:
             break
 
         covered = len(prefix)
@@ -44,11 +44,11 @@
     return covered // CHARACTERS_PER_TOKEN
 
 
-def keep_prefixes(cache: PrefixCache, version: str, prompt: str) -> None:
-    """Remember the prefixes of a prompt, within the limit."""
-    for prefix in cut_prefixes(prompt):
-        cache.used[version, prefix] = None
-        cache.used.move_to_end((version, prefix))
+def store_prefixes(cache: PrefixCache, version: str, prompt: str) -> None:
+    """Add the prefixes of a prompt and evict those beyond the limit."""
+    for prefix in split_prefixes(prompt):
+        cache.prefixes[version, prefix] = None
+        cache.prefixes.move_to_end((version, prefix))
 
-    while len(cache.used) > cache.limit:
-        cache.used.popitem(last=False)
+    while len(cache.prefixes) > cache.max_prefixes:
+        cache.prefixes.popitem(last=False)
--- a/src/waxwingwell_standins/program.py
+++ b/src/waxwingwell_standins/program.py
@@ -1,4 +1,7 @@
-"""Run a stand-in as a program of its own: settings file in, one line out."""
+"""Runs a stand-in as a program, from a settings file.
+
+The program prints its ports as one line of JSON.
+"""
 
 from __future__ import annotations
 
@@ -25,25 +28,27 @@
 SettingsT = TypeVar("SettingsT")
 
 
-class Running(Protocol):
-    """What every stand-in's factory returns."""
+class RunningStandIn(Protocol):
+    """Interface of the objects that the start functions of the stand-ins return."""
 
     @property
     def port(self) -> int:
-        """TCP port on which it listens."""
+        """TCP port of the listener."""
 
     def stop(self) -> Deferred[None]:
-        """Stop it; fires once it has let go of everything."""
+        """Stop the stand-in; fires once it has released all its resources."""
 
 
-def run_program(kind: type[SettingsT], start: Callable[[SettingsT], Running]) -> None:
-    """Serve until a signal; prints ``{"port": n}`` once it listens."""
+def run_program(
+    settings_type: type[SettingsT], start: Callable[[SettingsT], RunningStandIn]
+) -> None:
+    """Serve until a signal arrives; prints ``{"port": n}`` once it listens."""
 
     def serve(settings: str) -> None:
-        """Serve with the JSON settings of the file."""
+        """Serve with the settings of a JSON file."""
         reactor: Any = get_reactor()
         stop_at_signals(reactor)
-        running = start(read_settings(Path(settings), kind))
+        running = start(read_settings(Path(settings), settings_type))
         reactor.addSystemEventTrigger("before", "shutdown", running.stop)
         ports = {"port": running.port}
         control = getattr(running, "control", None)
@@ -57,22 +62,22 @@
 
 
 def stop_at_signals(reactor: Any) -> None:
-    """Stop in order at a signal, also at one that comes while the stand-in starts."""
-    stopping: list[int] = []
+    """Stop cleanly on a signal, including one that arrives during startup."""
+    received: list[int] = []
 
     def handle(number: int, frame: object) -> None:
-        if not stopping:
+        if not received:
             reactor.callFromThread(reactor.stop)
 
-        stopping.append(number)
+        received.append(number)
 
     for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
         signal.signal(number, handle)
 
 
-def read_settings(path: Path, kind: type[SettingsT]) -> SettingsT:
-    """Decode a settings file, or leave with a message that names the place."""
+def read_settings(path: Path, settings_type: type[SettingsT]) -> SettingsT:
+    """Decode a settings file, or exit with a message that locates the error."""
     try:
-        return msgspec.json.decode(path.read_bytes(), type=kind)
+        return msgspec.json.decode(path.read_bytes(), type=settings_type)
     except (OSError, msgspec.DecodeError) as error:
         sys.exit(f"{path}: {error}")
--- a/src/waxwingwell_standins/rating.py
+++ b/src/waxwingwell_standins/rating.py
@@ -1,4 +1,4 @@
-"""Rating service: rates an answer from 0 to 1, by each version's true quality."""
+"""Rating service: rates answers from 0 to 1 by the true quality of a version."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class RatingRequest(msgspec.Struct, frozen=True):
-    """One answer to rate."""
+    """An answer to be rated."""
 
     version: str
     kind: str
@@ -37,7 +37,7 @@
     """A running rating service; its fields may be changed while it runs."""
 
     qualities: dict[str, float]
-    """True mean rating by version, or by ``version/kind``."""
+    """True mean rating by version, or by version and kind of work: ``version/kind``."""
     default: float
     spread: float
     delay: float
@@ -52,16 +52,16 @@
 
     @property
     def url(self) -> str:
-        """Base address."""
+        """Base URL."""
         return self.listener.url if self.listener else ""
 
     def stop(self) -> Deferred[None]:
-        """Stop at once."""
+        """Stop immediately and abort open connections."""
         return close_listener(self.listener) if self.listener else succeed(None)
 
 
 def start_rating(settings: RatingSettings) -> RatingService:
-    """Listen."""
+    """Listen and serve ratings."""
     service = RatingService(
         qualities=dict(settings.qualities),
         default=settings.default,
@@ -79,14 +79,14 @@
             )
 
         try:
-            wanted = msgspec.json.decode(read_body(request), type=RatingRequest)
+            rating_request = msgspec.json.decode(read_body(request), type=RatingRequest)
         except msgspec.DecodeError as error:
             return reply_error(
                 request, status=400, code="bad_request", message=str(error)
             )
 
         service.rated += 1
-        body = {"rating": rate_answer(service, wanted)}
+        body = {"rating": rate_answer(service, rating_request)}
         if service.delay <= 0:
             return reply_json(request, body)
 
@@ -98,11 +98,16 @@
     return service
 
 
-def rate_answer(service: RatingService, wanted: RatingRequest) -> float:
-    """Return the rating; the same answer is always rated the same."""
-    general = service.qualities.get(wanted.version, service.default)
-    mean = service.qualities.get(f"{wanted.version}/{wanted.kind}", general)
-    text = f"{wanted.version}\n{wanted.kind}\n{wanted.prompt}\n{wanted.answer}"
+def rate_answer(service: RatingService, rating_request: RatingRequest) -> float:
+    """Return the rating, which is deterministic for a given request."""
+    default_mean = service.qualities.get(rating_request.version, service.default)
+    mean = service.qualities.get(
+        f"{rating_request.version}/{rating_request.kind}", default_mean
+    )
+    text = (
+        f"{rating_request.version}\n{rating_request.kind}\n"
+        f"{rating_request.prompt}\n{rating_request.answer}"
+    )
     noise = random.Random(text).uniform(-service.spread, service.spread)
     return min(1.0, max(0.0, mean + noise))
 
--- a/src/waxwingwell_standins/relay.py
+++ b/src/waxwingwell_standins/relay.py
@@ -1,4 +1,4 @@
-"""TCP relay that makes faults: cut, silent for good, mute, refuse, delay."""
+"""Fault-injecting TCP relay: aborts, blackholes, one-way loss, refusals, delays."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 from .listener import reply_error
 from .listener import reply_json
 from .pipes import Acceptor
-from .pipes import Pair
+from .pipes import ConnectionPair
 from .pipes import PipeTable
 from .pipes import abort_pair
+from .pipes import blackhole_pair
 from .pipes import connect_pair
-from .pipes import silence_pair
 from .pipes import stop_pipes
 from .program import run_program
 from .settings import RelaySettings
@@ -37,54 +37,54 @@
     settings: RelaySettings
     delay: float
     refuse: bool = False
-    """Cut each new connection at once."""
+    """Abort each new connection immediately."""
     blackhole: bool = False
-    """Take new connections, and let nothing through on them."""
+    """Accept new connections and drop all data on them."""
     mute: bool = False
-    """Let nothing through that comes from the target; what goes there passes."""
+    """Drop data from the target; data sent to the target still passes."""
     pipes: PipeTable = field(default_factory=PipeTable)
     listening: Any = None
     control: Listener | None = None
 
     @property
     def port(self) -> int:
-        """TCP port that is relayed to the target."""
+        """TCP port whose connections are relayed to the target."""
         return int(self.listening.getHost().port)
 
     @property
     def url(self) -> str:
-        """Base address."""
+        """Base URL."""
         return f"http://{self.settings.host}:{self.port}"
 
     def silence(self) -> None:
-        """Let nothing more through on the open connections; new ones work."""
+        """Drop all further data on the open connections; new ones are unaffected."""
         for pair in self.pipes.pairs:
-            silence_pair(pair)
+            blackhole_pair(pair)
 
     def set_mute(self, mute: bool) -> None:
-        """Drop all answers from now on, or let them through again."""
+        """Drop all data from the target, or forward it again."""
         self.mute = mute
         for pair in self.pipes.pairs:
             pair.mute = mute
 
     def cut(self) -> None:
-        """Cut every open connection; new ones work."""
+        """Abort every open connection; new ones are unaffected."""
         for pair in list(self.pipes.pairs):
             abort_pair(pair)
 
     def stop(self) -> Deferred[None]:
-        """Stop at once."""
-        waits = [stop_pipes(self.pipes, self.listening)]
+        """Stop immediately and abort open connections."""
+        pending = [stop_pipes(self.pipes, self.listening)]
         if self.control is not None:
-            waits.append(close_listener(self.control))
+            pending.append(close_listener(self.control))
 
-        return gatherResults(waits).addCallback(lambda _: None)
+        return gatherResults(pending).addCallback(lambda _: None)
 
 
 def start_relay(settings: RelaySettings) -> Relay:
-    """Listen, and open the control port if the settings name one."""
+    """Listen, and open the control port if one is configured."""
     relay = Relay(settings, settings.delay)
-    acceptor = Acceptor(relay.pipes, lambda pair: join_target(relay, pair))
+    acceptor = Acceptor(relay.pipes, lambda pair: connect_target(relay, pair))
     relay.listening = get_reactor().listenTCP(
         settings.port, acceptor, interface=settings.host
     )
@@ -96,20 +96,20 @@
     return relay
 
 
-def join_target(relay: Relay, pair: Pair) -> None:
-    """Join a new connection to the target, under the faults of now."""
+def connect_target(relay: Relay, pair: ConnectionPair) -> None:
+    """Connect a new pair to the target with the current faults."""
     if relay.refuse:
         abort_pair(pair)
         return
 
-    pair.silent = relay.blackhole
+    pair.blackholed = relay.blackhole
     pair.mute = relay.mute
     pair.delay = relay.delay
     connect_pair(relay.pipes, pair, relay.settings.target, lambda: abort_pair(pair))
 
 
 class RelayOrder(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """An order over the control port; what is None stays as it is."""
+    """Fault settings sent to the control port; None leaves a setting unchanged."""
 
     silence: bool = False
     cut: bool = False
@@ -120,10 +120,10 @@
 
 
 def add_control_route(app: Klein, relay: Relay) -> None:
-    """Add ``POST /faults`` with a ``RelayOrder``."""
+    """Add ``POST /faults``, which takes a ``RelayOrder``."""
 
     @app.route("/faults", methods=["POST"])
-    def make_faults(request: Request) -> bytes:
+    def set_faults(request: Request) -> bytes:
         try:
             order = msgspec.json.decode(read_body(request), type=RelayOrder)
         except msgspec.DecodeError as error:
@@ -136,7 +136,7 @@
 
 
 def obey_faults(relay: Relay, order: RelayOrder) -> None:
-    """Make the faults that an order asks for."""
+    """Apply the faults of an order."""
     if order.silence:
         relay.silence()
 
--- a/src/waxwingwell_standins/service.py
+++ b/src/waxwingwell_standins/service.py
@@ -1,7 +1,7 @@
-"""Plain service: bookings and orders at Entoto, ventilation orders at Frío.
+"""Plain service that executes orders and bookings.
 
-Orders and bookings run again each time they are sent, as the real services do, so
-that a doubled one shows in the counts. Lookups are idempotent.
+As in the real services, an order or booking runs each time it is sent, so that a
+duplicate shows in the counts. Lookups are idempotent.
 """
 
 from __future__ import annotations
@@ -39,17 +39,18 @@
 
 
 Body = bytes | Deferred[bytes] | Deferred[None]
-REFUSAL_DELAY = 1.0
+REFUSAL_RETRY_AFTER = 1.0
+"""Retry-After of a refused request, in seconds."""
 
 
 class Record(msgspec.Struct, frozen=True):
-    """One order or booking as it is kept."""
+    """A stored order or booking."""
 
     id: str
     executions: int
-    """How often it has run; more than 1 is a doubled order."""
+    """Number of runs; more than 1 means a duplicated order."""
     request: str
-    """Request id of the last run."""
+    """Request id of the latest run."""
     body: msgspec.Raw
 
 
@@ -60,11 +61,11 @@
     settings: ServiceSettings
     faults: ServiceFaults
     records: dict[tuple[str, str], Record] = field(default_factory=dict)
-    """By collection and id."""
+    """Records by collection and id."""
     executions: Counter[str] = field(default_factory=Counter)
-    """Runs by the order's id."""
+    """Number of runs by the id of the order or booking."""
     requests: Counter[str] = field(default_factory=Counter)
-    """Runs by request id."""
+    """Number of runs by request id."""
     running: int = 0
     listener: Listener | None = None
     announcer: Announcer | None = None
@@ -76,23 +77,23 @@
 
     @property
     def url(self) -> str:
-        """Base address."""
+        """Base URL."""
         return self.listener.url if self.listener else ""
 
     def stop(self) -> Deferred[None]:
-        """Stop at once: connections are cut, nothing is announced."""
+        """Stop immediately: connections are aborted and nothing is announced."""
         return stop_service(self)
 
     def leave(self) -> Deferred[None]:
-        """Announce that the service leaves; it goes on serving."""
+        """Announce that the service leaves; it continues to serve requests."""
         if self.announcer is None:
-            raise RuntimeError("the service does not announce itself")
+            raise RuntimeError("the service has no announce settings")
 
         return self.announcer.leave()
 
 
 def start_service(settings: ServiceSettings) -> Service:
-    """Listen, and announce the service if the settings say so."""
+    """Listen, and announce the service if it has announce settings."""
     service = Service(settings, settings.faults)
     app = Klein()
     add_record_routes(app, service)
@@ -106,25 +107,25 @@
 
 
 def stop_service(service: Service) -> Deferred[None]:
-    """Stop listener and announcer."""
-    waits = []
+    """Stop the listener and the announcer."""
+    pending = []
     if service.listener is not None:
-        waits.append(close_listener(service.listener))
+        pending.append(close_listener(service.listener))
 
     if service.announcer is not None:
-        waits.append(service.announcer.stop())
+        pending.append(service.announcer.stop())
 
-    return gatherResults(waits).addCallback(lambda _: None)
+    return gatherResults(pending).addCallback(lambda _: None)
 
 
 def add_record_routes(app: Klein, service: Service) -> None:
-    """Add creation and lookup of orders and bookings."""
+    """Add the routes that create and look up orders and bookings."""
 
     @app.route("/<any(orders, bookings):collection>", methods=["POST"])
     def create(request: Request, collection: str) -> Body:
         if service.faults.refuse > 0:
             service.faults.refuse -= 1
-            return refuse_work(request)
+            return reply_overloaded(request)
 
         body = read_body(request)
         try:
@@ -135,8 +136,8 @@
             )
 
         name = named.id or named.order or get_header(request, REQUEST_ID_HEADER)
-        record = run_record(service, collection, name, request, body)
-        return answer_run(service, request, record)
+        record = execute_record(service, collection, name, request, body)
+        return reply_to_run(service, request, record)
 
     @app.route("/<any(orders, bookings):collection>", methods=["GET"])
     def show_all(request: Request, collection: str) -> Body:
@@ -158,16 +159,16 @@
 
 
 class NamedRecord(msgspec.Struct, frozen=True):
-    """The fields by which an order names itself; one of them is enough."""
+    """The fields that identify an order or booking; either one is sufficient."""
 
     id: str = ""
     order: str = ""
 
 
-def run_record(
+def execute_record(
     service: Service, collection: str, name: str, request: Request, body: bytes
 ) -> Record:
-    """Run an order or booking and count the run."""
+    """Execute an order or booking and count the run."""
     name = name or f"{collection}-{len(service.records) + 1}"
     request_id = get_header(request, REQUEST_ID_HEADER)
     service.executions[name] += 1
@@ -177,8 +178,8 @@
     return record
 
 
-def answer_run(service: Service, request: Request, record: Record) -> Body:
-    """Answer a run after the settings' delay, unless a fault keeps it back."""
+def reply_to_run(service: Service, request: Request, record: Record) -> Body:
+    """Respond to a run after the configured delay, unless a fault prevents it."""
     faults = service.faults
     if faults.drop_answers > 0:
         faults.drop_answers -= 1
@@ -197,31 +198,31 @@
     def reply() -> bytes:
         return reply_json(request, record, status=201)
 
-    def end(result: bytes) -> bytes:
+    def finish(result: bytes) -> bytes:
         service.running -= 1
         return result
 
-    answer = deferLater(get_reactor(), service.settings.delay, reply)
-    return answer.addBoth(end)
+    response = deferLater(get_reactor(), service.settings.delay, reply)
+    return response.addBoth(finish)
 
 
-def refuse_work(request: Request) -> bytes:
-    """Refuse before anything ran."""
+def reply_overloaded(request: Request) -> bytes:
+    """Return the error of a service that accepts no work; nothing was run."""
     return reply_error(
         request,
         status=503,
         code="overloaded",
         message="the service takes no work now; nothing was run",
-        retry_after=REFUSAL_DELAY,
+        retry_after=REFUSAL_RETRY_AFTER,
         not_run=True,
     )
 
 
 def describe_service(service: Service) -> Announcement:
-    """Return the service's announcement as of now."""
+    """Return the current announcement of the service."""
     settings = service.settings
     if settings.announce is None:
-        raise RuntimeError("the service does not announce itself")
+        raise RuntimeError("the service has no announce settings")
 
     return Announcement(
         upstream=UpstreamId(settings.announce.upstream),
--- a/src/waxwingwell_standins/settings.py
+++ b/src/waxwingwell_standins/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the stand-ins, as their JSON files hold them."""
+"""Settings of the stand-ins, decoded from JSON files."""
 
 from __future__ import annotations
 
@@ -10,62 +10,62 @@
 class AnnounceSettings(
     msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True
 ):
-    """How an upstream announces itself."""
+    """Settings of the announcements of an upstream."""
 
     upstream: str
     data_centre: str
     entries: tuple[str, ...]
-    """Base addresses; the next one is tried when one fails."""
+    """Base URLs of the entries; after a failure the next one is used."""
     lease: float = 3.0
-    """Seconds; it announces itself every third of that."""
+    """Lease in seconds; announcements are sent three times per lease."""
     key: str = ""
-    """Sent as a bearer token when it is not empty."""
+    """Bearer token of the announcements; none is sent if empty."""
 
 
 class EngineSettings(
     msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True
 ):
-    """Settings of a model engine; intervals in seconds, rates in tokens a second."""
+    """Settings of a model engine; times in seconds, rates in tokens per second."""
 
     versions: tuple[str, ...] = ()
-    """Versions loaded from the start."""
+    """Versions loaded at startup."""
     host: str = "127.0.0.1"
     port: int = 0
     token_interval: float = 0.0
-    """Between two tokens of one request; 0 gives the whole answer at once."""
+    """Time between two tokens of a request; 0 emits the complete response at once."""
     prefill_rate: float = 0.0
-    """Prompt tokens a second; 0 needs no time."""
+    """Prompt tokens per second; with 0, prefill takes no time."""
     slots: int = 16
-    """Requests that run side by side; the rest wait by priority."""
+    """Requests that run concurrently; others are queued by priority."""
     resume: bool = True
     cancel: bool = True
     kv_transfer: bool = False
     checks_fencing: bool = True
     load_time: float = 0.0
-    """Until an ordered version is loaded, beside the download of its weights."""
+    """Time to load an ordered version, in addition to the download of its weights."""
     weights: str = ""
-    """Base address of the weight store; empty loads without it."""
+    """Base URL of the weight store; if empty, nothing is downloaded."""
     keep: float = 60.0
-    """Time for which a stream can be resumed after its end."""
+    """Time after the end of a stream during which it can be resumed."""
     cached_prefixes: int = 256
-    """Prompt prefixes kept; a prompt that begins with one needs less prefill."""
+    """Size of the prompt prefix cache; a cached prefix needs no prefill."""
     load_lag: float = 0.0
-    """Age of the load that it reports."""
+    """Age of the reported load."""
     tick: float = 0.004
-    """Time between two steps of the engine while it has work."""
+    """Time between two steps of a busy engine."""
     faults: EngineFaults = msgspec.field(default_factory=EngineFaults)
     announce: AnnounceSettings | None = None
 
 
 class ServiceFaults(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """Faults of a plain service; each number counts down by one a fault."""
+    """Faults of a plain service; each counter is decremented per injected fault."""
 
     drop_answers: int = 0
-    """Run, then cut the connection before the answer."""
+    """Requests that run, with the connection aborted before the response."""
     silent_answers: int = 0
-    """Run, then never answer."""
+    """Requests that run and get no response."""
     refuse: int = 0
-    """Answer 503 without running."""
+    """Requests that get a 503 response without running."""
 
 
 class ServiceSettings(
@@ -74,12 +74,12 @@
     """Settings of a plain service."""
 
     service: str
-    """Name under which the router knows it, for example ``bookings``."""
+    """Service name in the router, for example ``bookings``."""
     host: str = "127.0.0.1"
     port: int = 0
     capacity: int = 32
     delay: float = 0.0
-    """Seconds from a run to its answer."""
+    """Seconds between a run and its response."""
     faults: ServiceFaults = msgspec.field(default_factory=ServiceFaults)
     announce: AnnounceSettings | None = None
 
@@ -92,10 +92,10 @@
     host: str = "127.0.0.1"
     port: int = 0
     qualities: dict[str, float] = msgspec.field(default_factory=dict)
-    """True mean rating by version, or by ``version/kind``."""
+    """True mean rating by version, or by version and kind of work: ``version/kind``."""
     default: float = 0.8
     spread: float = 0.1
-    """Ratings lie evenly within this distance of the mean."""
+    """Half the width of the uniform distribution of ratings around the mean."""
     delay: float = 0.0
     outage: bool = False
 
@@ -108,28 +108,28 @@
     host: str = "127.0.0.1"
     port: int = 0
     versions: tuple[str, ...] = ()
-    """Versions that it holds; empty holds every one."""
+    """Versions that the store holds; if empty, it holds every version."""
     rate: float = 1.0
-    """Downloads a second."""
+    """Downloads per second."""
     burst: float = 2.0
-    """Downloads at once after a pause."""
+    """Capacity of the token bucket: downloads in a burst after an idle period."""
     size: int = 4096
-    """Bytes of one version's weights."""
+    """Size of the weights of a version, in bytes."""
 
 
 class BalancerSettings(
     msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True
 ):
-    """Settings of the TCP balancer; targets are written ``host:port``."""
+    """Settings of the TCP load balancer; targets have the form ``host:port``."""
 
     targets: tuple[str, ...]
     host: str = "127.0.0.1"
     port: int = 0
     interval: float = 0.5
-    """Seconds between two health checks of a target."""
+    """Seconds between health checks of a target."""
     timeout: float = 1.0
     falls: int = 2
-    """Failed checks in a row after which a target gets no new connections."""
+    """Consecutive failed checks after which a target gets no new connections."""
 
 
 class RelaySettings(
@@ -138,10 +138,10 @@
     """Settings of the fault-injecting relay."""
 
     target: str
-    """``host:port``."""
+    """Target address, in the form ``host:port``."""
     host: str = "127.0.0.1"
     port: int = 0
     control_port: int | None = None
-    """HTTP port for orders; None opens none, 0 takes a free one."""
+    """HTTP port for fault orders; None opens none, 0 selects a free port."""
     delay: float = 0.0
-    """Seconds by which each chunk is held up."""
+    """Seconds by which each chunk of data is delayed."""
--- a/src/waxwingwell_standins/text.py
+++ b/src/waxwingwell_standins/text.py
@@ -1,4 +1,4 @@
-"""Deterministic answers: the same version and prompt give the same tokens."""
+"""Deterministic responses: the same version and prompt give the same tokens."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
     from collections.abc import Iterable
 
 
-SHORTEST = 12
-LONGEST = 48
+MIN_RESPONSE_TOKENS = 12
+MAX_RESPONSE_TOKENS = 48
 CHARACTERS_PER_TOKEN = 4
 VOCABULARY = (
     "shaft loft grip swing lie bounce carry spin tempo launch face path bin fan "
@@ -30,27 +30,31 @@
 
 
 def read_prompt(messages: Iterable[ChatMessage]) -> str:
-    """Return a chat as the one text that the answer depends on."""
+    """Join the messages of a chat into one prompt, on which the response depends."""
     return "\n".join(f"{message.role}: {message.content}" for message in messages)
 
 
 def count_tokens(text: str) -> int:
-    """Return the tokens of a text, by a fixed number of characters each."""
+    """Estimate the tokens of a text, at ``CHARACTERS_PER_TOKEN`` characters each."""
     return max(1, -(-len(text) // CHARACTERS_PER_TOKEN))
 
 
 def make_answer(
     version: str, prompt: str, max_tokens: int, *, min_tokens: int = 0
 ) -> list[str]:
-    """Return the tokens that a version answers to a prompt; joined they are the text.
+    """Generate the response tokens of a version for a prompt.
 
-    ``max_tokens`` 0 or less sets no limit. Without ``min_tokens`` an answer has
-    ``SHORTEST`` to ``LONGEST`` tokens, by version and prompt.
+    The response text is the concatenation of the tokens. A ``max_tokens`` of 0 or
+    less sets no limit. Without ``min_tokens``, a response has
+    ``MIN_RESPONSE_TOKENS`` to ``MAX_RESPONSE_TOKENS`` tokens, depending on version
+    and prompt.
     """
-    chooser = random.Random(f"{version}\n{prompt}")
-    length = max(chooser.randint(SHORTEST, LONGEST), min_tokens)
+    generator = random.Random(f"{version}\n{prompt}")
+    length = max(
+        generator.randint(MIN_RESPONSE_TOKENS, MAX_RESPONSE_TOKENS), min_tokens
+    )
     if max_tokens > 0:
         length = min(length, max_tokens)
 
-    words = chooser.choices(WORDS, k=length)
+    words = generator.choices(WORDS, k=length)
     return [f"{word} " for word in words[:-1]] + [f"{words[-1]}."]
--- a/src/waxwingwell_standins/watchers.py
+++ b/src/waxwingwell_standins/watchers.py
@@ -1,4 +1,4 @@
-"""Writes a job's events, or its whole answer, to one connection."""
+"""Writes the events of a job, or its complete response, to a connection."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 from twisted.internet.defer import Deferred
 
-from .events import encode_whole
+from .events import encode_complete_response
 from .faults import EngineFaults
-from .faults import arrange_events
+from .faults import select_events
 from .jobs import Job
 from .jobs import JobStatus
 from .listener import REQUEST_ID_HEADER
@@ -30,18 +30,18 @@
 
 @dataclass(slots=True)
 class Watcher:
-    """One connection that follows a job."""
+    """A connection that follows a job."""
 
     request: Request
     job: Job
     faults: EngineFaults
     done: Deferred[None]
     sent: int = 0
-    """Number of the last event accounted for."""
+    """Number of the last event handled, counting from 1."""
     written: int = 0
-    """Events written on this connection."""
-    mute: bool = False
-    over: bool = False
+    """Number of events written to this connection."""
+    stalled: bool = False
+    closed: bool = False
     on_event: Callable[[], None] = lambda: None
 
 
@@ -53,7 +53,7 @@
     after: int = 0,
     on_lost: Callable[[], None] = lambda: None,
 ) -> Deferred[None]:
-    """Stream the events after a number; fires at the stream's end."""
+    """Stream the events after number ``after``; fires at the end of the stream."""
     watcher = open_watcher(request, job, faults, on_lost)
     watcher.sent = after
     request.setHeader(b"Content-Type", STREAM_TYPE)
@@ -63,48 +63,48 @@
     return watcher.done
 
 
-def watch_whole(
+def watch_complete_response(
     request: Request,
     job: Job,
     faults: EngineFaults,
     *,
     on_lost: Callable[[], None] = lambda: None,
 ) -> Deferred[None]:
-    """Answer with the whole text once the job has ended."""
+    """Send the complete response once the job has ended."""
     watcher = open_watcher(request, job, faults, on_lost)
-    attach_watcher(watcher, lambda: write_whole(watcher))
+    attach_watcher(watcher, lambda: write_complete_response(watcher))
     return watcher.done
 
 
 def open_watcher(
     request: Request, job: Job, faults: EngineFaults, on_lost: Callable[[], None]
 ) -> Watcher:
-    """Return a watcher that ends when its connection is lost."""
+    """Return a watcher that is closed when its connection is lost."""
     watcher = Watcher(request, job, faults, Deferred())
     name = faults.answer_as or job.request
     request.setHeader(REQUEST_ID_HEADER.encode(), name.encode())
 
-    def lose(_: Failure) -> None:
+    def on_disconnect(_: Failure) -> None:
         close_watcher(watcher)
         on_lost()
 
-    request.notifyFinish().addErrback(lose)
+    request.notifyFinish().addErrback(on_disconnect)
     return watcher
 
 
 def attach_watcher(watcher: Watcher, on_event: Callable[[], None]) -> None:
-    """Follow the job, starting with what it has made already."""
+    """Follow the job, starting with the events emitted so far."""
     watcher.on_event = on_event
     watcher.job.watchers.append(on_event)
     on_event()
 
 
 def close_watcher(watcher: Watcher) -> None:
-    """Stop following; klein finishes the request if it is still open."""
-    if watcher.over:
+    """Stop following the job; klein finishes a request that is still open."""
+    if watcher.closed:
         return
 
-    watcher.over = True
+    watcher.closed = True
     if watcher.on_event in watcher.job.watchers:
         watcher.job.watchers.remove(watcher.on_event)
 
@@ -112,17 +112,15 @@
 
 
 def write_events(watcher: Watcher) -> None:
-    """Write what is due, as far as the faults let it through."""
-    if watcher.over or watcher.mute:
+    """Write the events that are due, subject to the injected faults."""
+    if watcher.closed or watcher.stalled:
         return
 
     job, faults = watcher.job, watcher.faults
-    due, watcher.sent = arrange_events(
-        faults, job.events, watcher.sent, ended=job.ended
-    )
+    due, watcher.sent = select_events(faults, job.events, watcher.sent, ended=job.ended)
     limits = [x for x in (faults.drop_after, faults.silent_after) if x is not None]
-    cut = bool(limits) and watcher.written + len(due) >= min(limits)
-    if cut:
+    fault_due = bool(limits) and watcher.written + len(due) >= min(limits)
+    if fault_due:
         due = due[: min(limits) - watcher.written]
 
     watcher.written += len(due)
@@ -133,16 +131,16 @@
     if data:
         watcher.request.write(data)
 
-    if cut:
-        make_fault(watcher)
+    if fault_due:
+        apply_fault(watcher)
     elif job.ended:
         close_watcher(watcher)
 
 
-def make_fault(watcher: Watcher) -> None:
-    """Cut the connection, or let it go silent for good."""
+def apply_fault(watcher: Watcher) -> None:
+    """Abort the connection, or make it unresponsive."""
     if watcher.faults.drop_after is None:
-        watcher.mute = True
+        watcher.stalled = True
         return
 
     flush_transport(watcher.request)
@@ -150,19 +148,19 @@
 
 
 def flush_transport(request: Request) -> None:
-    """Push written bytes out, since an abort would throw them away."""
+    """Flush written data, since an abort would discard it."""
     transport: Any = request.channel.transport
     transport.doWrite()
 
 
-def write_whole(watcher: Watcher) -> None:
-    """Write the whole answer once, unless a fault keeps it back."""
+def write_complete_response(watcher: Watcher) -> None:
+    """Write the complete response once, unless a fault prevents it."""
     job, faults = watcher.job, watcher.faults
-    if watcher.over or watcher.mute or not job.ended:
+    if watcher.closed or watcher.stalled or not job.ended:
         return
 
     if faults.drop_after is not None or faults.silent_after is not None:
-        make_fault(watcher)
+        apply_fault(watcher)
         return
 
     if job.status is JobStatus.CANCELLED:
@@ -172,9 +170,9 @@
     else:
         watcher.request.setHeader(b"Content-Type", JSON_TYPE)
         name = faults.answer_as or job.request
-        reason = "length" if job.cut else "stop"
+        reason = "length" if job.truncated else "stop"
         text = "".join(job.tokens)
-        body = encode_whole(name, job.version, text, reason, job.usage)
+        body = encode_complete_response(name, job.version, text, reason, job.usage)
 
     watcher.request.write(body)
     close_watcher(watcher)
--- a/src/waxwingwell_standins/weights.py
+++ b/src/waxwingwell_standins/weights.py
@@ -1,4 +1,4 @@
-"""Weight store: gives out a version's weights at a limited rate."""
+"""Weight store: serves the weights of model versions at a limited rate."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 
 @dataclass(slots=True)
 class WeightStore:
-    """A running weight store with its token bucket."""
+    """A running weight store with the token bucket of its rate limit."""
 
     settings: WeightSettings
     tokens: float
     refilled_at: float
     served: Counter[str] = field(default_factory=Counter)
-    """Downloads by version."""
+    """Number of downloads by version."""
     refused: int = 0
     listener: Listener | None = None
 
@@ -43,16 +43,16 @@
 
     @property
     def url(self) -> str:
-        """Base address."""
+        """Base URL."""
         return self.listener.url if self.listener else ""
 
     def stop(self) -> Deferred[None]:
-        """Stop at once."""
+        """Stop immediately and abort open connections."""
         return close_listener(self.listener) if self.listener else succeed(None)
 
 
 def start_weights(settings: WeightSettings) -> WeightStore:
-    """Listen, with a full bucket."""
+    """Listen; the token bucket is full at the start."""
     store = WeightStore(settings, settings.burst, get_reactor().seconds())
     app = Klein()
 
@@ -83,10 +83,10 @@
 
 
 def take_token(store: WeightStore, now: float) -> float:
-    """Take one token; return 0, or the seconds until there is one."""
+    """Take a token and return 0, or return the seconds until one is available."""
     settings = store.settings
-    gained = (now - store.refilled_at) * settings.rate
-    store.tokens = min(settings.burst, store.tokens + gained)
+    refill = (now - store.refilled_at) * settings.rate
+    store.tokens = min(settings.burst, store.tokens + refill)
     store.refilled_at = now
     if store.tokens >= 1:
         store.tokens -= 1
--- a/tests/standins/support.py
+++ b/tests/standins/support.py
@@ -1,4 +1,4 @@
-"""What the tests of the stand-ins share."""
+"""Helpers of the tests of the stand-ins."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
     from twisted.trial.unittest import TestCase as AsyncTestCase
 
 
-__all__ = ["AsyncTestCase", "Dropping", "read_cut", "read_json", "send"]
+__all__ = ["AsyncTestCase", "DisconnectingProtocol", "read_cut", "read_json", "send"]
 
 TIMEOUT = 5.0
 
 
-class Dropping(Protocol):
-    """Takes a body by cutting its connection."""
+class DisconnectingProtocol(Protocol):
+    """Body consumer that closes the connection instead of reading."""
 
     def connectionMade(self) -> None:  # noqa: N802
         if self.transport is not None:
@@ -35,7 +35,7 @@
 
 
 async def send(method: str, url: str, body: object = None, **headers: str) -> Response:
-    """Send one request on its own connection; ``_`` in a header name is a hyphen."""
+    """Send a request on its own connection; ``_`` in header names becomes ``-``."""
     named: Any = {key.replace("_", "-"): value for key, value in headers.items()}
     data = None if body is None else msgspec.json.encode(body)
     agent = make_agent(TIMEOUT)
@@ -43,12 +43,12 @@
 
 
 async def read_json(response: Response) -> Any:
-    """Return the decoded body."""
+    """Return the body of a response, decoded from JSON."""
     return msgspec.json.decode(await treq.content(response))
 
 
 async def read_cut(response: Response) -> bytes:
-    """Return what came before the connection ended, whole or cut."""
+    """Return the body received until the connection closed, complete or not."""
     parts: list[bytes] = []
     with contextlib.suppress(Exception):
         await treq.collect(response, parts.append)
--- a/tests/standins/test_engine.py
+++ b/tests/standins/test_engine.py
@@ -1,4 +1,7 @@
-"""The stand-in engine streams, resumes, cancels and obeys as the platform does."""
+"""Tests that the stand-in engine behaves like the engines of the platform.
+
+Covers streams, resume, cancel, injected faults and load orders.
+"""
 
 from __future__ import annotations
 
@@ -15,21 +18,24 @@
 from waxwingwell_standins.text import make_answer
 
 from .support import AsyncTestCase
-from .support import Dropping
+from .support import DisconnectingProtocol
 from .support import read_cut
 from .support import read_json
 from .support import send
 
 
 VERSION = "putter@1"
-ASK = {"model": VERSION, "messages": [{"role": "user", "content": "which loft?"}]}
+CHAT_REQUEST = {
+    "model": VERSION,
+    "messages": [{"role": "user", "content": "which loft?"}],
+}
 PROMPT = "user: which loft?"
-MANY = 200
-"""Requests within which a lost connection is noticed."""
+MAX_POLLS = 200
+"""Requests within which the engine must detect a lost connection."""
 
 
 def split_events(data: bytes) -> list[tuple[str, bytes]]:
-    """Return id and data of each whole event."""
+    """Return the id and data of each complete event."""
     events = []
     for block in data.split(b"\n\n")[:-1]:
         first, second = block.split(b"\n")
@@ -39,7 +45,7 @@
 
 
 def join_text(events: list[tuple[str, bytes]]) -> str:
-    """Return the text that a stream's events carry."""
+    """Return the text of the events of a stream."""
     text = ""
     for _, data in events:
         if data != b"[DONE]":
@@ -50,18 +56,21 @@
 
 
 class EngineTest(AsyncTestCase):
-    """Each test talks to an engine over loopback."""
+    """Each test sends requests to an engine over loopback."""
 
     def start(self, **settings: Any) -> Engine:
         engine = start_engine(EngineSettings(versions=(VERSION,), **settings))
         self.addCleanup(engine.stop)
         return engine
 
-    async def test_stream_is_whole(self) -> None:
+    async def test_stream_is_complete(self) -> None:
         engine = self.start()
-        ask = {**ASK, "stream": True}
+        chat_request = {**CHAT_REQUEST, "stream": True}
         response = await send(
-            "POST", engine.url + "/v1/chat/completions", ask, X_Request_Id="r-1"
+            "POST",
+            engine.url + "/v1/chat/completions",
+            chat_request,
+            X_Request_Id="r-1",
         )
         events = split_events(await treq.content(response))
         count = len(make_answer(VERSION, PROMPT, 0))
@@ -75,10 +84,10 @@
         self.assertEqual(events[-1][1], b"[DONE]")
         self.assertEqual(engine.runs, {"r-1": 1})
 
-    async def test_whole_answer(self) -> None:
+    async def test_non_streaming_response(self) -> None:
         engine = self.start()
-        ask = {**ASK, "max_tokens": 3}
-        response = await send("POST", engine.url + "/v1/chat/completions", ask)
+        chat_request = {**CHAT_REQUEST, "max_tokens": 3}
+        response = await send("POST", engine.url + "/v1/chat/completions", chat_request)
         body = await read_json(response)
         self.assertEqual(
             body["choices"][0]["message"]["content"],
@@ -86,14 +95,17 @@
         )
         self.assertEqual(body["choices"][0]["finish_reason"], "length")
 
-    async def test_resume_after_a_cut(self) -> None:
-        """A stream cut after event 4 goes on from event 5 on a new connection."""
+    async def test_resume_after_dropped_connection(self) -> None:
+        """A stream aborted after event 4 resumes from event 5 on a new connection."""
         engine = self.start(
             token_interval=0.002, faults=EngineFaults(times=1, drop_after=4)
         )
-        ask = {**ASK, "stream": True}
+        chat_request = {**CHAT_REQUEST, "stream": True}
         cut = await send(
-            "POST", engine.url + "/v1/chat/completions", ask, X_Request_Id="r-2"
+            "POST",
+            engine.url + "/v1/chat/completions",
+            chat_request,
+            X_Request_Id="r-2",
         )
         first = split_events(await read_cut(cut))
         resumed = await send("GET", engine.url + "/v1/streams/r-2?after=4")
@@ -104,43 +116,46 @@
         )
         self.assertEqual(engine.runs, {"r-2": 1})
 
-    async def test_resume_after_silence(self) -> None:
-        """A connection goes silent after event 2 and stays open; a new one works."""
+    async def test_resume_after_unresponsive_connection(self) -> None:
+        """A connection stays open but idle after event 2; a new one can resume."""
         engine = self.start(faults=EngineFaults(times=1, silent_after=2))
-        ask = {**ASK, "stream": True}
+        chat_request = {**CHAT_REQUEST, "stream": True}
         url = engine.url + "/v1/chat/completions"
-        silent = await send("POST", url, ask, X_Request_Id="r-4")
+        unresponsive = await send("POST", url, chat_request, X_Request_Id="r-4")
         parts: list[bytes] = []
-        over = treq.collect(silent, parts.append)
-        over.addErrback(lambda _: None)
+        finished = treq.collect(unresponsive, parts.append)
+        finished.addErrback(lambda _: None)
         resumed = await send("GET", engine.url + "/v1/streams/r-4?after=2")
         second = split_events(await treq.content(resumed))
-        self.assertFalse(over.called)
+        self.assertFalse(finished.called)
         first = split_events(b"".join(parts))
         self.assertEqual([name for name, _ in first], ["r-4:1", "r-4:2"])
         self.assertEqual(
             join_text(first + second), "".join(make_answer(VERSION, PROMPT, 0))
         )
 
-    async def test_caller_gone_without_resume(self) -> None:
-        """An engine that can't resume stops when its caller has gone."""
+    async def test_job_cancelled_when_caller_disconnects(self) -> None:
+        """An engine without resume cancels the job when the caller disconnects."""
         engine = self.start(token_interval=10.0, resume=False)
-        ask = {**ASK, "stream": True}
+        chat_request = {**CHAT_REQUEST, "stream": True}
         url = engine.url + "/v1/chat/completions"
-        response = await send("POST", url, ask, X_Request_Id="r-5")
-        response.deliverBody(Dropping())
-        for _ in range(MANY):
+        response = await send("POST", url, chat_request, X_Request_Id="r-5")
+        response.deliverBody(DisconnectingProtocol())
+        for _ in range(MAX_POLLS):
             await treq.content(await send("GET", engine.url + "/v1/load"))
             if not engine.tables.running:
                 break
 
         self.assertEqual(engine.tables.jobs["r-5"].status, JobStatus.CANCELLED)
 
-    async def test_cancel_ends_the_run(self) -> None:
+    async def test_cancel_ends_run(self) -> None:
         engine = self.start(token_interval=10.0)
-        ask = {**ASK, "stream": True}
+        chat_request = {**CHAT_REQUEST, "stream": True}
         response = await send(
-            "POST", engine.url + "/v1/chat/completions", ask, X_Request_Id="r-3"
+            "POST",
+            engine.url + "/v1/chat/completions",
+            chat_request,
+            X_Request_Id="r-3",
         )
         cancelled = await send("DELETE", engine.url + "/v1/streams/r-3")
         body = await read_json(cancelled)
@@ -165,7 +180,7 @@
                 response = await send(
                     "POST",
                     engine.url + "/v1/chat/completions",
-                    {**ASK, "stream": True, "max_tokens": 1},
+                    {**CHAT_REQUEST, "stream": True, "max_tokens": 1},
                     X_Request_Id="r",
                 )
                 events = split_events(await treq.content(response))
@@ -173,7 +188,7 @@
 
     async def test_refusal_does_not_run(self) -> None:
         engine = self.start(faults=EngineFaults(times=1, refuse=True))
-        refused = await send("POST", engine.url + "/v1/chat/completions", ASK)
+        refused = await send("POST", engine.url + "/v1/chat/completions", CHAT_REQUEST)
         self.assertEqual(refused.code, 503)
         self.assertEqual(refused.headers.getRawHeaders("X-Outcome"), ["not_run"])
         await treq.content(refused)
@@ -182,23 +197,23 @@
     async def test_bad_requests(self) -> None:
         cases: tuple[tuple[str, object, int], ...] = (
             ("no model", {"messages": []}, 400),
-            ("unknown version", {**ASK, "model": "driver@9"}, 404),
+            ("unknown version", {**CHAT_REQUEST, "model": "driver@9"}, 404),
             ("not an object", [1], 400),
         )
         engine = self.start()
         for name, body, status in cases:
             with self.subTest(name):
-                answer = await send("POST", engine.url + "/v1/chat/completions", body)
-                error = (await read_json(answer))["error"]
-                self.assertEqual(answer.code, status)
+                response = await send("POST", engine.url + "/v1/chat/completions", body)
+                error = (await read_json(response))["error"]
+                self.assertEqual(response.code, status)
                 self.assertTrue(error["message"])
 
-        lost = await send("GET", engine.url + "/v1/streams/unknown")
-        await treq.content(lost)
-        self.assertEqual(lost.code, 404)
+        missing = await send("GET", engine.url + "/v1/streams/unknown")
+        await treq.content(missing)
+        self.assertEqual(missing.code, 404)
 
     async def test_fencing(self) -> None:
-        """A leader behind a partition sends an old order after the new leader's."""
+        """A partitioned leader sends an outdated order after that of the new leader."""
         for checks, status, versions in (
             (True, 409, ["new@2"]),
             (False, 200, ["old@1"]),
@@ -207,16 +222,16 @@
                 engine = self.start(checks_fencing=checks)
                 for fencing, version in ((7, "new@2"), (6, "old@1")):
                     order = {"fencing": fencing, "versions": [version]}
-                    answer = await send(
+                    response = await send(
                         "PUT",
                         engine.url + "/v1/versions",
                         order,
                         X_Fencing=str(fencing),
                     )
-                    await treq.content(answer)
+                    await treq.content(response)
 
                 shown = await send("GET", engine.url + "/v1/versions")
                 body = await read_json(shown)
-                self.assertEqual(answer.code, status)
+                self.assertEqual(response.code, status)
                 self.assertEqual(body["versions"], versions)
                 self.assertEqual(body["fencing"], 7)
--- a/tests/standins/test_jobs.py
+++ b/tests/standins/test_jobs.py
@@ -1,4 +1,4 @@
-"""Jobs run by priority, in slots, at the rates that the settings give."""
+"""Tests of job scheduling: priorities, slots and token rates."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 class JobTest(unittest.TestCase):
-    """Time is an argument, so that no test waits."""
+    """The time is passed as an argument, so that no test has to wait."""
 
     def setUp(self) -> None:
         self.tables = JobTables(PrefixCache(8))
 
-    def test_priority_goes_first(self) -> None:
+    def test_jobs_start_by_priority(self) -> None:
         settings = EngineSettings(slots=1, token_interval=1.0)
         for name in ("first", "report", "tag", "order", "question"):
             job = make_job(name, "v@1", "p", max_tokens=1, priority=name)
@@ -32,16 +32,16 @@
             list(self.tables.runs), ["first", "order", "question", "tag", "report"]
         )
 
-    def test_tokens_come_at_their_interval(self) -> None:
+    def test_tokens_emitted_at_interval(self) -> None:
         settings = EngineSettings(token_interval=0.5, prefill_rate=10.0)
         job = make_job("r", "v@1", "x" * 40, min_tokens=50)
         queue_job(self.tables, job)
-        made = []
+        emitted = []
         for now in (0.0, 1.4, 1.5, 1.9, 2.0, 100.0):
             step_jobs(self.tables, settings, now)
-            made.append(job.made)
+            emitted.append(job.emitted)
 
-        self.assertEqual(made, [0, 0, 1, 1, 2, 50])
+        self.assertEqual(emitted, [0, 0, 1, 1, 2, 50])
         self.assertTrue(job.ended)
 
     def test_cached_prefix_needs_no_prefill(self) -> None:
@@ -51,5 +51,5 @@
             queue_job(self.tables, job)
             step_jobs(self.tables, settings, 0.0)
 
-        self.assertEqual([job.first_at for job in jobs], [2.0, 0.0])
-        self.assertEqual([job.cached for job in jobs], [0, 128])
+        self.assertEqual([job.first_token_at for job in jobs], [2.0, 0.0])
+        self.assertEqual([job.cached_tokens for job in jobs], [0, 128])
--- a/tests/standins/test_program.py
+++ b/tests/standins/test_program.py
@@ -1,4 +1,4 @@
-"""Settings files of the stand-ins name the place of a fault."""
+"""Tests of the stand-in programs: errors in settings files, and signals."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class SettingsTest(unittest.TestCase):
-    """A bad file ends the program with one line."""
+    """A bad settings file ends the program with one line that locates the error."""
 
     def test_files(self) -> None:
         cases = (
@@ -53,10 +53,10 @@
 
 
 class SignalTest(unittest.TestCase):
-    """A stand-in that is signalled while it starts."""
+    """Signals that arrive while a stand-in starts."""
 
-    def test_it_stops_in_order(self) -> None:
-        """Guards against a stand-in whose callers are reset as it starts."""
+    def test_stops_cleanly(self) -> None:
+        """A stand-in killed while it starts would reset its callers' connections."""
         for names in (("SIGTERM",), ("SIGHUP",), ("SIGINT", "SIGTERM")):
             with self.subTest(names), tempfile.TemporaryDirectory() as folder:
                 path = Path(folder) / "engine.json"
@@ -64,7 +64,7 @@
                 signals = "; ".join(
                     f"os.kill(os.getpid(), signal.{name})" for name in names
                 )
-                done = subprocess.run(
+                completed = subprocess.run(
                     [
                         sys.executable,
                         "-c",
@@ -76,5 +76,5 @@
                     text=True,
                     check=False,
                 )
-                self.assertEqual(done.returncode, 0, done.stderr)
-                self.assertEqual(done.stdout, '{"port":7}\nstopped\n')
+                self.assertEqual(completed.returncode, 0, completed.stderr)
+                self.assertEqual(completed.stdout, '{"port":7}\nstopped\n')
--- a/tests/standins/test_relay.py
+++ b/tests/standins/test_relay.py
@@ -1,4 +1,4 @@
-"""Balancer and relay, between a client and plain HTTP targets."""
+"""Tests of the balancer and the relay between a client and plain HTTP targets."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class RelayTest(AsyncTestCase):
-    """Each target answers its name, or red health checks."""
+    """Each target responds with its name, and may fail its health checks."""
 
     def start(self, name: str, *, ready: bool = True) -> Listener:
         app = Klein()
@@ -36,7 +36,7 @@
             return name.encode()
 
         @app.route("/begin")
-        def begin(request: Request) -> Deferred[None]:
+        def start_response(request: Request) -> Deferred[None]:
             request.write(b"begun")
             return Deferred()
 
@@ -44,7 +44,7 @@
         self.addCleanup(close_listener, target)
         return target
 
-    async def test_balancer_gives_to_ready_targets(self) -> None:
+    async def test_balancer_uses_ready_targets(self) -> None:
         targets = [self.start("a"), self.start("b", ready=False), self.start("c")]
         addresses = tuple(f"127.0.0.1:{target.port}" for target in targets)
         balancer = start_balancer(BalancerSettings(targets=addresses, interval=60.0))
@@ -52,35 +52,35 @@
         await balancer.first_check
         names = []
         for _ in range(4):
-            answer = await send("GET", balancer.url + "/name")
-            names.append(await treq.content(answer))
+            response = await send("GET", balancer.url + "/name")
+            names.append(await treq.content(response))
 
         self.assertEqual(names, [b"a", b"c", b"a", b"c"])
 
-    async def test_relay_passes_and_cuts(self) -> None:
+    async def test_relay_forwards_and_drops(self) -> None:
         target = self.start("a")
         relay = start_relay(RelaySettings(target=f"127.0.0.1:{target.port}"))
         self.addCleanup(relay.stop)
-        begun = await send("GET", relay.url + "/begin")
+        open_response = await send("GET", relay.url + "/begin")
         relay.cut()
-        self.assertEqual(await read_cut(begun), b"begun")
-        answer = await send("GET", relay.url + "/name")
-        self.assertEqual(await treq.content(answer), b"a")
+        self.assertEqual(await read_cut(open_response), b"begun")
+        response = await send("GET", relay.url + "/name")
+        self.assertEqual(await treq.content(response), b"a")
 
-    async def test_silent_connection_while_new_ones_work(self) -> None:
-        """An open connection loses all that is sent on it, and a new one works."""
+    async def test_blackholed_connection_while_new_ones_work(self) -> None:
+        """A blackholed connection drops all data and stays open; a new one works."""
         target = self.start("a")
         relay = start_relay(RelaySettings(target=f"127.0.0.1:{target.port}"))
         self.addCleanup(relay.stop)
-        begun = await send("GET", relay.url + "/begin")
+        open_response = await send("GET", relay.url + "/begin")
         parts: list[bytes] = []
-        over = treq.collect(begun, parts.append)
-        over.addErrback(lambda _: None)
+        finished = treq.collect(open_response, parts.append)
+        finished.addErrback(lambda _: None)
         relay.silence()
         await close_listener(target)
-        self.assertFalse(over.called)
+        self.assertFalse(finished.called)
         other = self.start("b")
         relay.settings = RelaySettings(target=f"127.0.0.1:{other.port}")
-        answer = await send("GET", relay.url + "/name")
-        self.assertEqual(await treq.content(answer), b"b")
-        self.assertFalse(over.called)
+        response = await send("GET", relay.url + "/name")
+        self.assertEqual(await treq.content(response), b"b")
+        self.assertFalse(finished.called)
--- a/tests/standins/test_services.py
+++ b/tests/standins/test_services.py
@@ -1,4 +1,4 @@
-"""The other stand-ins: service, ratings, weights, announcements."""
+"""Tests of the plain service, rating service, weight store and announcer."""
 
 from __future__ import annotations
 
@@ -30,22 +30,22 @@
 
 
 class ServiceTest(AsyncTestCase):
-    """The plain service counts each run of an order."""
+    """The plain service runs an order each time it is sent and counts the runs."""
 
     async def test_order_runs_each_time(self) -> None:
         service = start_service(ServiceSettings(service="bookings"))
         self.addCleanup(service.stop)
         for _ in range(2):
-            answer = await send("POST", service.url + "/orders", {"order": "clubs-7"})
-            record = await read_json(answer)
+            response = await send("POST", service.url + "/orders", {"order": "clubs-7"})
+            record = await read_json(response)
 
         shown = await read_json(await send("GET", service.url + "/orders/clubs-7"))
         self.assertEqual(service.executions["clubs-7"], 2)
         self.assertEqual(record, shown)
         self.assertEqual(shown["body"], {"order": "clubs-7"})
 
-    async def test_run_then_cut(self) -> None:
-        """The caller's answer is lost though the order ran: it may have run."""
+    async def test_connection_dropped_after_run(self) -> None:
+        """The response is lost although the order ran, so the outcome is unknown."""
         faults = ServiceFaults(drop_answers=1)
         service = start_service(ServiceSettings(service="bookings", faults=faults))
         self.addCleanup(service.stop)
@@ -58,47 +58,52 @@
         faults = ServiceFaults(refuse=1)
         service = start_service(ServiceSettings(service="bookings", faults=faults))
         self.addCleanup(service.stop)
-        answer = await send("POST", service.url + "/bookings", {"id": "b"})
-        await treq.content(answer)
-        self.assertEqual(answer.code, 503)
+        response = await send("POST", service.url + "/bookings", {"id": "b"})
+        await treq.content(response)
+        self.assertEqual(response.code, 503)
         self.assertEqual(service.executions["b"], 0)
 
 
 class RatingTest(AsyncTestCase):
-    """Ratings follow the version's quality and repeat."""
+    """Ratings depend on the quality of the version and are deterministic."""
 
     async def test_rating(self) -> None:
         service = start_rating(RatingSettings(qualities={"a@1": 0.9, "a@2": 0.2}))
         self.addCleanup(service.stop)
         ratings = []
         for version in ("a@1", "a@1", "a@2"):
-            ask = {"version": version, "kind": "tag", "prompt": "p", "answer": "x"}
-            answer = await send("POST", service.url + "/v1/ratings", ask)
-            ratings.append((await read_json(answer))["rating"])
+            rating_request = {
+                "version": version,
+                "kind": "tag",
+                "prompt": "p",
+                "answer": "x",
+            }
+            response = await send("POST", service.url + "/v1/ratings", rating_request)
+            ratings.append((await read_json(response))["rating"])
 
         self.assertEqual(ratings[0], ratings[1])
         self.assertGreater(ratings[0], ratings[2] + 0.4)
 
         service.outage = True
-        answer = await send("POST", service.url + "/v1/ratings", ask)
-        await treq.content(answer)
-        self.assertEqual(answer.code, 503)
+        response = await send("POST", service.url + "/v1/ratings", rating_request)
+        await treq.content(response)
+        self.assertEqual(response.code, 503)
 
 
 class WeightTest(AsyncTestCase):
-    """The weight store gives out no more than its rate."""
+    """The weight store enforces its rate limit."""
 
     async def test_rate_limit(self) -> None:
         store = start_weights(WeightSettings(rate=0.01, burst=1))
         self.addCleanup(store.stop)
         codes = []
         for _ in range(2):
-            answer = await send("GET", store.url + "/weights/a@1")
-            await treq.content(answer)
-            codes.append(answer.code)
+            response = await send("GET", store.url + "/weights/a@1")
+            await treq.content(response)
+            codes.append(response.code)
 
         self.assertEqual(codes, [200, 429])
-        self.assertTrue(answer.headers.hasHeader("Retry-After"))
+        self.assertTrue(response.headers.hasHeader("Retry-After"))
 
     async def test_bucket_refills(self) -> None:
         store = start_weights(WeightSettings(rate=2.0, burst=1))
@@ -107,14 +112,14 @@
         waits = [take_token(store, start + after) for after in (0.0, 0.25, 0.5)]
         self.assertEqual(waits, [0.0, 0.25, 0.0])
 
-    async def test_engine_loads_from_the_store(self) -> None:
+    async def test_engine_downloads_from_store(self) -> None:
         store = start_weights(WeightSettings())
         self.addCleanup(store.stop)
         engine = start_engine(EngineSettings(weights=store.url))
         self.addCleanup(engine.stop)
         order = {"fencing": 1, "versions": ["a@1"]}
-        answer = await send("PUT", engine.url + "/v1/versions", order)
-        self.assertEqual((await read_json(answer))["loading"], ["a@1"])
+        response = await send("PUT", engine.url + "/v1/versions", order)
+        self.assertEqual((await read_json(response))["loading"], ["a@1"])
         for _ in range(200):
             await treq.content(await send("GET", engine.url + "/v1/versions"))
             if "a@1" in engine.orders.loaded:
@@ -124,17 +129,19 @@
 
 
 class AnnouncerTest(AsyncTestCase):
-    """Announcements reach an entry, rise in sequence and say that it leaves."""
+    """Announcements reach an entry with rising sequence numbers and the leave flag."""
 
     async def test_announce_and_leave(self) -> None:
-        seen: list[Announcement] = []
+        announcements: list[Announcement] = []
         first: Deferred[None] = Deferred()
         app = Klein()
 
         @app.route("/v1/upstreams/announce", methods=["POST"])
-        def take(request: Request) -> bytes:
-            seen.append(msgspec.json.decode(read_body(request), type=Announcement))
-            if len(seen) == 1:
+        def receive_announcement(request: Request) -> bytes:
+            announcements.append(
+                msgspec.json.decode(read_body(request), type=Announcement)
+            )
+            if len(announcements) == 1:
                 first.callback(None)
 
             return b"{}"
@@ -148,7 +155,7 @@
         self.addCleanup(engine.stop)
         await first
         await engine.leave()
-        self.assertEqual([item.sequence for item in seen], [1, 2])
-        self.assertEqual([item.leaving for item in seen], [False, True])
-        self.assertEqual(seen[0].port, engine.port)
-        self.assertEqual(seen[0].versions, ("a@1",))
+        self.assertEqual([item.sequence for item in announcements], [1, 2])
+        self.assertEqual([item.leaving for item in announcements], [False, True])
+        self.assertEqual(announcements[0].port, engine.port)
+        self.assertEqual(announcements[0].versions, ("a@1",))
