--- a/src/waxwingwell_standins/balancer.py
+++ b/src/waxwingwell_standins/balancer.py
@@ -35,8 +35,8 @@
     ready: bool = False
     failures: int = 0
     """Consecutive failed health checks."""
-    connections: int = 0
-    """Connections assigned to the target so far."""
+    connection_count: int = 0
+    """Number of connections assigned to the target so far."""
     check: Deferred[None] | None = None
 
 
@@ -150,7 +150,7 @@
 
     target = ready[balancer.next_index % len(ready)]
     balancer.next_index += 1
-    target.connections += 1
+    target.connection_count += 1
     connect_pair(
         balancer.pipes,
         pair,
--- a/src/waxwingwell_standins/jobs.py
+++ b/src/waxwingwell_standins/jobs.py
@@ -50,7 +50,7 @@
     prompt: str
     tokens: list[str]
     truncated: bool
-    """True if the caller's ``max_tokens`` limits the response."""
+    """True if the caller's ``max_tokens`` ended the response."""
     prompt_tokens: int
     priority: str
     status: JobStatus = JobStatus.QUEUED
--- a/src/waxwingwell_standins/service.py
+++ b/src/waxwingwell_standins/service.py
@@ -136,7 +136,7 @@
             )
 
         name = named.id or named.order or get_header(request, REQUEST_ID_HEADER)
-        record = execute_record(service, collection, name, request, body)
+        record = record_execution(service, collection, name, request, body)
         return reply_to_run(service, request, record)
 
     @app.route("/<any(orders, bookings):collection>", methods=["GET"])
@@ -165,7 +165,7 @@
     order: str = ""
 
 
-def execute_record(
+def record_execution(
     service: Service, collection: str, name: str, request: Request, body: bytes
 ) -> Record:
     """Execute an order or booking and count the run."""
--- a/src/waxwingwell_standins/text.py
+++ b/src/waxwingwell_standins/text.py
@@ -49,12 +49,10 @@
     ``MIN_RESPONSE_TOKENS`` to ``MAX_RESPONSE_TOKENS`` tokens, depending on version
     and prompt.
     """
-    generator = random.Random(f"{version}\n{prompt}")
-    length = max(
-        generator.randint(MIN_RESPONSE_TOKENS, MAX_RESPONSE_TOKENS), min_tokens
-    )
+    rng = random.Random(f"{version}\n{prompt}")
+    length = max(rng.randint(MIN_RESPONSE_TOKENS, MAX_RESPONSE_TOKENS), min_tokens)
     if max_tokens > 0:
         length = min(length, max_tokens)
 
-    words = generator.choices(WORDS, k=length)
+    words = rng.choices(WORDS, k=length)
     return [f"{word} " for word in words[:-1]] + [f"{words[-1]}."]
--- a/tests/standins/test_engine.py
+++ b/tests/standins/test_engine.py
@@ -101,13 +101,13 @@
             token_interval=0.002, faults=EngineFaults(times=1, drop_after=4)
         )
         chat_request = {**CHAT_REQUEST, "stream": True}
-        cut = await send(
+        dropped = await send(
             "POST",
             engine.url + "/v1/chat/completions",
             chat_request,
             X_Request_Id="r-2",
         )
-        first = split_events(await read_cut(cut))
+        first = split_events(await read_cut(dropped))
         resumed = await send("GET", engine.url + "/v1/streams/r-2?after=4")
         second = split_events(await treq.content(resumed))
         self.assertEqual([name for name, _ in first], [f"r-2:{n}" for n in range(1, 5)])
