--- a/src/waxwingwell/answers/__init__.py
+++ b/src/waxwingwell/answers/__init__.py
@@ -1,3 +1,3 @@
-"""The questionnaire: answers about traffic and rules, and what follows from them."""
+"""Validation of questionnaire answers and generation of workspace configurations."""
 
 from __future__ import annotations
--- a/src/waxwingwell/answers/contradictions.py
+++ b/src/waxwingwell/answers/contradictions.py
@@ -1,4 +1,4 @@
-"""Answers that do not go together, each with its place."""
+"""Checks that find answers which contradict each other."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
     from collections.abc import Iterator
 
     from .drafts import Draft
-    from .drafts import Placed
+    from .drafts import PlacedName
     from .models import CallAnswers
 
 
 DEMO_KEY = "demo-key"
-"""Key of the demo, which only the embedded role takes."""
+"""Publicly known key of the demo workspace; only the embedded role accepts it."""
 
 MAX_FIRST_STAGE = 0.1
-"""Largest first stage that goes with exposure as the heaviest weight."""
+"""Largest share of the first roll-out stage if exposure has the highest weight."""
 
-MAX_WAIT = 30.0
-"""Longest wait in seconds that goes with latency as the heaviest weight."""
+MAX_WAIT_SECONDS = 30.0
+"""Longest queue wait in seconds that is allowed if latency has the highest weight."""
 
 
 def find_contradictions(draft: Draft) -> list[Finding]:
-    """Return every contradiction within the well-formed pieces."""
+    """Return every contradiction among the valid parts of the answers."""
     checks: tuple[Callable[[Draft], Iterator[Finding]], ...] = (
         check_names,
         check_default_kind,
@@ -41,41 +41,44 @@
         check_stages,
         check_exposure,
         check_margin,
-        check_wait,
+        check_max_wait,
         check_data_centres,
         check_keys,
     )
     return [finding for check in checks for finding in check(draft)]
 
 
-def find_repeats(names: Iterable[tuple[str, str]], what: str) -> Iterator[Finding]:
-    """Yield a finding for each name that stood before; takes place and name."""
+def find_duplicates(names: Iterable[tuple[str, str]], label: str) -> Iterator[Finding]:
+    """Yield a finding for each repeated name; ``names`` are pairs of place and name."""
     seen: dict[str, str] = {}
     for place, name in names:
         if name in seen:
-            yield Finding(place, f"{what} {name!r} stands at {seen[name]} already")
+            yield Finding(place, f"{label} {name!r} stands at {seen[name]} already")
         else:
             seen[name] = place
 
 
-def list_names(draft: Draft) -> list[tuple[str, str]]:
-    """Return place and name of every kind and call."""
-    return place_names(draft.kind_names + draft.call_names)
+def list_kind_and_call_names(draft: Draft) -> list[tuple[str, str]]:
+    """Return the place and name of every kind of work and every call."""
+    return unpack_names(draft.kind_names + draft.call_names)
 
 
-def place_names(names: Iterable[Placed]) -> list[tuple[str, str]]:
-    """Return place and name of each."""
+def unpack_names(names: Iterable[PlacedName]) -> list[tuple[str, str]]:
+    """Return the place and name of each item as a pair."""
     return [(item.place, item.name) for item in names]
 
 
 def check_names(draft: Draft) -> Iterator[Finding]:
-    """Kinds and calls share one set of names, since ``who_waits`` uses both."""
-    yield from find_repeats(list_names(draft), "the name")
-    yield from find_repeats(place_names(draft.services), "the service")
+    """Check that names are unique.
+
+    Kinds and calls share one namespace, since ``who_waits`` refers to both.
+    """
+    yield from find_duplicates(list_kind_and_call_names(draft), "the name")
+    yield from find_duplicates(unpack_names(draft.services), "the service")
 
 
 def check_default_kind(draft: Draft) -> Iterator[Finding]:
-    """Check that the default kind is one of the kinds."""
+    """Check that the default kind is one of the declared kinds."""
     names = [item.name for item in draft.kind_names]
     if draft.default_kind is not None and draft.default_kind not in names:
         message = f"{draft.default_kind!r} is none of the kinds"
@@ -83,7 +86,7 @@
 
 
 def check_calls(draft: Draft) -> Iterator[Finding]:
-    """Find calls that are repeatable here and not there."""
+    """Find calls that are declared twice, also with different ``repeatable``."""
     seen: dict[tuple[str, str, str], tuple[str, CallAnswers]] = {}
     for place, service, call in draft.calls:
         for method in call.methods:
@@ -100,8 +103,8 @@
 
 
 def check_groups(draft: Draft) -> Iterator[Finding]:
-    """Each kind and call stands in one group."""
-    names = list_names(draft)
+    """Check that each kind and call belongs to exactly one group of ``who_waits``."""
+    names = list_kind_and_call_names(draft)
     known = {name for _, name in names}
     groups: dict[str, tuple[int, str]] = {}
     for number, item in draft.who_waits:
@@ -127,9 +130,9 @@
 
 
 def check_models(draft: Draft) -> Iterator[Finding]:
-    """No version is both allowed and never allowed."""
-    yield from find_repeats(place_names(draft.allowed), "the version")
-    yield from find_repeats(place_names(draft.never), "the name")
+    """Check that no version is both allowed and excluded."""
+    yield from find_duplicates(unpack_names(draft.allowed), "the version")
+    yield from find_duplicates(unpack_names(draft.never), "the name")
     never = {item.name: item.place for item in draft.never}
     for item in draft.allowed:
         model = item.name.partition("@")[0]
@@ -140,7 +143,7 @@
 
 
 def check_weights(draft: Draft) -> Iterator[Finding]:
-    """Something matters."""
+    """Check that at least one weight is positive."""
     weights = draft.weights
     if weights is None:
         return
@@ -150,7 +153,7 @@
 
 
 def check_stages(draft: Draft) -> Iterator[Finding]:
-    """Stages rise and end with every session; a ready-made pace has its own."""
+    """Check that stages rise to 1 and aren't combined with a predefined pace."""
     rollout = draft.rollout
     if rollout is None or rollout.stages is None:
         return
@@ -171,7 +174,7 @@
 
 
 def check_exposure(draft: Draft) -> Iterator[Finding]:
-    """Whoever weighs exposure most does not begin with a large share."""
+    """Check that the first stage is small if exposure has the highest weight."""
     weights, rollout = draft.weights, draft.rollout
     if weights is None or rollout is None:
         return
@@ -191,7 +194,10 @@
 
 
 def check_margin(draft: Draft) -> Iterator[Finding]:
-    """Check that a version which loses the margin has some quality left."""
+    """Check that the margin is smaller than each quality target.
+
+    Otherwise no rating could be low enough for a version to count as bad.
+    """
     if draft.rollout is None or draft.rollout.margin is None:
         return
 
@@ -204,32 +210,32 @@
             yield Finding("rollout.margin", message)
 
 
-def check_wait(draft: Draft) -> Iterator[Finding]:
-    """Whoever weighs latency most does not let callers wait for long."""
+def check_max_wait(draft: Draft) -> Iterator[Finding]:
+    """Check that the longest wait is short if latency has the highest weight."""
     weights, limits = draft.weights, draft.limits
     if weights is None or limits is None:
         return
 
     heaviest = weights.latency > max(weights.cost, weights.exposure)
-    if heaviest and limits.max_wait_seconds > MAX_WAIT:
+    if heaviest and limits.max_wait_seconds > MAX_WAIT_SECONDS:
         message = (
             f"weights.latency weighs most, but a caller may wait "
-            f"{limits.max_wait_seconds:g} s; {MAX_WAIT:g} or less goes with it"
+            f"{limits.max_wait_seconds:g} s; {MAX_WAIT_SECONDS:g} or less goes with it"
         )
         yield Finding("limits.max_wait_seconds", message)
 
 
 def check_data_centres(draft: Draft) -> Iterator[Finding]:
-    """Each data centre is named once."""
-    yield from find_repeats(place_names(draft.data_centres), "the data centre")
+    """Check that each data centre is listed once."""
+    yield from find_duplicates(unpack_names(draft.data_centres), "the data centre")
 
 
 def check_keys(draft: Draft) -> Iterator[Finding]:
-    """Names and digests are used once, and the demo's key not at all."""
-    yield from find_repeats(
+    """Check that key names and digests are unique and the demo key isn't used."""
+    yield from find_duplicates(
         [(f"{place}.name", key.name) for place, key in draft.keys], "the key"
     )
-    yield from find_repeats(
+    yield from find_duplicates(
         [(f"{place}.sha256", key.sha256) for place, key in draft.keys], "the digest"
     )
     demo = hash_key(DEMO_KEY)
--- a/src/waxwingwell/answers/differences.py
+++ b/src/waxwingwell/answers/differences.py
@@ -1,4 +1,4 @@
-"""Differences in behaviour between two configurations, in readable lines."""
+"""Human-readable differences in behaviour between two configurations."""
 
 from __future__ import annotations
 
@@ -25,19 +25,21 @@
 def describe_differences(
     old: WorkspaceConfig | None, new: WorkspaceConfig
 ) -> tuple[str, ...]:
-    """Return what changes for callers, one line each; empty if nothing does."""
+    """Return one line for each change that callers notice; empty if there is none."""
     if old is None:
         return tuple(describe_workspace(new))
 
-    parts: tuple[Callable[[WorkspaceConfig, WorkspaceConfig], Iterator[str]], ...] = (
+    comparisons: tuple[
+        Callable[[WorkspaceConfig, WorkspaceConfig], Iterator[str]], ...
+    ] = (
         compare_versions,
         compare_kinds,
         compare_rules,
         compare_keys,
-        compare_places,
+        compare_data_centres,
     )
-    lines = [line for part in parts for line in part(old, new)]
-    lines += compare_weighing(old.weighing, new.weighing)
+    lines = [line for compare in comparisons for line in compare(old, new)]
+    lines += compare_weights(old.weighing, new.weighing)
     lines += compare_limits(old.limits, new.limits)
     lines += compare_paces(old.pace, new.pace)
     if old.default_kind != new.default_kind:
@@ -50,23 +52,23 @@
 
 
 def describe_workspace(new: WorkspaceConfig) -> Iterator[str]:
-    """Yield what a new workspace does."""
+    """Yield lines that describe a new workspace."""
     yield f"workspace {new.workspace} is new"
     yield f"may run on: {', '.join(new.allowed)}"
     for kind in new.kinds:
         yield f"{kind.name}: {describe_kind(kind)}"
 
     for rule in new.services:
-        yield f"{name_rule(rule)}: {describe_rule(rule)}"
+        yield f"{describe_calls(rule)}: {describe_rule(rule)}"
 
     for key in new.keys:
         yield f"key {key.name} ({key.role}) is {describe_key(key)}"
 
-    yield describe_places(new)
+    yield describe_data_centres(new)
 
 
 def compare_versions(old: WorkspaceConfig, new: WorkspaceConfig) -> Iterator[str]:
-    """Yield versions that are allowed now, or no longer."""
+    """Yield versions that were added to or removed from the allowed ones."""
     for version in new.allowed:
         if version not in old.allowed:
             yield f"{version}: refused -> allowed"
@@ -77,7 +79,7 @@
 
 
 def compare_kinds(old: WorkspaceConfig, new: WorkspaceConfig) -> Iterator[str]:
-    """Yield changes of the kinds of work."""
+    """Yield added, removed and changed kinds of work."""
     before = {kind.name: kind for kind in old.kinds}
     after = {kind.name: kind for kind in new.kinds}
     for name, kind in after.items():
@@ -99,7 +101,7 @@
         yield f"{new.name}: quality target {change}"
 
     if old.priority != new.priority:
-        yield f"{new.name}: {describe_move(old.priority, new.priority)}"
+        yield f"{new.name}: {describe_priority_change(old.priority, new.priority)}"
 
     if old.waits_for_whole != new.waits_for_whole:
         yield (
@@ -109,9 +111,9 @@
 
 
 def compare_rules(old: WorkspaceConfig, new: WorkspaceConfig) -> Iterator[str]:
-    """Yield changes of the rules for calls, method by method."""
-    before = spread_rules(old.services)
-    after = spread_rules(new.services)
+    """Yield added, removed and changed rules of service calls, per HTTP method."""
+    before = index_rules(old.services)
+    after = index_rules(new.services)
     for name, rule in after.items():
         if name not in before:
             yield f"{name}: new; {describe_rule(rule)}"
@@ -119,11 +121,13 @@
 
         first = before[name]
         if first.repeatable != rule.repeatable:
-            change = f"{describe_repeat(first)} -> {describe_repeat(rule)}"
+            change = (
+                f"{describe_repeatability(first)} -> {describe_repeatability(rule)}"
+            )
             yield f"{name}: {change}"
 
         if first.priority != rule.priority:
-            yield f"{name}: {describe_move(first.priority, rule.priority)}"
+            yield f"{name}: {describe_priority_change(first.priority, rule.priority)}"
 
     for name in before:
         if name not in after:
@@ -131,7 +135,7 @@
 
 
 def compare_keys(old: WorkspaceConfig, new: WorkspaceConfig) -> Iterator[str]:
-    """Yield keys that come, go, or change."""
+    """Yield added, removed and changed keys."""
     before = {key.name: key for key in old.keys}
     after = {key.name: key for key in new.keys}
     for name, key in after.items():
@@ -154,14 +158,14 @@
             yield f"key {name}: gone; it is refused"
 
 
-def compare_places(old: WorkspaceConfig, new: WorkspaceConfig) -> Iterator[str]:
-    """Yield a change of the data centres."""
+def compare_data_centres(old: WorkspaceConfig, new: WorkspaceConfig) -> Iterator[str]:
+    """Yield a line if the set of allowed data centres changed."""
     if set(old.data_centres) != set(new.data_centres):
-        yield f"{describe_places(old)} -> {describe_places(new)}"
+        yield f"{describe_data_centres(old)} -> {describe_data_centres(new)}"
 
 
-def compare_weighing(old: Weighing, new: Weighing) -> Iterator[str]:
-    """Yield a change of the weights' ratio, as shares of the whole."""
+def compare_weights(old: Weighing, new: Weighing) -> Iterator[str]:
+    """Yield changed weights as percentages of their sum, as only the ratio matters."""
     before = (old.cost, old.latency, old.exposure)
     after = (new.cost, new.latency, new.exposure)
     shares = [
@@ -192,7 +196,7 @@
 
 
 def compare_paces(old: RolloutPace, new: RolloutPace) -> Iterator[str]:
-    """Yield changes of the roll-out pace, which hold for the next roll-out."""
+    """Yield changes of the roll-out pace, which take effect with the next roll-out."""
     if old.stages != new.stages:
         change = f"{describe_stages(old)} -> {describe_stages(new)}"
         yield f"roll-out stages: {change}"
@@ -207,8 +211,8 @@
             yield f"{name}: {first:g} -> {second:g}"
 
 
-def spread_rules(rules: Iterable[ServiceRule]) -> dict[str, ServiceRule]:
-    """Return the rules by method, service and path."""
+def index_rules(rules: Iterable[ServiceRule]) -> dict[str, ServiceRule]:
+    """Return the rules keyed by method, service and path prefix."""
     return {
         f"{method} {rule.service}{rule.path_prefix}": rule
         for rule in rules
@@ -216,52 +220,52 @@
     }
 
 
-def name_rule(rule: ServiceRule) -> str:
-    """Return the calls that a rule is about."""
+def describe_calls(rule: ServiceRule) -> str:
+    """Return the methods and path prefix that a rule applies to."""
     return f"{','.join(rule.methods)} {rule.service}{rule.path_prefix}"
 
 
 def describe_kind(kind: WorkKind) -> str:
-    """Return a kind of work's behaviour."""
+    """Return a summary of a kind of work."""
     waiting = describe_waiting(kind.waits_for_whole)
     target = f"quality target {kind.quality_target:g}"
-    return f"{target}, {describe_rank(kind.priority)}, {waiting}"
+    return f"{target}, {describe_priority(kind.priority)}, {waiting}"
 
 
 def describe_rule(rule: ServiceRule) -> str:
-    """Return a rule's behaviour."""
-    return f"{describe_repeat(rule)}, {describe_rank(rule.priority)}"
+    """Return a summary of a rule."""
+    return f"{describe_repeatability(rule)}, {describe_priority(rule.priority)}"
 
 
-def describe_repeat(rule: ServiceRule) -> str:
-    """Return how often a call may run."""
+def describe_repeatability(rule: ServiceRule) -> str:
+    """Return whether a call may run more than once."""
     return "may be repeated" if rule.repeatable else "runs at most once"
 
 
 def describe_waiting(waits_for_whole: bool) -> str:
-    """Return how its callers get the answer."""
+    """Return whether callers get a complete or a streamed response."""
     return "waits for a whole answer" if waits_for_whole else "streams at once"
 
 
-def describe_rank(priority: Priority) -> str:
-    """Return a place in the queue."""
+def describe_priority(priority: Priority) -> str:
+    """Return the group, counted from 1, in which a priority is served."""
     return f"served in group {PRIORITY_ORDER.index(priority) + 1}"
 
 
-def describe_move(old: Priority, new: Priority) -> str:
-    """Return a move in the queue."""
+def describe_priority_change(old: Priority, new: Priority) -> str:
+    """Return a change of priority as a change of group."""
     first, second = PRIORITY_ORDER.index(old) + 1, PRIORITY_ORDER.index(new) + 1
     word = "earlier" if second < first else "later"
     return f"served {word}, group {first} -> {second}"
 
 
 def describe_key(key: KeyHash) -> str:
-    """Return whether a key is accepted."""
+    """Return whether a key is accepted or revoked."""
     return "revoked" if key.revoked else "accepted"
 
 
-def describe_places(config: WorkspaceConfig) -> str:
-    """Return where the work may run."""
+def describe_data_centres(config: WorkspaceConfig) -> str:
+    """Return the data centres in which the work may run."""
     if not config.data_centres:
         return "runs in every data centre"
 
@@ -269,5 +273,5 @@
 
 
 def describe_stages(pace: RolloutPace) -> str:
-    """Return the stages as shares."""
+    """Return the stages as percentages of new sessions."""
     return ", ".join(f"{stage * 100:g}%" for stage in pace.stages)
--- a/src/waxwingwell/answers/drafts.py
+++ b/src/waxwingwell/answers/drafts.py
@@ -1,4 +1,4 @@
-"""Reads answers piece by piece, so that one bad piece hides no other finding."""
+"""Parses each part of the answers separately, so that one error hides no other."""
 
 from __future__ import annotations
 
@@ -27,15 +27,15 @@
     from collections.abc import Sequence
 
 
-MAX_NAME = 200
-"""Longer texts are no names; the check of form reports them."""
+MAX_NAME_LENGTH = 200
+"""Characters of a name; schema validation reports longer ones."""
 
-PieceT = TypeVar("PieceT")
+ValueT = TypeVar("ValueT")
 
 
 @dataclass(frozen=True, slots=True)
-class Placed:
-    """Where a named thing stands."""
+class PlacedName:
+    """A name and its place, a dotted path in the answers."""
 
     place: str
     name: str
@@ -43,21 +43,21 @@
 
 @dataclass(slots=True)
 class Draft:
-    """The pieces of some answers that are well formed, with their places."""
+    """The parts of the answers that are valid by themselves, with their places."""
 
     kinds: list[tuple[str, KindAnswers]] = field(default_factory=list)
-    kind_names: list[Placed] = field(default_factory=list)
-    """Names of all kinds, also of those that are not well formed otherwise."""
-    call_names: list[Placed] = field(default_factory=list)
-    services: list[Placed] = field(default_factory=list)
+    kind_names: list[PlacedName] = field(default_factory=list)
+    """Names of all kinds, including kinds that are invalid otherwise."""
+    call_names: list[PlacedName] = field(default_factory=list)
+    services: list[PlacedName] = field(default_factory=list)
     calls: list[tuple[str, str, CallAnswers]] = field(default_factory=list)
-    """Place, service and call."""
+    """Tuples of place, service name and call."""
     keys: list[tuple[str, KeyAnswers]] = field(default_factory=list)
-    who_waits: list[tuple[int, Placed]] = field(default_factory=list)
-    """Number of the group and the name in it."""
-    allowed: list[Placed] = field(default_factory=list)
-    never: list[Placed] = field(default_factory=list)
-    data_centres: list[Placed] = field(default_factory=list)
+    who_waits: list[tuple[int, PlacedName]] = field(default_factory=list)
+    """Pairs of a group's index and a name in that group."""
+    allowed: list[PlacedName] = field(default_factory=list)
+    never: list[PlacedName] = field(default_factory=list)
+    data_centres: list[PlacedName] = field(default_factory=list)
     weights: WeightAnswers | None = None
     limits: LimitAnswers | None = None
     rollout: RolloutAnswers | None = None
@@ -65,42 +65,45 @@
 
 
 def validate_answers(raw: dict[str, Any]) -> tuple[Answers | None, list[Finding]]:
-    """Validate the whole; every fault of form becomes a finding."""
+    """Validate against the schema; every validation error becomes a finding."""
     try:
         return Answers.model_validate_json(json.dumps(raw)), []
     except ValidationError as error:
         return None, [
-            Finding(join_place(item["loc"]), describe_fault(item["type"], item["msg"]))
+            Finding(
+                format_place(item["loc"]),
+                describe_validation_error(item["type"], item["msg"]),
+            )
             for item in error.errors(include_url=False)
         ]
 
 
-def join_place(parts: Sequence[int | str]) -> str:
-    """Return a dotted place."""
+def format_place(parts: Sequence[int | str]) -> str:
+    """Return the place of a value as a dotted path."""
     return ".".join(str(part) for part in parts) or "answers"
 
 
-def describe_fault(kind: str, message: str) -> str:
-    """Return a fault of form in plain words."""
-    if kind == "missing":
+def describe_validation_error(error_type: str, message: str) -> str:
+    """Return the message of a validation error in terms of the questionnaire."""
+    if error_type == "missing":
         return "this question is not answered"
 
-    if kind == "extra_forbidden":
+    if error_type == "extra_forbidden":
         return "there is no such question"
 
     return message[:1].lower() + message[1:]
 
 
 def read_draft(raw: dict[str, Any]) -> Draft:
-    """Return the pieces that are well formed, each read on its own."""
+    """Return the valid parts of the answers, each validated separately."""
     draft = Draft()
     draft.kinds = read_items(raw, "kinds", KindAnswers)
     draft.kind_names = read_name_fields(raw.get("kinds"), "kinds")
     draft.keys = read_items(raw, "keys", KeyAnswers)
-    draft.weights = read_piece(raw.get("weights", {}), WeightAnswers)
-    draft.limits = read_piece(raw.get("limits", {}), LimitAnswers)
-    draft.rollout = read_piece(raw.get("rollout", {}), RolloutAnswers)
-    draft.default_kind = read_piece(raw.get("default_kind"), str)
+    draft.weights = read_value(raw.get("weights", {}), WeightAnswers)
+    draft.limits = read_value(raw.get("limits", {}), LimitAnswers)
+    draft.rollout = read_value(raw.get("rollout", {}), RolloutAnswers)
+    draft.default_kind = read_value(raw.get("default_kind"), str)
     draft.data_centres = read_names(raw.get("data_centres"), "data_centres")
     read_models(draft, raw.get("models"))
     read_services(draft, raw.get("services"))
@@ -108,60 +111,60 @@
     return draft
 
 
-def read_piece(raw: object, kind: type[PieceT]) -> PieceT | None:
-    """Return one piece, or None if it is not well formed."""
+def read_value(raw: object, value_type: type[ValueT]) -> ValueT | None:
+    """Return one validated value, or None if it is invalid."""
     try:
-        return TypeAdapter(kind).validate_json(json.dumps(raw), strict=True)
+        return TypeAdapter(value_type).validate_json(json.dumps(raw), strict=True)
     except ValidationError:
         return None
 
 
 def read_items(
-    raw: dict[str, Any], name: str, kind: type[PieceT]
-) -> list[tuple[str, PieceT]]:
-    """Return the well-formed items of a list with their places."""
+    raw: dict[str, Any], name: str, value_type: type[ValueT]
+) -> list[tuple[str, ValueT]]:
+    """Return the valid items of a list with their places."""
     items = []
-    for place, value in place_items(raw.get(name), name):
-        piece = read_piece(value, kind)
-        if piece is not None:
-            items.append((place, piece))
+    for place, value in enumerate_items(raw.get(name), name):
+        item = read_value(value, value_type)
+        if item is not None:
+            items.append((place, item))
 
     return items
 
 
-def place_items(raw: object, place: str) -> list[tuple[str, Any]]:
-    """Return the items of a list with their places; none if it is no list."""
+def enumerate_items(raw: object, place: str) -> list[tuple[str, Any]]:
+    """Return the items of a list with their places; none if ``raw`` isn't a list."""
     if not isinstance(raw, list):
         return []
 
     return [(f"{place}.{index}", value) for index, value in enumerate(raw)]
 
 
-def read_names(raw: object, place: str) -> list[Placed]:
-    """Return the texts of a list with their places."""
+def read_names(raw: object, place: str) -> list[PlacedName]:
+    """Return the strings of a list that are short enough for names, with places."""
     return [
-        Placed(where, value)
-        for where, value in place_items(raw, place)
-        if isinstance(value, str) and len(value) <= MAX_NAME
+        PlacedName(where, value)
+        for where, value in enumerate_items(raw, place)
+        if isinstance(value, str) and len(value) <= MAX_NAME_LENGTH
     ]
 
 
-def read_name_fields(raw: object, place: str) -> list[Placed]:
-    """Return the name of each object in a list."""
+def read_name_fields(raw: object, place: str) -> list[PlacedName]:
+    """Return the ``name`` of each object in a list, with its place."""
     names = [
         (f"{where}.name", value.get("name"))
-        for where, value in place_items(raw, place)
+        for where, value in enumerate_items(raw, place)
         if isinstance(value, dict)
     ]
     return [
-        Placed(where, name)
+        PlacedName(where, name)
         for where, name in names
-        if isinstance(name, str) and len(name) <= MAX_NAME
+        if isinstance(name, str) and len(name) <= MAX_NAME_LENGTH
     ]
 
 
 def read_models(draft: Draft, raw: object) -> None:
-    """Read the versions that are allowed and those that never are."""
+    """Add the allowed versions and the excluded models and versions to ``draft``."""
     if not isinstance(raw, dict):
         return
 
@@ -171,9 +174,9 @@
 
 
 def read_services(draft: Draft, raw: object) -> None:
-    """Read the services' names and each of their calls."""
+    """Add the names of the services and their valid calls to ``draft``."""
     draft.services = read_name_fields(raw, "services")
-    for place, service in place_items(raw, "services"):
+    for place, service in enumerate_items(raw, "services"):
         if not isinstance(service, dict):
             continue
 
@@ -185,6 +188,6 @@
 
 
 def read_groups(draft: Draft, raw: object) -> None:
-    """Read the groups of who waits for whom."""
-    for index, (place, group) in enumerate(place_items(raw, "who_waits")):
+    """Add the priority groups of ``who_waits`` to ``draft``."""
+    for index, (place, group) in enumerate(enumerate_items(raw, "who_waits")):
         draft.who_waits += [(index, name) for name in read_names(group, place)]
--- a/src/waxwingwell/answers/findings.py
+++ b/src/waxwingwell/answers/findings.py
@@ -1,4 +1,4 @@
-"""Checks answers and reports every finding together, each with its place."""
+"""Validates answers and reports all findings at once, each with its place."""
 
 from __future__ import annotations
 
@@ -26,16 +26,16 @@
 
 
 MAX_ANSWER_BYTES = 256 * 1024
-"""Larger answers are refused unread."""
+"""Larger documents are refused without being parsed."""
 
 MAX_DEPTH = 12
-"""Answers need fewer levels."""
+"""Levels of nesting; valid answers have fewer."""
 
-MAX_KEY = 80
-"""Characters of a key that a place shows."""
+MAX_KEY_LENGTH = 80
+"""Characters of an object key that are shown in a place; the rest is cut off."""
 
-WHOLE = "answers"
-"""Place of a finding about the whole."""
+ROOT_PLACE = "answers"
+"""Place of a finding about the whole document."""
 
 
 def check_answers(
@@ -44,20 +44,20 @@
     versions: Collection[str] | None,
     data_centres: Collection[str] | None = None,
 ) -> Result[Answers, tuple[Finding, ...]]:
-    """Return the answers, or every finding about them.
+    """Return the validated answers, or every finding about them.
 
-    ``versions`` are the known version ids and ``data_centres`` the known data
-    centres; None if they are not known here, and then they are not checked.
+    ``versions`` are the registered version ids and ``data_centres`` the existing
+    data centres. A check is skipped if its argument is None.
     """
     raw, findings = parse_answers(data)
     if raw is None:
         return Failure(tuple(findings))
 
-    answers, faults = validate_answers(raw)
+    answers, schema_findings = validate_answers(raw)
     draft = read_draft(raw)
-    findings += faults
+    findings += schema_findings
     findings += find_contradictions(draft)
-    findings += find_unknown(draft, versions, data_centres)
+    findings += find_unknown_names(draft, versions, data_centres)
     if findings or answers is None:
         return Failure(tuple(dict.fromkeys(findings)))
 
@@ -65,53 +65,55 @@
 
 
 def parse_answers(data: bytes) -> tuple[dict[str, Any] | None, list[Finding]]:
-    """Return the JSON object, and findings about keys that stand twice."""
+    """Return the JSON object, and findings about duplicate keys and deep nesting."""
     if len(data) > MAX_ANSWER_BYTES:
         message = f"{len(data)} bytes are more than {MAX_ANSWER_BYTES}"
-        return None, [Finding(WHOLE, message)]
+        return None, [Finding(ROOT_PLACE, message)]
 
-    repeats: dict[int, list[str]] = {}
+    duplicates: dict[int, list[str]] = {}
 
-    def collect(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
-        found = dict(pairs)
-        if len(found) < len(pairs):
+    def build_object(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+        mapping = dict(pairs)
+        if len(mapping) < len(pairs):
             keys = [key for key, _ in pairs]
-            repeats[id(found)] = [key for key in found if keys.count(key) > 1]
+            duplicates[id(mapping)] = [key for key in mapping if keys.count(key) > 1]
 
-        return found
+        return mapping
 
-    def refuse(text: str) -> float:
+    def reject_constant(text: str) -> float:
         raise ValueError(f"{text} is not a number of JSON")
 
     try:
-        raw = json.loads(data, object_pairs_hook=collect, parse_constant=refuse)
+        raw = json.loads(
+            data, object_pairs_hook=build_object, parse_constant=reject_constant
+        )
     except json.JSONDecodeError as error:
         place = f"line {error.lineno}, column {error.colno}"
         return None, [Finding(place, f"this is not JSON: {error.msg}")]
     except UnicodeDecodeError as error:
         return None, [Finding(f"byte {error.start}", "this is not UTF-8")]
     except (ValueError, RecursionError) as error:
-        return None, [Finding(WHOLE, str(error))]
+        return None, [Finding(ROOT_PLACE, str(error))]
 
     if not isinstance(raw, dict):
-        return None, [Finding(WHOLE, "answers are a JSON object")]
+        return None, [Finding(ROOT_PLACE, "answers are a JSON object")]
 
-    return raw, list(walk_faults(raw, repeats, ()))
+    return raw, list(check_structure(raw, duplicates, ()))
 
 
-def walk_faults(
-    value: object, repeats: dict[int, list[str]], place: tuple[str, ...]
+def check_structure(
+    value: object, duplicates: dict[int, list[str]], place: tuple[str, ...]
 ) -> Iterator[Finding]:
-    """Yield findings about keys that stand twice and nesting that goes too deep.
+    """Yield findings about duplicate keys and nesting that is too deep.
 
-    ``repeats`` holds the repeated keys of an object by its identity.
+    ``duplicates`` maps the ``id`` of an object to its duplicate keys.
     """
     if len(place) > MAX_DEPTH:
         yield Finding(".".join(place), "this is nested too deep")
         return
 
-    for key in repeats.get(id(value), ()):
-        where = ".".join((*place, show_key(key)))
+    for key in duplicates.get(id(value), ()):
+        where = ".".join((*place, escape_key(key)))
         yield Finding(where, "this question is answered twice")
 
     items: Iterable[tuple[object, object]] = ()
@@ -120,21 +122,23 @@
     elif isinstance(value, list):
         items = enumerate(value)
 
-    for step, item in items:
-        yield from walk_faults(item, repeats, (*place, show_key(str(step))))
+    for child_key, child in items:
+        yield from check_structure(
+            child, duplicates, (*place, escape_key(str(child_key)))
+        )
 
 
-def show_key(key: str) -> str:
-    """Return a key as text that every output can take."""
-    return key.encode("utf-8", "backslashreplace").decode()[:MAX_KEY]
+def escape_key(key: str) -> str:
+    """Return a shortened key with lone surrogates escaped, so that it fits UTF-8."""
+    return key.encode("utf-8", "backslashreplace").decode()[:MAX_KEY_LENGTH]
 
 
-def find_unknown(
+def find_unknown_names(
     draft: Draft,
     versions: Collection[str] | None,
     data_centres: Collection[str] | None,
 ) -> list[Finding]:
-    """Return findings about versions and data centres that nobody knows."""
+    """Return findings about unregistered versions and unknown data centres."""
     findings: list[Finding] = []
     if versions is not None:
         findings += [
--- a/src/waxwingwell/answers/generation.py
+++ b/src/waxwingwell/answers/generation.py
@@ -1,4 +1,4 @@
-"""Generates a workspace's configuration from its answers."""
+"""Generates the configuration of a workspace from its answers."""
 
 from __future__ import annotations
 
@@ -37,12 +37,12 @@
         stages=(0.1, 0.5, 1.0), max_unrated=50, false_alarm=0.01, margin=0.05
     ),
 }
-"""What the ready-made paces stand for; no answer means steady."""
+"""Settings of the predefined paces; ``steady`` is the default."""
 
 
 def generate_config(answers: Answers, revision: int) -> WorkspaceConfig:
-    """Return the configuration that checked answers stand for."""
-    priorities = rank_names(answers)
+    """Return the configuration that follows from validated answers."""
+    priorities = assign_priorities(answers)
     return WorkspaceConfig(
         workspace=WorkspaceId(answers.workspace),
         revision=revision,
@@ -67,7 +67,7 @@
     )
 
 
-def rank_names(answers: Answers) -> dict[str, Priority]:
+def assign_priorities(answers: Answers) -> dict[str, Priority]:
     """Return the priority of each kind and call, by its group in ``who_waits``."""
     return {
         name: PRIORITY_ORDER[rank]
@@ -94,10 +94,10 @@
 def make_rules(
     answers: Answers, priorities: dict[str, Priority]
 ) -> tuple[ServiceRule, ...]:
-    """Return the rules of the plain services, the longest path first.
+    """Return the rules of the plain services, the longest path prefix first.
 
-    The first rule that fits a call holds, so that a rule for a part of a service
-    goes before the one for all of it.
+    The first rule that matches a call applies, so a more specific rule must come
+    before a more general one.
     """
     rules = [
         ServiceRule(
@@ -114,7 +114,7 @@
 
 
 def choose_pace(rollout: RolloutAnswers) -> RolloutPace:
-    """Return the ready-made pace with what the answers say otherwise."""
+    """Return the predefined pace, overridden by the settings in the answers."""
     pace = PACES[rollout.pace or Pace.STEADY]
-    own: dict[str, Any] = rollout.model_dump(exclude={"pace"}, exclude_none=True)
-    return dataclasses.replace(pace, **own)
+    overrides: dict[str, Any] = rollout.model_dump(exclude={"pace"}, exclude_none=True)
+    return dataclasses.replace(pace, **overrides)
--- a/src/waxwingwell/answers/models.py
+++ b/src/waxwingwell/answers/models.py
@@ -1,7 +1,7 @@
-"""Answers to the questionnaire, as their JSON holds them.
+"""Pydantic models of the answers to the questionnaire.
 
-Every model is strict and refuses unknown keys. A field's description is the
-question that it answers.
+Every model is strict and rejects unknown keys. The description of a field is the
+question that the field answers.
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
 
 
 class Method(StrEnum):
-    """HTTP methods of calls to plain services."""
+    """HTTP methods that calls to plain services may use."""
 
     GET = "GET"
     HEAD = "HEAD"
@@ -54,23 +54,23 @@
 
 
 class Pace(StrEnum):
-    """Ready-made roll-out paces."""
+    """Predefined roll-out paces."""
 
     CAREFUL = "careful"
     STEADY = "steady"
     QUICK = "quick"
 
 
-class Section(BaseModel):
-    """Base of all answers: strict, closed and immutable."""
+class StrictModel(BaseModel):
+    """Base class of all answers: strict, immutable and without unknown keys."""
 
     model_config = ConfigDict(
         strict=True, extra="forbid", frozen=True, allow_inf_nan=False
     )
 
 
-class KindAnswers(Section):
-    """One kind of work that models do."""
+class KindAnswers(StrictModel):
+    """One kind of work that is sent to models."""
 
     name: Name = Field(description="What is this kind of work called?")
     what: str = Field(
@@ -88,8 +88,8 @@
     )
 
 
-class CallAnswers(Section):
-    """Calls of a plain service that are treated alike."""
+class CallAnswers(StrictModel):
+    """Calls of a plain service that share one rule."""
 
     name: Name = Field(description="What are these calls called?")
     path: Path = Field(description="With which path do they begin?")
@@ -101,8 +101,8 @@
     )
 
 
-class ServiceAnswers(Section):
-    """One plain service."""
+class ServiceAnswers(StrictModel):
+    """One plain (non-model) service and its calls."""
 
     name: Name = Field(description="What is the service called?")
     calls: tuple[CallAnswers, ...] = Field(
@@ -110,8 +110,8 @@
     )
 
 
-class ModelAnswers(Section):
-    """Models and versions."""
+class ModelAnswers(StrictModel):
+    """Models and versions that may or must not be used."""
 
     allowed: tuple[VersionName, ...] = Field(
         min_length=1, description="Which versions may do your work?"
@@ -121,8 +121,8 @@
     )
 
 
-class WeightAnswers(Section):
-    """Weight of the three measures against each other; only the ratio matters."""
+class WeightAnswers(StrictModel):
+    """Relative weights of the three measures; only their ratio matters."""
 
     cost: Weight = Field(default=1.0, description="How much does cost matter?")
     latency: Weight = Field(default=1.0, description="How much does latency matter?")
@@ -131,8 +131,8 @@
     )
 
 
-class LimitAnswers(Section):
-    """Limits, shared between all entries."""
+class LimitAnswers(StrictModel):
+    """Limits of a workspace, shared between all entries."""
 
     requests_per_second: float = Field(
         default=50.0, gt=0, le=1e6, description="How many requests a second at most?"
@@ -154,8 +154,8 @@
     )
 
 
-class RolloutAnswers(Section):
-    """How a new version takes over: a ready-made pace, or one of your own."""
+class RolloutAnswers(StrictModel):
+    """Roll-out of a new version: a predefined pace, custom settings, or both."""
 
     pace: Pace | None = Field(
         default=None, description="How fast: careful, steady or quick?"
@@ -186,8 +186,8 @@
     )
 
 
-class KeyAnswers(Section):
-    """One key, of which only the digest is kept."""
+class KeyAnswers(StrictModel):
+    """One API key, of which only the digest is stored."""
 
     name: Name = Field(description="Who holds the key?")
     sha256: Digest = Field(description="SHA-256 of the key, 64 hex digits")
@@ -197,7 +197,7 @@
     revoked: bool = Field(default=False, description="Is it revoked?")
 
 
-class Answers(Section):
+class Answers(StrictModel):
     """All answers of one workspace."""
 
     questionnaire: Literal[1] = Field(
--- a/tests/answers/__init__.py
+++ b/tests/answers/__init__.py
@@ -1,3 +1,3 @@
-"""Tests of the questionnaire."""
+"""Tests of the validation of answers and of generated configurations."""
 
 from __future__ import annotations
--- a/tests/answers/test_findings.py
+++ b/tests/answers/test_findings.py
@@ -1,4 +1,4 @@
-"""Bad answers get every finding at once, each with its place."""
+"""Invalid answers produce all findings at once, each with its place."""
 
 from __future__ import annotations
 
@@ -40,14 +40,14 @@
 DEMO_DIGEST = hashlib.sha256(b"demo-key").hexdigest()
 
 
-def change(**places: Any) -> bytes:
-    """Return the demo's answers with values set at places (``a__0__b``)."""
+def modify_demo(**places: Any) -> bytes:
+    """Return the demo answers as JSON, with values set at places (``a__0__b``)."""
     answers = copy.deepcopy(DEMO)
     for place, value in places.items():
         target = answers
         *path, last = [int(x) if x.isdigit() else x for x in place.split("__")]
-        for step in path:
-            target = target[step]
+        for key in path:
+            target = target[key]
 
         target[last] = value
 
@@ -55,7 +55,7 @@
 
 
 def list_places(data: bytes) -> list[str]:
-    """Return the places of all findings, sorted."""
+    """Return the sorted places of all findings."""
     result = check_answers(data, versions=VERSIONS)
     if isinstance(result, Success):
         return []
@@ -64,35 +64,35 @@
 
 
 CASES: tuple[tuple[str, bytes, list[str]], ...] = (
-    ("no JSON", b'{"a": ', ["line 1, column 7"]),
-    ("no UTF-8", b'"\xff"', ["byte 1"]),
-    ("no object", b"[]", ["answers"]),
+    ("invalid JSON", b'{"a": ', ["line 1, column 7"]),
+    ("invalid UTF-8", b'"\xff"', ["byte 1"]),
+    ("not an object", b"[]", ["answers"]),
     ("not a number", b'{"limits": NaN}', ["answers"]),
     ("too large", b" " * (MAX_ANSWER_BYTES + 1), ["answers"]),
-    ("too deep", b"[" * 100_000, ["answers"]),
+    ("nested too deep", b"[" * 100_000, ["answers"]),
     (
-        "nothing answered",
+        "required questions missing",
         b"{}",
         ["kinds", "models", "who_waits", "workspace"],
     ),
     (
         "unknown questions at three levels",
-        change(colour=1, kinds__0__colour=1, limits={"colour": 1}),
+        modify_demo(colour=1, kinds__0__colour=1, limits={"colour": 1}),
         ["colour", "kinds.0.colour", "limits.colour"],
     ),
     (
-        "answered twice",
-        change().replace(b'"quality_target": 0.7,', b'"quality_target": 1,' * 2),
+        "duplicate key",
+        modify_demo().replace(b'"quality_target": 0.7,', b'"quality_target": 1,' * 2),
         ["kinds.1.quality_target"],
     ),
     (
         "wrong types are not converted",
-        change(kinds__0__quality_target="0.7", limits={"max_in_flight": True}),
+        modify_demo(kinds__0__quality_target="0.7", limits={"max_in_flight": True}),
         ["kinds.0.quality_target", "limits.max_in_flight"],
     ),
     (
         "out of range",
-        change(
+        modify_demo(
             kinds__0__quality_target=1.5,
             limits={"max_in_flight": 0, "max_wait_seconds": -1},
             weights={"cost": -1},
@@ -105,22 +105,24 @@
         ],
     ),
     (
-        "form and contradictions together",
-        change(kinds__0__quality_target=2, models={"allowed": ["x@9"]}, keys=[KEY] * 2),
+        "schema errors and contradictions together",
+        modify_demo(
+            kinds__0__quality_target=2, models={"allowed": ["x@9"]}, keys=[KEY] * 2
+        ),
         ["keys.1.name", "keys.1.sha256", "kinds.0.quality_target", "models.allowed.0"],
     ),
-    ("default kind", change(default_kind="order"), ["default_kind"]),
+    ("unknown default kind", modify_demo(default_kind="order"), ["default_kind"]),
     (
-        "a call both repeatable and not",
-        change(
+        "call both repeatable and not repeatable",
+        modify_demo(
             services__0__calls__1__path="/orders",
             services__0__calls__1__repeatable=True,
         ),
         ["services.0.calls.1.repeatable"],
     ),
     (
-        "who waits: unknown, twice, left out",
-        change(
+        "who_waits: unknown, duplicate and missing names",
+        modify_demo(
             who_waits=[
                 ["club-order", "booking", "booking-lookup", "fitter"],
                 ["question", "question"],
@@ -131,7 +133,7 @@
     ),
     (
         "too many groups",
-        change(
+        modify_demo(
             who_waits=[
                 ["club-order"],
                 ["booking", "booking-lookup"],
@@ -143,54 +145,58 @@
         ["who_waits"],
     ),
     (
-        "allowed and never",
-        change(models={"allowed": ["small@1", "large@2"], "never": ["large"]}),
+        "version both allowed and excluded",
+        modify_demo(models={"allowed": ["small@1", "large@2"], "never": ["large"]}),
         ["models.allowed.1"],
     ),
     (
-        "no registered version",
-        change(models={"allowed": ["a@1"]}),
+        "unregistered version",
+        modify_demo(models={"allowed": ["a@1"]}),
         ["models.allowed.0"],
     ),
     (
-        "nothing matters",
-        change(weights={"cost": 0, "latency": 0, "exposure": 0}),
+        "all weights zero",
+        modify_demo(weights={"cost": 0, "latency": 0, "exposure": 0}),
         ["weights"],
     ),
     (
-        "stages and a pace, not rising, without end",
-        change(rollout={"pace": "quick", "stages": [0.5, 0.2, 0.9]}),
+        "stages with a pace, not rising, not ending at 1",
+        modify_demo(rollout={"pace": "quick", "stages": [0.5, 0.2, 0.9]}),
         ["rollout.stages", "rollout.stages.1", "rollout.stages.2"],
     ),
     (
-        "exposure weighs most, half at once",
-        change(weights={"exposure": 9}, rollout={"stages": [0.5, 1]}),
+        "exposure has the highest weight, large first stage",
+        modify_demo(weights={"exposure": 9}, rollout={"stages": [0.5, 1]}),
         ["rollout.stages.0"],
     ),
-    ("margin is all quality", change(rollout={"margin": 0.8}), ["rollout.margin"] * 2),
     (
-        "latency weighs most, long wait",
-        change(weights={"latency": 9}, limits={"max_wait_seconds": 31}),
+        "margin as large as a quality target",
+        modify_demo(rollout={"margin": 0.8}),
+        ["rollout.margin"] * 2,
+    ),
+    (
+        "latency has the highest weight, long wait",
+        modify_demo(weights={"latency": 9}, limits={"max_wait_seconds": 31}),
         ["limits.max_wait_seconds"],
     ),
-    ("data centre twice", change(data_centres=["a", "a"]), ["data_centres.1"]),
+    ("duplicate data centre", modify_demo(data_centres=["a", "a"]), ["data_centres.1"]),
     (
-        "the demo's key",
-        change(keys=[{"name": "app", "sha256": DEMO_DIGEST}]),
+        "key of the demo workspace",
+        modify_demo(keys=[{"name": "app", "sha256": DEMO_DIGEST}]),
         ["keys.0.sha256"],
     ),
 )
 
 
-class FindingTest(unittest.TestCase):
-    """Each case names every place that must be reported, and no other."""
+class FindingsTest(unittest.TestCase):
+    """Each case lists exactly the places that must be reported."""
 
-    def test_bad_answers(self) -> None:
+    def test_invalid_answers(self) -> None:
         for name, data, places in CASES:
             with self.subTest(name):
                 self.assertEqual(sorted(set(list_places(data))), sorted(set(places)))
 
-    def test_examples_are_good(self) -> None:
+    def test_examples_are_valid(self) -> None:
         for path in sorted(EXAMPLES.glob("*.json")):
             with self.subTest(path.name):
                 result = check_answers(path.read_bytes(), versions=VERSIONS)
@@ -223,7 +229,7 @@
             max_leaves=8,
         ),
     )
-    def test_no_value_breaks_the_check(self, question: str, value: object) -> None:
-        """Whatever stands under a question, the answer is a result."""
-        result = check_answers(change(**{question: value}), versions=VERSIONS)
+    def test_arbitrary_values_never_raise(self, question: str, value: object) -> None:
+        """Any JSON value for any question yields a result instead of an exception."""
+        result = check_answers(modify_demo(**{question: value}), versions=VERSIONS)
         self.assertIsInstance(result, Success | Failure)
--- a/tests/answers/test_generation.py
+++ b/tests/answers/test_generation.py
@@ -1,4 +1,4 @@
-"""Answers give a configuration, and revisions a readable difference."""
+"""Configurations generated from answers, and differences between revisions."""
 
 from __future__ import annotations
 
@@ -23,15 +23,15 @@
 
 
 def load_config(name: str) -> WorkspaceConfig:
-    """Return an example's configuration."""
+    """Return the configuration generated from an example file."""
     data = (EXAMPLES / f"{name}.json").read_bytes()
     return generate_config(Answers.model_validate_json(data), 3)
 
 
 class GenerationTest(unittest.TestCase):
-    """The examples say what the users said."""
+    """Generated configurations match their answers."""
 
-    def test_entoto(self) -> None:
+    def test_example_configuration(self) -> None:
         config = load_config("entoto")
         rules = {rule.path_prefix: rule for rule in config.services}
         self.assertEqual(config.revision, 3)
@@ -46,7 +46,7 @@
         self.assertEqual(max(dataclasses.astuple(config.weighing)), 3)
         self.assertEqual(config.pace, PACES[Pace.STEADY])
 
-    def test_own_pace(self) -> None:
+    def test_overridden_pace(self) -> None:
         answers = json.loads((EXAMPLES / "frio.json").read_bytes())
         answers["rollout"] = {"stages": [0.1, 1], "margin": 0.1}
         text = json.dumps(answers)
@@ -56,10 +56,10 @@
         self.assertEqual(config.pace.max_unrated, PACES[Pace.STEADY].max_unrated)
 
 
-class DifferenceTest(unittest.TestCase):
-    """Each change is one line about behaviour."""
+class DifferencesTest(unittest.TestCase):
+    """Each change of behaviour is described in one line."""
 
-    def test_lines(self) -> None:
+    def test_every_kind_of_change(self) -> None:
         old = load_config("entoto")
         kinds = (
             dataclasses.replace(old.kinds[0], quality_target=0.8),
