--- a/src/waxwingwell/demo/__init__.py
+++ b/src/waxwingwell/demo/__init__.py
@@ -1,3 +1,3 @@
-"""The scripted tour that ``waxwingwell demo`` runs on its own embedded system."""
+"""The scripted tour that ``waxwingwell demo`` runs against an embedded system."""
 
 from __future__ import annotations
--- a/src/waxwingwell/demo/caller.py
+++ b/src/waxwingwell/demo/caller.py
@@ -1,4 +1,4 @@
-"""A caller of the demo: small HTTP calls with a key."""
+"""HTTP client of the demo for the callers' and the administration API."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
-    """What came back, as far as the tour looks at it."""
+class Response:
+    """The fields of an HTTP response that the tour checks."""
 
     status: int
     version: str
@@ -24,7 +24,7 @@
     body: bytes
 
     def read_json(self) -> Any:
-        """Return the decoded body."""
+        """Return the decoded JSON body."""
         return msgspec.json.decode(self.body)
 
 
@@ -36,8 +36,8 @@
     session: str = "",
     kind: str = "",
     model: str = "auto",
-) -> Answer:
-    """Send a chat to the callers' API."""
+) -> Response:
+    """Send a chat completion request to the callers' API."""
     body = {
         "model": model,
         "messages": [{"role": "user", "content": prompt}],
@@ -49,8 +49,8 @@
     return await _send(port, "POST", "/v1/chat/completions", body=body)
 
 
-async def send_order(port: int, key: str, order: str) -> Answer:
-    """Send a club order, which must not run twice."""
+async def send_order(port: int, key: str, order: str) -> Response:
+    """Send an order, a non-idempotent call, with an idempotency key."""
     return await _send(
         port,
         "POST",
@@ -61,12 +61,12 @@
 
 
 async def read_admin(port: int, path: str) -> Any:
-    """Return a view of the administration API."""
-    answer = await _send(port, "GET", path, secret=OPERATOR_KEY)
-    return answer.read_json()
+    """Return a decoded view of the administration API."""
+    response = await _send(port, "GET", path, secret=OPERATOR_KEY)
+    return response.read_json()
 
 
-async def send_change(port: int, change: Any) -> Answer:
+async def send_change(port: int, change: Any) -> Response:
     """Send a change to the administration API."""
     body = msgspec.to_builtins(change)
     return await _send(
@@ -82,7 +82,7 @@
     body: Any = None,
     key: str = "",
     secret: str = DEMO_KEY,
-) -> Answer:
+) -> Response:
     headers = {"Authorization": f"Bearer {secret}", "Content-Type": "application/json"}
     if key:
         headers["Idempotency-Key"] = key
@@ -95,14 +95,14 @@
     )
     data = await treq.content(response)
 
-    def read(name: str) -> str:
+    def read_header(name: str) -> str:
         values = response.headers.getRawHeaders(name)
         return str(values[0]) if values else ""
 
-    return Answer(
+    return Response(
         status=response.code,
-        version=read("x-version"),
-        outcome=read("x-outcome"),
-        retry_after=read("retry-after"),
+        version=read_header("x-version"),
+        outcome=read_header("x-outcome"),
+        retry_after=read_header("retry-after"),
         body=data,
     )
--- a/src/waxwingwell/demo/tour.py
+++ b/src/waxwingwell/demo/tour.py
@@ -1,4 +1,4 @@
-"""The tour: each step does one thing through the public APIs and checks it."""
+"""Steps of the tour; each uses one feature through the public APIs and checks it."""
 
 from __future__ import annotations
 
@@ -29,16 +29,17 @@
     from collections.abc import Callable
 
 
-STEP_LIMIT = 15.0
-"""Seconds that a condition of the tour may take."""
-POLL = 0.05
+STEP_TIMEOUT = 15.0
+"""Seconds within which a change must be in force."""
+POLL_SECONDS = 0.05
+"""Seconds between two checks of whether a change is in force."""
 CANDIDATE = VersionId("small@2")
 INCUMBENT = VersionId("small@1")
 
 
 @dataclass(frozen=True, slots=True)
 class StepResult:
-    """One line of the tour's table."""
+    """Outcome of one step, shown as one row of the printed table."""
 
     step: str
     happened: str
@@ -47,14 +48,14 @@
 
 @dataclass(slots=True)
 class Tour:
-    """A tour under way."""
+    """A running tour and the results of its finished steps."""
 
     system: EmbeddedSystem
     results: list[StepResult] = field(default_factory=list)
 
 
 async def run_tour(system: EmbeddedSystem) -> list[StepResult]:
-    """Run every step, also after one that failed, and return the results."""
+    """Run every step, even if an earlier one failed, and return the results."""
     tour = Tour(system)
     for name, step in STEPS:
         try:
@@ -67,65 +68,70 @@
 
 
 async def revise_answers(tour: Tour) -> str:
-    """Revise the answers and wait until the new configuration is in force."""
+    """Submit revised answers and wait until the new configuration is in force."""
     port = tour.system.admin_port
-    present = await read_admin(port, "/admin/v1/answers/demo")
-    answers = present["answers"]
+    current = await read_admin(port, "/admin/v1/answers/demo")
+    answers = current["answers"]
     answers["limits"] = {"requests_per_second": 200, "max_in_flight": 100}
-    answers["revises"] = present["revision"]
+    answers["revises"] = current["revision"]
     data = msgspec.json.encode(answers)
     config = generate_config(
-        check_answers(data, versions=None).unwrap(), present["revision"] + 1
+        check_answers(data, versions=None).unwrap(), current["revision"] + 1
     )
     change = ApplyAnswers(
-        change_id=f"tour-answers-{present['revision']}",
+        change_id=f"tour-answers-{current['revision']}",
         operator="tour",
-        expected_revision=present["revision"],
+        expected_revision=current["revision"],
         at=0.0,
         answers=data,
         config=config,
     )
-    return await _change(tour, change)
+    return await _submit_change(tour, change)
 
 
 async def stream_chat(tour: Tour) -> str:
-    """Stream an answer."""
-    answer = await send_chat(tour.system.port, "Which shaft fits?", stream=True)
-    _expect(answer.status == 200, f"status {answer.status}")
-    _expect(answer.body.endswith(b"data: [DONE]\n\n"), "the stream is not whole")
-    events = answer.body.count(b"data: ")
-    return f"{events} events from {answer.version}, whole"
+    """Stream a chat response to its end."""
+    response = await send_chat(tour.system.port, "Which shaft fits?", stream=True)
+    _expect(response.status == 200, f"status {response.status}")
+    _expect(
+        response.body.endswith(b"data: [DONE]\n\n"), "the stream ended without [DONE]"
+    )
+    events = response.body.count(b"data: ")
+    return f"{events} events from {response.version}, whole"
 
 
 async def run_cascade(tour: Tour) -> str:
-    """Ask for whole reports, until the cheap version's rating spares the dear one."""
-    used = set()
+    """Request complete reports, which the router may answer by a cascade.
+
+    Once ratings of the cheap version are good enough, the dearer one is spared.
+    """
+    used_versions = set()
     for number in range(30):
-        answer = await send_chat(
+        response = await send_chat(
             tour.system.port, f"Write fitting report {number}", kind="report"
         )
-        _expect(answer.status == 200, f"status {answer.status}: {answer.body!r}")
-        used.add(answer.version)
+        _expect(response.status == 200, f"status {response.status}: {response.body!r}")
+        used_versions.add(response.version)
 
-    return f"30 whole reports, answered by {', '.join(sorted(used))}"
+    return f"30 whole reports, answered by {', '.join(sorted(used_versions))}"
 
 
-async def order_twice(tour: Tour) -> str:
-    """Send one order twice under one key."""
+async def send_order_twice(tour: Tour) -> str:
+    """Send an order twice with one idempotency key and check that it runs once."""
     before = sum(tour.system.fleet.service.executions.values())
     first = await send_order(tour.system.port, "tour-order-1", "tour-1")
     second = await send_order(tour.system.port, "tour-order-1", "tour-1")
     runs = sum(tour.system.fleet.service.executions.values()) - before
-    _expect(first.body == second.body, "the answers differ")
+    _expect(first.body == second.body, "the responses to the two orders differ")
     _expect(runs <= 1, f"the order ran {runs} times")
     return f"both answered {second.status}, the order ran {runs} time(s)"
 
 
-async def keep_session(tour: Tour) -> str:
-    """Start a session, a roll-out beside it, and go on with the session."""
+async def check_session_pin(tour: Tour) -> str:
+    """Check that a session stays on its version after a roll-out started."""
     port = tour.system.port
     first = await send_chat(port, "hello", session="tour-s1", model="small")
-    outcome = await _change(
+    outcome = await _submit_change(
         tour,
         StartRollout(
             change_id="tour-rollout",
@@ -137,18 +143,21 @@
             incumbent=INCUMBENT,
         ),
     )
-    later = [
+    later_versions = [
         (await send_chat(port, "and now?", session="tour-s1", model="small")).version
         for _ in range(5)
     ]
-    _expect(set(later) == {first.version}, f"{first.version} became {later}")
+    _expect(
+        set(later_versions) == {first.version},
+        f"session moved from {first.version} to {later_versions}",
+    )
     return f"roll-out {outcome}; the session stayed on {first.version}"
 
 
 async def withdraw_version(tour: Tour) -> str:
-    """Withdraw a version at once; nothing new runs on it."""
+    """Withdraw a version at once and check that requests for it are refused."""
     port = tour.system.port
-    outcome = await _change(
+    outcome = await _submit_change(
         tour,
         WithdrawVersion(
             change_id="tour-withdraw",
@@ -164,8 +173,8 @@
     return f"{outcome}; asked for by name: {refused.status}, {refused.outcome}"
 
 
-async def show_bills(tour: Tour) -> str:
-    """Read the bills."""
+async def summarise_bills(tour: Tour) -> str:
+    """Return the number of billed requests per version and of services."""
     bills = await read_admin(tour.system.admin_port, "/admin/v1/bills")
     rows = [f"{row['version'] or 'services'}: {row['requests']}" for row in bills]
     return "requests billed: " + ", ".join(rows)
@@ -175,29 +184,29 @@
     ("answers revised", revise_answers),
     ("streamed chat", stream_chat),
     ("cascade", run_cascade),
-    ("order sent twice", order_twice),
-    ("session in a roll-out", keep_session),
+    ("order sent twice", send_order_twice),
+    ("session in a roll-out", check_session_pin),
     ("withdrawal", withdraw_version),
-    ("bills", show_bills),
+    ("bills", summarise_bills),
 )
 
 
-async def _change(tour: Tour, change: Any) -> str:
-    """Send a change and wait until it is in force at every entry."""
-    answer = await send_change(tour.system.admin_port, change)
-    _expect(answer.status == 200, f"{answer.status} {answer.body!r}")
-    accepted = answer.read_json()
+async def _submit_change(tour: Tour, change: Any) -> str:
+    """Submit a change and wait until it is in force at every entry."""
+    response = await send_change(tour.system.admin_port, change)
+    _expect(response.status == 200, f"{response.status} {response.body!r}")
+    accepted = response.read_json()
     version = accepted["config_version"]
     started = read_clock()
     path = f"/admin/v1/in-force?config_version={version}"
     while not (await read_admin(tour.system.admin_port, path)).get("in_force"):
-        if read_clock() > started + STEP_LIMIT:
-            raise TimeoutError(f"configuration {version} is not in force")
+        if read_clock() > started + STEP_TIMEOUT:
+            raise TimeoutError(f"configuration {version} was not in force in time")
 
-        await deferLater(tour.system.reactor, POLL, lambda: None)
+        await deferLater(tour.system.reactor, POLL_SECONDS, lambda: None)
 
-    took = read_clock() - started
-    return f"accepted as {accepted['revision']}, in force after {took:.2f} s"
+    elapsed = read_clock() - started
+    return f"accepted as {accepted['revision']}, in force after {elapsed:.2f} s"
 
 
 async def _find_revision(tour: Tour, subject: str) -> int:
@@ -205,6 +214,6 @@
     return int(revisions.get(subject, 0))
 
 
-def _expect(holds: bool, detail: str) -> None:
-    if not holds:
-        raise AssertionError(detail)
+def _expect(condition: bool, message: str) -> None:
+    if not condition:
+        raise AssertionError(message)
--- a/src/waxwingwell/embedded/__init__.py
+++ b/src/waxwingwell/embedded/__init__.py
@@ -1,3 +1,6 @@
-"""The embedded role: control, entry and stand-ins in one process, on loopback."""
+"""The embedded role: control, an entry and stand-in upstreams in one process.
+
+It listens on loopback only.
+"""
 
 from __future__ import annotations
--- a/src/waxwingwell/embedded/fleet.py
+++ b/src/waxwingwell/embedded/fleet.py
@@ -1,4 +1,4 @@
-"""The stand-in fleet of the embedded role."""
+"""Stand-in engines and services of the embedded role."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 DATA_CENTRE = "local"
 SERVICE = "bookings"
 TOKEN_INTERVAL = 0.01
-"""Seconds between two tokens of a stand-in engine."""
+"""Seconds between two tokens that a stand-in engine generates."""
 
 
 @dataclass(slots=True)
 class Fleet:
-    """The running stand-ins."""
+    """The running stand-in upstreams and rating service."""
 
     engines: list[Engine]
     service: Service
@@ -37,7 +37,7 @@
 
 
 def list_versions() -> tuple[VersionSpec, ...]:
-    """Return the demo's catalogue: a cheap model and a strong one."""
+    """Return the versions of the demo: of a cheap model and of a better, dearer one."""
     return (
         _make_spec("small@1", price=1.0, quality=0.74),
         _make_spec("small@2", price=1.0, quality=0.74, status=VersionStatus.CANDIDATE),
@@ -46,41 +46,42 @@
     )
 
 
-def start_rater(*, port: int = 0) -> RatingService:
-    """Start the rating service, which knows the versions' true quality."""
+def start_rating_service(*, port: int = 0) -> RatingService:
+    """Start the rating service with the true quality of each version."""
     qualities = {"small@1": 0.74, "small@2": 0.78, "large@1": 0.9, "large@2": 0.92}
     return start_rating(RatingSettings(port=port, qualities=qualities, spread=0.08))
 
 
 def start_fleet(announce_url: str, rating: RatingService) -> Fleet:
-    """Start two engines and a plain service that announce themselves."""
+    """Start two engines and a plain service, which announce themselves at a URL."""
     versions = tuple(str(spec.version) for spec in list_versions())
     engines = [
         start_engine(
             EngineSettings(
                 versions=versions,
                 token_interval=TOKEN_INTERVAL,
-                announce=_make_announce(f"engine-{number}", announce_url),
+                announce=_make_announce_settings(f"engine-{number}", announce_url),
             )
         )
         for number in (1, 2)
     ]
     service = start_service(
         ServiceSettings(
-            service=SERVICE, announce=_make_announce("bookings-1", announce_url)
+            service=SERVICE,
+            announce=_make_announce_settings("bookings-1", announce_url),
         )
     )
     return Fleet(engines=engines, service=service, rating=rating)
 
 
 async def stop_fleet(fleet: Fleet) -> None:
-    """Stop every stand-in."""
-    parts: list[Any] = [*fleet.engines, fleet.service, fleet.rating]
-    for part in parts:
-        await part.stop()
+    """Stop all stand-ins of the fleet."""
+    stand_ins: list[Any] = [*fleet.engines, fleet.service, fleet.rating]
+    for stand_in in stand_ins:
+        await stand_in.stop()
 
 
-def _make_announce(name: str, url: str) -> AnnounceSettings:
+def _make_announce_settings(name: str, url: str) -> AnnounceSettings:
     return AnnounceSettings(upstream=name, data_centre=DATA_CENTRE, entries=(url,))
 
 
--- a/src/waxwingwell/embedded/system.py
+++ b/src/waxwingwell/embedded/system.py
@@ -1,4 +1,4 @@
-"""The embedded system: started, given its first configuration, stopped."""
+"""Start, initial configuration and shutdown of the embedded system."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 from .fleet import Fleet
 from .fleet import list_versions
 from .fleet import start_fleet
-from .fleet import start_rater
+from .fleet import start_rating_service
 from .fleet import stop_fleet
 from .workspace import DEMO_KEY
 from .workspace import OPERATOR_KEY
@@ -51,16 +51,20 @@
     from ..adapters.settings import EmbeddedSettings
 
 
-START_LIMIT = 20.0
-"""Seconds within which the system must be ready."""
-POLL = 0.02
+START_TIMEOUT = 20.0
+"""Seconds within which the system must be ready for callers."""
+POLL_SECONDS = 0.02
+"""Seconds between two checks of a condition."""
 DRAIN_NOTICE = 0.0
-"""There is no balancer in front, so nobody has to notice."""
+"""Seconds between a failing health check and the drain.
+
+No load balancer runs in front that would have to see the failing check first.
+"""
 
 
 @dataclass(slots=True)
 class EmbeddedSystem:
-    """Everything that runs in the one process."""
+    """The parts of the embedded system, which share one process."""
 
     reactor: Any
     control: ControlDaemon
@@ -69,7 +73,7 @@
 
     @property
     def port(self) -> int:
-        """Port on which callers are served."""
+        """Port of the callers' API."""
         return int(self.entry.caller_port.getHost().port)
 
     @property
@@ -79,9 +83,9 @@
 
 
 async def start_embedded(settings: EmbeddedSettings, reactor: Any) -> EmbeddedSystem:
-    """Start control, entry and stand-ins, and return once work is admitted."""
+    """Start control, the entry and stand-ins, and return once requests are admitted."""
     control = start_control(_make_control_settings(settings), reactor)
-    rating = start_rater()
+    rating = start_rating_service()
     entry = start_entry(_make_entry_settings(settings, control, rating.port), reactor)
     keys = entry.context.keys
     keys.extra[hash_key(DEMO_KEY)] = WorkspaceId(WORKSPACE)
@@ -93,40 +97,40 @@
         entry=entry,
         fleet=start_fleet(url, rating),
     )
-    await _configure(system)
-    await _wait_ready(system)
+    await _apply_demo_configuration(system)
+    await _wait_until_ready(system)
     logger.info("embedded: Ready for callers on port {}.", system.port)
     return system
 
 
 async def stop_embedded(system: EmbeddedSystem) -> None:
-    """Stop gracefully: requests end, then entry, control and stand-ins."""
+    """Drain running requests, then stop the entry, the stand-ins and control."""
     await stop_entry(system.entry)
     await stop_fleet(system.fleet)
     await stop_control(system.control)
 
 
 async def send_command(system: EmbeddedSystem, command: Command) -> Any:
-    """Put a command through the log, as soon as there is a leader."""
-    deadline = read_clock() + START_LIMIT
+    """Submit a command to the replicated log; retry until there is a leader."""
+    deadline = read_clock() + START_TIMEOUT
     while True:
         outcome: Any = await submit(system.control.context, command)
         if not isinstance(outcome, NotLeader | Failed):
             return outcome
 
         if read_clock() > deadline:
-            raise TimeoutError("control did not begin to lead")
+            raise TimeoutError("control did not become the leader in time")
 
-        await deferLater(system.reactor, POLL, lambda: None)
+        await deferLater(system.reactor, POLL_SECONDS, lambda: None)
 
 
-async def _configure(system: EmbeddedSystem) -> None:
-    """Register the demo's versions and workspace, unless a past run did."""
+async def _apply_demo_configuration(system: EmbeddedSystem) -> None:
+    """Register the demo versions and workspace unless a previous run has done so."""
     await send_command(system, _make_registration(0))
     config = system.control.context.holder.state.config
-    for place, spec in enumerate(list_versions()):
+    for index, spec in enumerate(list_versions()):
         if spec.version not in config.versions:
-            await send_command(system, _make_registration(place))
+            await send_command(system, _make_registration(index))
 
     if WorkspaceId(WORKSPACE) not in config.workspaces:
         answers = read_demo_answers()
@@ -143,8 +147,8 @@
         )
 
 
-def _make_registration(place: int) -> RegisterVersion:
-    spec = list_versions()[place]
+def _make_registration(index: int) -> RegisterVersion:
+    spec = list_versions()[index]
     return RegisterVersion(
         change_id=f"embedded-{spec.version}",
         operator="embedded",
@@ -154,21 +158,25 @@
     )
 
 
-async def _wait_ready(system: EmbeddedSystem) -> None:
+async def _wait_until_ready(system: EmbeddedSystem) -> None:
     context = system.entry.context
-    deadline = read_clock() + START_LIMIT
+    deadline = read_clock() + START_TIMEOUT
     while not _is_ready(system):
         if read_clock() > deadline:
-            raise TimeoutError("the embedded system did not get ready")
+            raise TimeoutError("the embedded system did not become ready in time")
 
-        await deferLater(context.reactor, POLL, lambda: None)
+        await deferLater(context.reactor, POLL_SECONDS, lambda: None)
 
 
 def _is_ready(system: EmbeddedSystem) -> bool:
     context = system.entry.context
-    known = len(context.tables.upstreams) >= 1 + len(system.fleet.engines)
-    held = may_admit(context.lease, context.clock())
-    return known and held and WorkspaceId(WORKSPACE) in context.tables.workspaces
+    announced = len(context.tables.upstreams) >= 1 + len(system.fleet.engines)
+    holds_lease = may_admit(context.lease, context.clock())
+    return (
+        announced
+        and holds_lease
+        and WorkspaceId(WORKSPACE) in context.tables.workspaces
+    )
 
 
 def _make_control_settings(settings: EmbeddedSettings) -> ControlSettings:
--- a/src/waxwingwell/embedded/workspace.py
+++ b/src/waxwingwell/embedded/workspace.py
@@ -1,4 +1,4 @@
-"""The demo workspace, its keys and its answers."""
+"""The demo workspace with its keys, answers and configuration."""
 
 from __future__ import annotations
 
@@ -16,19 +16,22 @@
 
 WORKSPACE = "demo"
 DEMO_KEY = "demo-key"
-"""Accepted by the embedded role only, which listens on loopback only."""
+"""Publicly known key of callers.
+
+Only the embedded role accepts it, and that role listens on loopback only.
+"""
 OPERATOR_KEY = "demo-operator-key"
-"""Of the administration API; accepted by the embedded role only."""
+"""Key of the administration API; only the embedded role accepts it."""
 ANSWERS = "demo.json"
 
 
 def read_demo_answers() -> bytes:
-    """Return the demo's answers to the questionnaire, as JSON."""
+    """Return the questionnaire answers of the demo workspace as JSON."""
     return resources.files(__package__ or "").joinpath(ANSWERS).read_bytes()
 
 
 def make_demo_config(answers: bytes) -> WorkspaceConfig:
-    """Return the configuration generated from the demo's answers."""
+    """Return the configuration generated from the demo workspace's answers."""
     versions = frozenset(spec.version for spec in list_versions())
     checked = check_answers(answers, versions=versions).unwrap()
     return generate_config(checked, revision=1)
--- a/tests/embedded/__init__.py
+++ b/tests/embedded/__init__.py
@@ -1,3 +1,3 @@
-"""Tests of the embedded system: the whole path in one process."""
+"""End-to-end tests of the embedded system, which runs in the test process."""
 
 from __future__ import annotations
--- a/tests/embedded/support.py
+++ b/tests/embedded/support.py
@@ -1,4 +1,4 @@
-"""A system of its own for each test class, on free loopback ports."""
+"""Test case with an embedded system of its own for each test, on free ports."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def make_chat(**fields: Any) -> dict[str, Any]:
-    """Return a small chat body."""
+    """Return a small chat request body."""
     return {
         "messages": [{"role": "user", "content": "which loft?"}],
         "max_tokens": 5,
@@ -33,7 +33,7 @@
 
 
 class EmbeddedTestCase(AsyncTestCase):
-    """Starts an embedded system before each test and stops it gracefully after."""
+    """Starts an embedded system before each test and stops it gracefully afterwards."""
 
     system: EmbeddedSystem
 
--- a/tests/embedded/test_callers.py
+++ b/tests/embedded/test_callers.py
@@ -1,4 +1,4 @@
-"""Callers against the whole path: good answers, and clear ones to bad input."""
+"""Requests of callers end to end: valid ones succeed, invalid ones get clear errors."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from .support import make_chat
 
 
-BAD: tuple[tuple[str, str, str, Any, dict[str, str], int, str], ...] = (
+INVALID_REQUESTS: tuple[tuple[str, str, str, Any, dict[str, str], int, str], ...] = (
     ("no key", "POST", CHAT, make_chat(), {"Authorization": ""}, 401, "missing_key"),
     (
         "wrong key",
@@ -68,7 +68,7 @@
         "unknown_service",
     ),
     (
-        "method not open",
+        "method not allowed",
         "DELETE",
         "/v1/services/bookings/orders/1",
         None,
@@ -80,10 +80,10 @@
 
 
 class CallerTest(EmbeddedTestCase):
-    """The API as callers see it."""
+    """The callers' API, tested over HTTP."""
 
-    async def test_bad_input_is_told(self) -> None:
-        for name, method, path, body, headers, status, code in BAD:
+    async def test_invalid_requests_get_errors(self) -> None:
+        for name, method, path, body, headers, status, code in INVALID_REQUESTS:
             with self.subTest(name):
                 response = await self.call(path, body, method=method, **headers)
                 self.assertEqual(response.code, status)
@@ -91,9 +91,9 @@
                 self.assertEqual(error["code"], code)
                 self.assertEqual(error["outcome"], "not_run")
 
-    async def test_half_a_request_does_no_harm(self) -> None:
-        with socket.create_connection(("127.0.0.1", self.system.port)) as half:
-            half.sendall(b"POST /v1/chat/completions HTTP/1.1\r\ncontent-le")
+    async def test_incomplete_request_affects_no_other(self) -> None:
+        with socket.create_connection(("127.0.0.1", self.system.port)) as connection:
+            connection.sendall(b"POST /v1/chat/completions HTTP/1.1\r\ncontent-le")
             response = await self.call(CHAT, make_chat())
             self.assertEqual(response.code, 200)
 
@@ -109,27 +109,29 @@
         client = OpenAI(base_url=f"{self.base}/v1", api_key=DEMO_KEY)
         messages: Any = [{"role": "user", "content": "which loft?"}]
 
-        def talk() -> tuple[list[str], str, str]:
+        def call_api() -> tuple[list[str], str, str]:
             models = [model.id for model in client.models.list()]
-            whole = client.chat.completions.create(
+            complete = client.chat.completions.create(
                 model="auto", messages=messages, max_tokens=5
             )
-            parts = client.chat.completions.create(
+            chunks = client.chat.completions.create(
                 model="large@1", messages=messages, max_tokens=5, stream=True
             )
             text = "".join(
-                part.choices[0].delta.content or "" for part in parts if part.choices
+                chunk.choices[0].delta.content or ""
+                for chunk in chunks
+                if chunk.choices
             )
-            return models, whole.choices[0].message.content or "", text
+            return models, complete.choices[0].message.content or "", text
 
-        models, whole, streamed = await deferToThread(talk)
+        models, complete, streamed = await deferToThread(call_api)
         self.assertIn("large@1", models)
-        self.assertEqual(len(whole.split()), 5)
+        self.assertEqual(len(complete.split()), 5)
         self.assertEqual(len(streamed.split()), 5)
 
     async def test_order_under_one_key_runs_once(self) -> None:
-        # A fitter's connection drops after the order went out. The fitter sends it
-        # again with the same key: the club is built once, and the answer is the same.
+        # A client whose connection drops after sending an order retries with the same
+        # idempotency key. The order must run once, and all responses must be the same.
         bodies = []
         for _ in range(3):
             response = await self.call(
@@ -142,7 +144,7 @@
         self.assertEqual(len(set(bodies)), 1)
         self.assertEqual(self.system.fleet.service.executions["o-1"], 1)
 
-    async def test_one_key_names_one_request(self) -> None:
+    async def test_key_reused_for_another_request_is_refused(self) -> None:
         path = "/v1/services/bookings/orders"
         await self.call(path, {"id": "o-2"}, Idempotency_Key="key-2")
         response = await self.call(path, {"id": "o-3"}, Idempotency_Key="key-2")
@@ -151,9 +153,9 @@
 
     async def test_keyed_chat_is_replayed(self) -> None:
         first = await self.call(CHAT, make_chat(), Idempotency_Key="chat-1")
-        whole = await read_cut(first)
-        again = await self.call(CHAT, make_chat(), Idempotency_Key="chat-1")
-        self.assertEqual(await read_cut(again), whole)
+        complete = await read_cut(first)
+        retry = await self.call(CHAT, make_chat(), Idempotency_Key="chat-1")
+        self.assertEqual(await read_cut(retry), complete)
 
     async def test_health(self) -> None:
         for path in ("/healthz", "/readyz"):
--- a/tests/embedded/test_faults.py
+++ b/tests/embedded/test_faults.py
@@ -1,4 +1,4 @@
-"""Engines and services that misbehave, seen from the caller."""
+"""Faults of engines and services, as callers see them."""
 
 from __future__ import annotations
 
@@ -20,21 +20,21 @@
 DONE = b"data: [DONE]\n\n"
 
 STREAM_FAULTS: tuple[tuple[str, EngineFaults], ...] = (
-    ("cut before the first event", EngineFaults(times=1, drop_after=0)),
-    ("cut in the middle", EngineFaults(times=1, drop_after=3)),
-    ("cut thrice", EngineFaults(times=3, drop_after=2)),
-    ("doubled events", EngineFaults(times=1, duplicate_every=2)),
-    ("swapped events", EngineFaults(times=1, reorder_every=3)),
-    ("answer of another request", EngineFaults(times=1, answer_as="req-other")),
+    ("connection dropped before the first event", EngineFaults(times=1, drop_after=0)),
+    ("connection dropped in the middle", EngineFaults(times=1, drop_after=3)),
+    ("connection dropped three times", EngineFaults(times=3, drop_after=2)),
+    ("duplicate events", EngineFaults(times=1, duplicate_every=2)),
+    ("reordered events", EngineFaults(times=1, reorder_every=3)),
+    ("response to another request", EngineFaults(times=1, answer_as="req-other")),
 )
 
 
 class StreamFaultTest(EmbeddedTestCase):
-    """Each fault on every engine; the answer arrives whole all the same."""
+    """The caller gets a complete stream although every engine has the fault."""
 
-    async def test_answer_is_whole(self) -> None:
-        # A golfer's answer must not stop halfway or show another golfer's words,
-        # whatever happens on the connection to the engine behind the router.
+    async def test_stream_is_complete(self) -> None:
+        # A fault on the connection to an engine must neither truncate the stream nor
+        # mix in tokens of another request.
         for name, faults in STREAM_FAULTS:
             with self.subTest(name):
                 for engine in self.system.fleet.engines:
@@ -49,25 +49,26 @@
 
                 response = await self.call(CHAT, make_chat(stream=True, max_tokens=8))
                 data = await read_cut(response)
-                name_sent = response.headers.getRawHeaders("x-request-id")[0]
+                request_id = response.headers.getRawHeaders("x-request-id")[0]
                 self.assertTrue(data.endswith(DONE), data[-300:])
                 ids = [line for line in data.splitlines() if line.startswith(b"id: ")]
                 expected = [
-                    f"id: {name_sent}:{number}".encode()
+                    f"id: {request_id}:{number}".encode()
                     for number in range(1, len(ids) + 1)
                 ]
                 self.assertEqual(ids, expected)
 
-    async def test_refusing_engine_is_passed_by(self) -> None:
-        # One engine is full and says so before running; the other one answers.
+    async def test_refusing_engine_is_avoided(self) -> None:
+        # One engine is at capacity and refuses before running the request, so the
+        # request must go to the other one.
         self.system.fleet.engines[0].faults = EngineFaults(refuse=True)
         for _ in range(4):
             response = await self.call(CHAT, make_chat(stream=True))
             self.assertTrue((await read_cut(response)).endswith(DONE))
 
-    async def test_not_run_is_never_said_of_what_ran(self) -> None:
-        # Every engine takes the request and answers under another name. No engine is
-        # left, but the work has run: the caller must not read "not run".
+    async def test_executed_request_is_not_reported_as_not_run(self) -> None:
+        # Every engine runs the request but responds with another request id. No engine
+        # is left to try, yet the work has run: the outcome must not be "not_run".
         for engine in self.system.fleet.engines:
             engine.faults = EngineFaults(answer_as="req-other")
 
@@ -77,9 +78,9 @@
                 error = (await read_json(response))["error"]
                 self.assertEqual(error["outcome"], "failed")
 
-    async def test_silent_engine_is_resumed(self) -> None:
-        # An open connection goes silent for good while new ones work. The stream
-        # must go on over a new one once the progress deadline has passed.
+    async def test_stalled_stream_is_resumed(self) -> None:
+        # An open connection stops delivering data for good while new ones work. Once
+        # the progress timeout has passed, the stream must resume on a new connection.
         settings = self.system.entry.context.settings
         self.system.entry.context.settings = settings.model_copy(
             update={"progress_timeout": 0.2}
@@ -92,25 +93,25 @@
 
 
 class BillingTest(EmbeddedTestCase):
-    """Rows and bills of what was answered."""
+    """Ledger rows and billing of requests."""
 
-    def rows(self) -> list[LedgerRow]:
+    def list_rows(self) -> list[LedgerRow]:
         return list(self.system.control.context.holder.state.ledger.rows.values())
 
-    async def test_each_answer_has_one_settled_row(self) -> None:
-        names = set()
+    async def test_each_request_has_one_settled_row(self) -> None:
+        request_ids = set()
         for stream in (True, False, True):
             response = await self.call(CHAT, make_chat(stream=stream))
             await read_cut(response)
-            names.add(response.headers.getRawHeaders("x-request-id")[0])
+            request_ids.add(response.headers.getRawHeaders("x-request-id")[0])
 
-        settled = [row.request for row in self.rows() if row.settled_at]
-        self.assertEqual(sorted(settled), sorted(names))
-        self.assertTrue(all(row.usage.cost > 0 for row in self.rows()))
+        settled = [row.request for row in self.list_rows() if row.settled_at]
+        self.assertEqual(sorted(settled), sorted(request_ids))
+        self.assertTrue(all(row.usage.cost > 0 for row in self.list_rows()))
 
-    async def test_order_whose_answer_is_lost_is_never_sent_again(self) -> None:
-        # The service builds the club and the connection dies before its answer. The
-        # caller is told that it may have run; asking again must not build it twice.
+    async def test_order_with_lost_response_is_never_resent(self) -> None:
+        # The service runs the order and the connection is lost before the response.
+        # The caller gets "may_have_run", and its retries must not run the order again.
         service = self.system.fleet.service
         service.faults.drop_answers = 1
         path = "/v1/services/bookings/orders"
@@ -122,8 +123,8 @@
         self.assertEqual(service.executions["o-9"], 1)
 
     async def test_refused_order_is_retried_and_runs_once(self) -> None:
-        # The service refuses before running, and says so: it is safe to send the
-        # order again, once, and the caller need not know.
+        # The service refuses the order before running it and says so. Sending it again
+        # once is therefore safe, and the caller needn't notice.
         service = self.system.fleet.service
         service.faults.refuse = 1
         path = "/v1/services/bookings/orders"
--- a/tests/embedded/test_orders.py
+++ b/tests/embedded/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines: given by the leader in charge, passed on by entries in step."""
+"""Orders to engines: sent by the current leader, forwarded by entries with a lease."""
 
 from __future__ import annotations
 
@@ -18,31 +18,31 @@
 from .support import EmbeddedTestCase
 
 
-TRIES = 400
-PAUSE = 0.02
+MAX_ATTEMPTS = 400
+POLL_SECONDS = 0.02
 
 
 class OrderTest(EmbeddedTestCase):
-    """Desired state, fencing and the wait of a new leader."""
+    """Reconciliation of engines, fencing, and the delay before a new leader orders."""
 
-    def wait_out_leases(self) -> None:
-        """Let the leases of an earlier leader have run out."""
+    def expire_former_leases(self) -> None:
+        """Let all leases of a former leader expire, by an earlier election time."""
         leases = self.system.control.context.leases
         assert leases is not None
         leases.elected_at -= 100.0
 
-    async def test_new_leader_waits_out_old_leases(self) -> None:
-        # The old leader's entries may still pass its orders on. A new leader that
-        # ordered at once would see its order undone by a late one.
+    async def test_new_leader_waits_for_former_leases(self) -> None:
+        # Entries with a lease of the former leader may still forward its orders. If
+        # the new leader sent orders at once, a late one could undo them.
         context = self.system.control.context
         self.assertFalse(may_order(context))
-        self.wait_out_leases()
+        self.expire_former_leases()
         self.assertTrue(may_order(context))
 
     async def test_withdrawn_version_is_unloaded(self) -> None:
-        # Engines go on holding a version after its withdrawal, until the order to
-        # drop it has been seen obeyed: the leader repeats it until it is reported.
-        self.wait_out_leases()
+        # An engine keeps a withdrawn version loaded until it obeys the order to unload
+        # it, so the leader must repeat the order until the engine reports that.
+        self.expire_former_leases()
         context = self.system.control.context
         await send_command(
             self.system,
@@ -54,19 +54,22 @@
                 version=VersionId("large@2"),
             ),
         )
-        for _ in range(TRIES):
+        for _ in range(MAX_ATTEMPTS):
             await reconcile_orders(context, context.orders)
-            held = [engine.orders.loaded for engine in self.system.fleet.engines]
-            if not any("large@2" in versions for versions in held):
+            loaded_versions = [
+                engine.orders.loaded for engine in self.system.fleet.engines
+            ]
+            if not any("large@2" in versions for versions in loaded_versions):
                 return
 
-            await deferLater(self.system.reactor, PAUSE, lambda: None)
+            await deferLater(self.system.reactor, POLL_SECONDS, lambda: None)
 
-        self.fail(f"still held: {held}")
+        self.fail(f"still loaded: {loaded_versions}")
 
-    async def test_entry_refuses_an_earlier_leader(self) -> None:
-        # A leader that was cut off for long wakes up and orders a version loaded.
-        # The engine ignores fencing numbers; the entry must not pass the order on.
+    async def test_entry_refuses_a_former_leader(self) -> None:
+        # A leader that was partitioned off for long resumes and orders an engine to
+        # load a version. The engine ignores fencing numbers, so the entry must not
+        # forward the order.
         context = self.system.entry.context
         engine = self.system.fleet.engines[0]
         order = OrderVersions(
@@ -75,19 +78,19 @@
             fencing=3,
         )
         raise_floor(context.fencing, 5)
-        obeyed = engine.orders.obeyed
-        answer = await pass_order(context, order)
-        assert isinstance(answer, OrderPassed)
-        self.assertEqual(answer.status, 0)
-        self.assertEqual(engine.orders.obeyed, obeyed)
+        obeyed_before = engine.orders.obeyed
+        reply = await pass_order(context, order)
+        assert isinstance(reply, OrderPassed)
+        self.assertEqual(reply.status, 0)
+        self.assertEqual(engine.orders.obeyed, obeyed_before)
 
-    async def test_entry_without_lease_passes_nothing_on(self) -> None:
-        # An entry that was frozen with an old order in hand wakes up: it can't know
-        # who leads now, and its lease has run out.
+    async def test_entry_without_lease_forwards_nothing(self) -> None:
+        # An entry was suspended while it held an old order. When it resumes, its lease
+        # has expired and it can't know the current leader, so it must refuse.
         context = self.system.entry.context
         context.lease.expires_at = 0.0
         order = OrderVersions(upstream=UpstreamId("engine-1"), versions=(), fencing=9)
-        answer = await pass_order(context, order)
-        assert isinstance(answer, OrderPassed)
-        self.assertEqual(answer.status, 0)
-        self.assertIn("lease", answer.reason)
+        reply = await pass_order(context, order)
+        assert isinstance(reply, OrderPassed)
+        self.assertEqual(reply.status, 0)
+        self.assertIn("lease", reply.reason)
--- a/tests/embedded/test_return.py
+++ b/tests/embedded/test_return.py
@@ -1,4 +1,4 @@
-"""A caller that lost its connection comes back for the rest of its answer."""
+"""Resumption of a stream by a caller that lost its connection."""
 
 from __future__ import annotations
 
@@ -15,47 +15,51 @@
 KEY = "report-1"
 
 
-class ReturnTest(EmbeddedTestCase):
-    """The same key, the same answer, one run, one bill."""
+class ResumptionTest(EmbeddedTestCase):
+    """Retries with one idempotency key get the same stream, run and billed once."""
 
-    async def test_rest_comes_after_the_last_event(self) -> None:
-        # A fitter's tablet loses its connection in the middle of a report. It comes
-        # back with the same key and the last event that it has: it must get the rest,
-        # and the report must be written and billed once.
+    async def test_stream_continues_after_the_last_event(self) -> None:
+        # A client that loses its connection in the middle of a stream reconnects with
+        # the same key and the id of the last event it received. It must get the
+        # remaining events, and the request must run and be billed once.
         first = await self.call(
             CHAT, make_chat(stream=True, max_tokens=12), Idempotency_Key=KEY
         )
-        whole = await read_cut(first)
-        events = whole.split(b"\n\n")[:-1]
-        name = first.headers.getRawHeaders("x-request-id")[0]
-        for place in (0, 4, len(events) - 1):
-            with self.subTest(place):
-                again = await self.call(
+        complete = await read_cut(first)
+        events = complete.split(b"\n\n")[:-1]
+        request_id = first.headers.getRawHeaders("x-request-id")[0]
+        for position in (0, 4, len(events) - 1):
+            with self.subTest(position):
+                retry = await self.call(
                     CHAT,
                     make_chat(stream=True, max_tokens=12),
                     Idempotency_Key=KEY,
-                    Last_Event_ID=f"{name}:{place}",
+                    Last_Event_ID=f"{request_id}:{position}",
                 )
-                self.assertEqual(again.code, 200)
-                self.assertEqual(again.headers.getRawHeaders("x-request-id")[0], name)
-                rest = (await read_cut(again)).split(b"\n\n")[:-1]
-                self.assertEqual(rest, events[place:])
+                self.assertEqual(retry.code, 200)
+                self.assertEqual(
+                    retry.headers.getRawHeaders("x-request-id")[0], request_id
+                )
+                rest = (await read_cut(retry)).split(b"\n\n")[:-1]
+                self.assertEqual(rest, events[position:])
 
-        runs = sum(engine.runs.get(name, 0) for engine in self.system.fleet.engines)
+        runs = sum(
+            engine.runs.get(request_id, 0) for engine in self.system.fleet.engines
+        )
         self.assertEqual(runs, 1)
         rows = list(self.system.control.context.holder.state.ledger.rows.values())
         self.assertEqual(len(rows), 1)
         self.assertEqual(rows[0].outcome, OutcomeKind.COMPLETED)
         self.assertGreater(rows[0].usage.answer_tokens, 0)
 
-    async def test_answer_that_no_engine_holds_is_told(self) -> None:
-        # The engine that held the answer is gone. The caller must be told so, and
-        # the request must not silently run and be billed again.
+    async def test_response_that_no_engine_holds_is_an_error(self) -> None:
+        # The engine that held the response is gone. The caller must get an error that
+        # says so, and the request must not silently run and be billed again.
         first = await self.call(CHAT, make_chat(stream=True), Idempotency_Key=KEY)
         await read_cut(first)
         for engine in self.system.fleet.engines:
             engine.faults = EngineFaults(drop_after=0)
 
-        again = await self.call(CHAT, make_chat(stream=True), Idempotency_Key=KEY)
-        self.assertEqual(again.code, 409)
-        self.assertIn(b"already_answered", await read_cut(again))
+        retry = await self.call(CHAT, make_chat(stream=True), Idempotency_Key=KEY)
+        self.assertEqual(retry.code, 409)
+        self.assertIn(b"already_answered", await read_cut(retry))
