--- a/src/waxwingwell/demo/tour.py
+++ b/src/waxwingwell/demo/tour.py
@@ -149,7 +149,7 @@
     ]
     _expect(
         set(later_versions) == {first.version},
-        f"session moved from {first.version} to {later_versions}",
+        f"{first.version} changed to {later_versions}",
     )
     return f"roll-out {outcome}; the session stayed on {first.version}"
 
--- a/tests/embedded/test_faults.py
+++ b/tests/embedded/test_faults.py
@@ -95,7 +95,7 @@
 class BillingTest(EmbeddedTestCase):
     """Ledger rows and billing of requests."""
 
-    def list_rows(self) -> list[LedgerRow]:
+    def rows(self) -> list[LedgerRow]:
         return list(self.system.control.context.holder.state.ledger.rows.values())
 
     async def test_each_request_has_one_settled_row(self) -> None:
@@ -105,9 +105,9 @@
             await read_cut(response)
             request_ids.add(response.headers.getRawHeaders("x-request-id")[0])
 
-        settled = [row.request for row in self.list_rows() if row.settled_at]
+        settled = [row.request for row in self.rows() if row.settled_at]
         self.assertEqual(sorted(settled), sorted(request_ids))
-        self.assertTrue(all(row.usage.cost > 0 for row in self.list_rows()))
+        self.assertTrue(all(row.usage.cost > 0 for row in self.rows()))
 
     async def test_order_with_lost_response_is_never_resent(self) -> None:
         # The service runs the order and the connection is lost before the response.
--- a/tests/embedded/test_orders.py
+++ b/tests/embedded/test_orders.py
@@ -33,7 +33,7 @@
 
     async def test_new_leader_waits_for_former_leases(self) -> None:
         # Entries with a lease of the former leader may still forward its orders. If
-        # the new leader sent orders at once, a late one could undo them.
+        # the new leader sent orders at once, a late one would undo them.
         context = self.system.control.context
         self.assertFalse(may_order(context))
         self.expire_former_leases()
@@ -78,11 +78,11 @@
             fencing=3,
         )
         raise_floor(context.fencing, 5)
-        obeyed_before = engine.orders.obeyed
+        obeyed = engine.orders.obeyed
         reply = await pass_order(context, order)
         assert isinstance(reply, OrderPassed)
         self.assertEqual(reply.status, 0)
-        self.assertEqual(engine.orders.obeyed, obeyed_before)
+        self.assertEqual(engine.orders.obeyed, obeyed)
 
     async def test_entry_without_lease_forwards_nothing(self) -> None:
         # An entry was suspended while it held an old order. When it resumes, its lease
