--- a/src/waxwingwell/adapters/entry/daemon.py
+++ b/src/waxwingwell/adapters/entry/daemon.py
@@ -1,4 +1,4 @@
-"""The entry daemon: listeners, links, periodic work, and the planned stop."""
+"""The entry daemon: listeners, links, periodic tasks and the planned stop."""
 
 from __future__ import annotations
 
@@ -39,18 +39,18 @@
 from ..tls_files import open_tls
 from .announcements import make_upstream_app
 from .context import EntryContext
-from .control_calls import answer_call
+from .control_calls import handle_control_call
 from .control_client import ControlClient
 from .placement import Placements
 from .sites import make_site
 from .upkeep import EVIDENCE_EVERY
-from .upkeep import QUEUE_TICK
-from .upkeep import SPREAD_EVERY
-from .upkeep import TABLES_TICK
+from .upkeep import QUEUE_INTERVAL
+from .upkeep import SPREAD_INTERVAL
+from .upkeep import TABLES_INTERVAL
 from .upkeep import Upkeep
 from .upkeep import flush_evidence
-from .upkeep import forget_told
-from .upkeep import renew_on
+from .upkeep import renew_periodically
+from .upkeep import reset_announced
 from .upkeep import run_queue_tick
 from .upkeep import run_tables_tick
 from .upkeep import spread_news
@@ -69,8 +69,8 @@
     from ..tls_files import TlsSource
 
 
-DRAIN_POLL = 0.05
-"""Seconds between two looks at what still runs."""
+DRAIN_POLL_INTERVAL = 0.05
+"""Seconds between two checks for running requests and open connections."""
 
 
 @dataclass(slots=True)
@@ -95,7 +95,7 @@
 ) -> EntryDaemon:
     """Open listeners and links; work is admitted once a lease is granted.
 
-    ``stop`` is called when control asks for a planned stop. Errors:
+    ``stop`` is called when control requests a planned stop. Errors:
     ``SettingsError`` for TLS files, and ``CannotListenError``.
     """
     tls = open_tls(
@@ -159,8 +159,9 @@
 async def stop_entry(daemon: EntryDaemon) -> None:
     """Stop without cutting a request.
 
-    The health check goes red first and new connections are served on until the
-    balancer has noticed; connections close at a response boundary; what runs ends.
+    The readiness check fails first, and new connections are served until the load
+    balancer has noticed. Running requests end, and connections close after a complete
+    response.
     """
     context = daemon.context
     settings = context.settings
@@ -170,35 +171,35 @@
     await maybeDeferred(daemon.caller_port.stopListening)
     deadline = context.clock() + settings.drain_limit
     while is_busy(context) and context.clock() < deadline:
-        await deferLater(context.reactor, DRAIN_POLL, lambda: None)
+        await deferLater(context.reactor, DRAIN_POLL_INTERVAL, lambda: None)
 
     await _close_connections(daemon, deadline)
     left = len(get_factory(daemon.caller_port).transports)
     check(
         Promise.STOP_CUTS_NOTHING,
         context.running + left == 0,
-        lambda: f"{context.running} requests, {left} answers cut by the limit",
+        lambda: f"{context.running} requests, {left} responses cut by the drain limit",
     )
     await flush_evidence(context, daemon.upkeep)
     await close_entry(daemon)
 
 
 def is_busy(context: EntryContext) -> bool:
-    """Tell whether something is under way that a planned stop waits for."""
-    return context.running + context.unsettled + context.unrated > 0
+    """Return whether requests, settlements or ratings are pending."""
+    return context.running + context.pending_settlements + context.pending_ratings > 0
 
 
 async def _close_connections(daemon: EntryDaemon, deadline: float) -> None:
-    """Close the callers' connections once their callers have read what came."""
+    """Close each caller's connection once the caller has read its response."""
     context = daemon.context
     site = get_factory(daemon.caller_port)
     close_connections(site)
     while site.transports and context.clock() < deadline:
-        await deferLater(context.reactor, DRAIN_POLL, lambda: None)
+        await deferLater(context.reactor, DRAIN_POLL_INTERVAL, lambda: None)
 
 
 async def close_entry(daemon: EntryDaemon) -> None:
-    """Close everything; what others asked of this process is answered first."""
+    """Close everything, after replies to pending calls of other processes."""
     context = daemon.context
     stop_upkeep(daemon.upkeep)
     for loop in daemon.loops:
@@ -230,7 +231,7 @@
     context: EntryContext, upkeep: Upkeep, stop: Callable[[], None]
 ) -> LinkNode:
     def take_call(sender: str, body: Any) -> Deferred[Message]:
-        return answer_call(context, sender, body, stop)
+        return handle_control_call(context, sender, body, stop)
 
     def take_cast(sender: str, body: Any) -> None:
         take_news(context, upkeep, body)
@@ -255,16 +256,18 @@
         link = open_link(
             daemon.node, peer.node, make_connector(context.reactor, peer, tls)
         )
-        link.on_up = partial(forget_told, daemon.upkeep, peer.node)
+        link.on_up = partial(reset_announced, daemon.upkeep, peer.node)
         daemon.upkeep.entries[peer.node] = link
 
 
 def _start_loops(daemon: EntryDaemon) -> None:
     context, upkeep = daemon.context, daemon.upkeep
-    renew_on(context, upkeep)
-    _start_loop(daemon, QUEUE_TICK, partial(run_queue_tick, context, daemon.placements))
-    _start_loop(daemon, TABLES_TICK, partial(run_tables_tick, context, upkeep))
-    _start_loop(daemon, SPREAD_EVERY, partial(spread_news, context, upkeep))
+    renew_periodically(context, upkeep)
+    _start_loop(
+        daemon, QUEUE_INTERVAL, partial(run_queue_tick, context, daemon.placements)
+    )
+    _start_loop(daemon, TABLES_INTERVAL, partial(run_tables_tick, context, upkeep))
+    _start_loop(daemon, SPREAD_INTERVAL, partial(spread_news, context, upkeep))
 
     def flush() -> Deferred[None]:
         return Deferred.fromCoroutine(flush_evidence(context, upkeep))
@@ -272,13 +275,13 @@
     _start_loop(daemon, EVIDENCE_EVERY, flush)
 
 
-def _start_loop(daemon: EntryDaemon, every: float, work: Any) -> None:
-    loop = LoopingCall(work)
-    loop.start(every).addErrback(partial(_report_fault, daemon))
+def _start_loop(daemon: EntryDaemon, interval: float, task: Any) -> None:
+    loop = LoopingCall(task)
+    loop.start(interval).addErrback(partial(_stop_on_failure, daemon))
     daemon.loops.append(loop)
 
 
-def _report_fault(daemon: EntryDaemon, failure: Any) -> None:
-    """Stop the process: without its upkeep an entry must not go on serving."""
+def _stop_on_failure(daemon: EntryDaemon, failure: Any) -> None:
+    """Stop the process: an entry must not serve without its periodic tasks."""
     logger.critical("entry: Stopped by a fault: {}.", failure.getTraceback())
     daemon.context.reactor.stop()
--- a/src/waxwingwell/adapters/entry/resuming.py
+++ b/src/waxwingwell/adapters/entry/resuming.py
@@ -1,8 +1,9 @@
-"""An answer goes on over a new connection, or at another entry.
+"""Resumption of streams over a new connection, or at another entry.
 
-The engine keeps the events of an answer for a while. After a cut, a silence or a
-faulty event this entry asks it for the rest; when a caller comes back with its key
-after losing its entry, any entry fetches the same answer and never runs it again.
+An engine keeps the events of a response for a while. After a cut, a stall or an
+invalid event this entry requests the remaining events. When a caller reconnects with
+its key after losing its entry, any entry fetches the same response and never runs
+the request again.
 """
 
 from __future__ import annotations
@@ -17,15 +18,15 @@
 from ...decisions.upstreams import note_dispatch
 from ...records import OutcomeKind
 from ...records import RowStatus
-from .attempts import end_attempt
 from .attempts import find_row
+from .attempts import finish_attempt
 from .replies import Problem
 from .stream_runs import can_resume
 from .stream_runs import leave_upstream
 from .streams import EventStream
 from .upstream_client import AttemptError
 from .upstream_client import UpstreamCall
-from .upstream_client import drop_response
+from .upstream_client import discard_response
 from .upstream_client import send_call
 
 
@@ -36,31 +37,31 @@
 
 
 MAX_RESUMES = 8
-"""Connections over which one answer may be resumed."""
-RESUME_PAUSE = 0.05
-"""Seconds, times the tries so far, before an engine is asked again."""
+"""Limit of connections over which one response may be resumed."""
+RESUME_DELAY = 0.05
+"""Seconds before an engine is called again, multiplied by the attempts so far."""
 
 
 def attach_run(context: EntryContext, run: StreamRun, row: LedgerRow) -> None:
-    """Turn a run to the answer that its key has already, here or elsewhere.
+    """Attach a run to the existing response of its key, at this entry or another.
 
-    Events that the caller named as received are read for the usage and not sent
-    again. ``Problem`` if the row has no answer to fetch.
+    Events that the caller reported as received are parsed for the usage and not sent
+    again. ``Problem`` if the row has no response to fetch.
     """
     if row.status is RowStatus.UNKNOWN or row.outcome is OutcomeKind.MAY_HAVE_RUN:
-        raise make_gone_problem(row)
+        raise make_unavailable_problem(row)
 
-    skip = read_last_event(run.chat.last_event, row.request)
+    skip = parse_last_event_id(run.chat.last_event_id, row.request)
     run.attached = row
     run.stream = EventStream(request=row.request, skip=skip)
     run.version = row.version
     run.upstream = row.upstream
     run.ran = True
-    run.name_request(row.request)
+    run.set_request_id(row.request)
 
 
-def find_next_holder(context: EntryContext, run: StreamRun) -> None:
-    """Turn an attached run to the next engine that may hold its answer."""
+def find_next_engine(context: EntryContext, run: StreamRun) -> None:
+    """Select the next engine that may hold the response of an attached run."""
     for upstream, row in context.tables.upstreams.items():
         if upstream in run.excluded or row.left:
             continue
@@ -70,11 +71,11 @@
             return
 
     assert run.attached is not None
-    raise make_gone_problem(run.attached)
+    raise make_unavailable_problem(run.attached)
 
 
-def make_gone_problem(row: LedgerRow) -> Problem:
-    """Return the problem of a key whose answer can't be fetched."""
+def make_unavailable_problem(row: LedgerRow) -> Problem:
+    """Return the problem for a key whose response can't be fetched."""
     running = row.status is RowStatus.OPEN
     return Problem(
         status=409,
@@ -86,8 +87,8 @@
     )
 
 
-def read_last_event(header: str, request: str) -> int:
-    """Return the number of the last event that a caller has of this request."""
+def parse_last_event_id(header: str, request: str) -> int:
+    """Return the number of the last event of this request that the caller received."""
     name, _, number = header.rpartition(":")
     if name != request or not number.isdigit():
         return 0
@@ -96,7 +97,7 @@
 
 
 def may_resume(context: EntryContext, run: StreamRun) -> bool:
-    """Tell whether one more try at the same engine is due, and count it."""
+    """Return whether to attempt a resume at the same engine, and count the attempt."""
     if not can_resume(context, run.upstream):
         return False
 
@@ -108,10 +109,10 @@
 
 
 async def resume_stream(context: EntryContext, run: StreamRun) -> Any:
-    """Ask the same engine for the rest; None if this try failed.
+    """Request the remaining events from the same engine; None if this failed.
 
-    It is no new work for the engine: it goes on with what it holds, so that a
-    withdrawn version or a leaving engine still ends what it began.
+    This is no new work for the engine, which continues what it has started. So
+    withdrawn versions and leaving engines still finish their responses.
     """
     upstream = run.upstream
     row = context.tables.upstreams[upstream]
@@ -126,27 +127,27 @@
     try:
         response = await send_call(context, row, call, limit=limit)
     except AttemptError as error:
-        end_attempt(context, upstream, failed=True)
+        finish_attempt(context, upstream, failed=True)
         logger.info("stream: {} not resumed: {}.", run.stream.request, error)
         if run.stream.last == 0:
             leave_upstream(run)
         else:
-            pause = RESUME_PAUSE * run.resumes
-            await deferLater(context.reactor, pause, lambda: None)
+            delay = RESUME_DELAY * run.resumes
+            await deferLater(context.reactor, delay, lambda: None)
 
         return None
 
     if response.code == 200:
         return response
 
-    drop_response(response)
-    end_attempt(context, upstream, failed=response.code >= 500)
+    discard_response(response)
+    finish_attempt(context, upstream, failed=response.code >= 500)
     leave_upstream(run)
     return None
 
 
 async def cancel_stream(context: EntryContext, run: StreamRun) -> None:
-    """Tell the engine to stop; a best effort, it ends by itself otherwise."""
+    """Cancel the stream at the engine; best effort, as it also ends by itself."""
     try:
         row = find_row(context, run.upstream, context.clock())
         if not row.announcement.capabilities.cancel:
@@ -161,6 +162,6 @@
         response = await send_call(
             context, row, call, limit=context.settings.progress_timeout
         )
-        drop_response(response)
+        discard_response(response)
     except AttemptError as error:
         logger.debug("stream: {} not cancelled: {}.", run.stream.request, error)
--- a/src/waxwingwell/adapters/entry/services.py
+++ b/src/waxwingwell/adapters/entry/services.py
@@ -1,4 +1,4 @@
-"""Calls to plain services; those that may not be repeated run at most once."""
+"""Calls to plain services; those that may not be retried run at most once."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 from ...records import VersionId
 from ...records import WorkKind
 from ...records import WorkspaceConfig
-from .attempts import end_attempt
-from .attempts import read_answer_body
+from .attempts import finish_attempt
+from .attempts import read_response_body
 from .attempts import run_attempt
 from .checks import check_lease
 from .ledger import Ending
@@ -45,14 +45,15 @@
     from .placement import Placements
 
 
-MAX_STORED = 1_000_000
-"""Bytes of an answer kept for replay; a longer one is replayed without its body."""
+MAX_STORED_SERVICE_BYTES = 1_000_000
+"""Largest response body stored for replay. A retry of a call whose response was longer
+gets an error instead."""
 NO_VERSION = VersionId("")
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceCall:
-    """A caller's call of a plain service."""
+    """A caller's call to a plain service."""
 
     work: Work
     rule: ServiceRule
@@ -68,7 +69,7 @@
 def find_rule(
     config: WorkspaceConfig, service: str, method: str, path: str
 ) -> ServiceRule:
-    """Return the rule with the longest fitting prefix; ``Problem`` if none fits."""
+    """Return the rule with the longest matching prefix; ``Problem`` if none matches."""
     rules = [rule for rule in config.services if rule.service == service]
     if not rules:
         raise Problem(
@@ -77,25 +78,25 @@
             message=f"service {service!r} is not open to this workspace",
         )
 
-    fitting = [
+    matching = [
         rule
         for rule in rules
-        if _is_below(path, rule.path_prefix) and method in rule.methods
+        if _matches_prefix(path, rule.path_prefix) and method in rule.methods
     ]
-    if not fitting:
+    if not matching:
         raise Problem(
             status=403,
             code="call_not_allowed",
             message=f"{method} {path} of {service!r} is not open to this workspace",
         )
 
-    return max(fitting, key=lambda rule: len(rule.path_prefix))
+    return max(matching, key=lambda rule: len(rule.path_prefix))
 
 
 def make_service_work(
     request: str, config: WorkspaceConfig, rule: ServiceRule, *, data_centre: str
 ) -> Work:
-    """Return the work of a plain call."""
+    """Return the work of a call to a plain service."""
     kind = WorkKind(name=rule.service, priority=rule.priority, quality_target=0.0)
     return Work(
         request=request,
@@ -109,12 +110,12 @@
     )
 
 
-async def answer_service(
+async def run_service_call(
     context: EntryContext, placements: Placements, call: ServiceCall, span: Span
 ) -> StoredAnswer:
-    """Run the call and return the service's answer, or the stored one of its key.
+    """Run the call and return the service's response, or the stored one of its key.
 
-    Errors: ``Problem``, whose outcome tells whether the call ran.
+    Errors: ``Problem``, whose outcome states whether the call ran.
     """
     choice = await place_request(
         context, placements, call.work, NO_VERSION, frozenset()
@@ -129,28 +130,30 @@
             upstream=choice.upstream,
         ),
     )
-    stored = find_stored(outcome)
+    stored = find_stored_response(outcome)
     if stored is not None:
         return stored
 
     try:
         check_lease(context)
-        answer = await _run_call(context, placements, call, choice.upstream, span)
+        response = await _dispatch_call(
+            context, placements, call, choice.upstream, span
+        )
     except Problem as problem:
         await _settle(context, call, problem.outcome, None)
         raise
 
-    await _settle(context, call, OutcomeKind.COMPLETED, answer)
-    return answer
+    await _settle(context, call, OutcomeKind.COMPLETED, response)
+    return response
 
 
-def find_stored(outcome: ReserveOutcome) -> StoredAnswer | None:
-    """Return the stored answer of a reserved key, or None if its row is new.
+def find_stored_response(outcome: ReserveOutcome) -> StoredAnswer | None:
+    """Return the stored response of a reserved key, or None if its row is new.
 
-    ``Problem`` while the key's request runs, or if its answer is not kept.
+    ``Problem`` while the key's request runs, or if its response is not stored.
     """
     if isinstance(outcome, AlreadyOpen):
-        raise make_open_problem(outcome.row)
+        raise make_in_progress_problem(outcome.row)
 
     if isinstance(outcome, AlreadySettled):
         return replay_row(outcome.row)
@@ -159,7 +162,10 @@
 
 
 def replay_row(row: LedgerRow) -> StoredAnswer:
-    """Return the stored answer of a settled row, or tell that it may have run."""
+    """Return the stored response of a settled row.
+
+    ``Problem`` if none is stored; its outcome states whether the request may have run.
+    """
     if row.status == RowStatus.SETTLED and row.answer is not None:
         return row.answer
 
@@ -179,8 +185,8 @@
     )
 
 
-def make_open_problem(row: LedgerRow) -> Problem:
-    """Return the problem of a key whose first request is still running."""
+def make_in_progress_problem(row: LedgerRow) -> Problem:
+    """Return the problem for a key whose first request is still running."""
     outcome = OutcomeKind.FAILED if row.repeatable else OutcomeKind.MAY_HAVE_RUN
     return Problem(
         status=409,
@@ -191,15 +197,15 @@
     )
 
 
-async def _run_call(
+async def _dispatch_call(
     context: EntryContext,
     placements: Placements,
     call: ServiceCall,
-    first: UpstreamId,
+    first_upstream: UpstreamId,
     span: Span,
 ) -> StoredAnswer:
-    """Dispatch the call; a non-idempotent one again only if it did not run."""
-    upstream = first
+    """Dispatch the call; retry a non-idempotent one only if it did not run."""
+    upstream = first_upstream
     excluded: frozenset[UpstreamId] = frozenset()
     sent = ran = False
 
@@ -220,11 +226,13 @@
         check(
             Promise.AT_MOST_ONCE,
             call.rule.repeatable or not sent,
-            lambda: f"{call.work.request} would be dispatched twice",
+            lambda: (
+                f"{call.work.request} is not repeatable, but would be dispatched twice"
+            ),
         )
         try:
             response = await run_attempt(context, call.work, upstream, build, span)
-            return await _read_answer(context, response, upstream)
+            return await _read_response(context, response, upstream)
         except AttemptError as error:
             sent = error.may_have_run
             ran |= error.may_have_run
@@ -242,12 +250,12 @@
         upstream = choice.upstream
 
 
-async def _read_answer(
+async def _read_response(
     context: EntryContext, response: Any, upstream: UpstreamId
 ) -> StoredAnswer:
     limit = context.settings.progress_timeout * 2
-    data = await read_answer_body(context, response, upstream, limit=limit)
-    end_attempt(context, upstream, failed=response.code >= 500)
+    data = await read_response_body(context, response, upstream, limit=limit)
+    finish_attempt(context, upstream, failed=response.code >= 500)
     types = response.headers.getRawHeaders("content-type")
     return StoredAnswer(
         status=response.code,
@@ -262,15 +270,17 @@
     outcome: OutcomeKind,
     answer: StoredAnswer | None,
 ) -> None:
-    kept = answer
-    if answer is not None and len(answer.body) > MAX_STORED:
-        kept = None
+    stored_answer = answer
+    if answer is not None and len(answer.body) > MAX_STORED_SERVICE_BYTES:
+        stored_answer = None
 
     work = call.work
-    ending = Ending(outcome=outcome, answer=None if call.rule.repeatable else kept)
+    ending = Ending(
+        outcome=outcome, answer=None if call.rule.repeatable else stored_answer
+    )
     await settle_row(context, work.workspace, call.key, work.request, ending)
 
 
-def _is_below(path: str, prefix: str) -> bool:
-    wanted = prefix.strip("/")
-    return not wanted or path == wanted or path.startswith(wanted + "/")
+def _matches_prefix(path: str, prefix: str) -> bool:
+    base = prefix.strip("/")
+    return not base or path == base or path.startswith(base + "/")
--- a/src/waxwingwell/adapters/entry/upkeep.py
+++ b/src/waxwingwell/adapters/entry/upkeep.py
@@ -1,4 +1,4 @@
-"""What an entry does of its own accord: lease, evidence, spread, queue."""
+"""Periodic tasks of an entry: lease, evidence, spreading of state, queue, tables."""
 
 from __future__ import annotations
 
@@ -50,29 +50,34 @@
     from .placement import Placements
 
 
-RENEW_EVERY = 1.0
-RENEW_RETRY = 0.1
+RENEW_INTERVAL = 1.0
+"""Seconds until the next renewal after one that was granted."""
+RENEW_RETRY_DELAY = 0.1
 """Seconds until the next renewal after one that was not granted."""
-RENEW_LIMIT = 1.0
+RENEW_TIMEOUT = 1.0
+"""Seconds for which a renewal waits for a leader's reply."""
 EVIDENCE_EVERY = 1.0
-EVIDENCE_LIMIT = 2.0
-SPREAD_EVERY = 0.5
-NOTHING_TOLD = float("-inf")
-QUEUE_TICK = 0.01
-"""Seconds between two runs of the queue's systems."""
-TABLES_TICK = 0.25
-"""Seconds between two runs of the systems that go over all upstreams. Whether one
-upstream's lease still holds is looked at again with each dispatch."""
+"""Seconds between two reports of evidence."""
+EVIDENCE_TIMEOUT = 2.0
+"""Seconds for which a report of evidence waits for a leader's reply."""
+SPREAD_INTERVAL = 0.5
+"""Seconds between two messages to the other entries."""
+NEVER_ANNOUNCED = float("-inf")
+QUEUE_INTERVAL = 0.01
+"""Seconds between two runs of the queue."""
+TABLES_INTERVAL = 0.25
+"""Seconds between two passes over all upstreams. The lease of a single upstream is
+also checked at each dispatch."""
 
 
 @dataclass(slots=True)
 class Upkeep:
-    """What the periodic work of one entry remembers."""
+    """State of the periodic tasks of one entry."""
 
     entries: dict[str, Link] = field(default_factory=dict)
     memory: DemandMemory = field(default_factory=DemandMemory)
-    told: dict[str, float] = field(default_factory=dict)
-    """When each other entry was last told the news."""
+    announced_at: dict[str, float] = field(default_factory=dict)
+    """Time at which announcements were last sent to each other entry."""
     sequence: int = 0
     demand_sequence: int = 0
     stopped: bool = False
@@ -80,12 +85,13 @@
     """Timer of the next renewal."""
 
 
-def renew_on(context: EntryContext, upkeep: Upkeep) -> None:
-    """Renew the configuration lease now, and again in due time.
+def renew_periodically(context: EntryContext, upkeep: Upkeep) -> None:
+    """Renew the configuration lease now, and schedule the next renewal.
 
-    Failure guarded against: renewals go unanswered while the leader changes. With the
-    usual pause after each, a lease runs out on two or three of them, and the entry
-    refuses work though a leader was there for most of that time.
+    A failed renewal is retried after a short delay. While the leader changes renewals
+    get no reply; with the usual interval after each, two or three of them would use up
+    the lease, and the entry would refuse work although a leader was available for
+    most of that time.
     """
     if upkeep.stopped:
         return
@@ -93,16 +99,18 @@
     done = Deferred.fromCoroutine(renew_once(context))
     done.addErrback(_report_renewal)
 
-    def again(granted: bool) -> None:
-        pause = RENEW_EVERY if granted else RENEW_RETRY
+    def schedule_next(granted: bool) -> None:
+        delay = RENEW_INTERVAL if granted else RENEW_RETRY_DELAY
         if not upkeep.stopped:
-            upkeep.renewal = context.reactor.callLater(pause, renew_on, context, upkeep)
+            upkeep.renewal = context.reactor.callLater(
+                delay, renew_periodically, context, upkeep
+            )
 
-    done.addCallback(again)
+    done.addCallback(schedule_next)
 
 
 def stop_upkeep(upkeep: Upkeep) -> None:
-    """Renew no more; the lease runs out by itself."""
+    """Stop the renewals; the lease expires by itself."""
     upkeep.stopped = True
     if upkeep.renewal is not None and upkeep.renewal.active():
         upkeep.renewal.cancel()
@@ -114,15 +122,15 @@
 
 
 async def renew_once(context: EntryContext) -> bool:
-    """Ask for the lease, taking newer configuration first where there is any.
+    """Request the lease, after applying a newer configuration if there is one.
 
-    True if it was granted.
+    Return whether the lease was granted.
     """
     for _ in range(2):
         renewal = begin_renewal(context.lease, context.clock())
         try:
             reply = await ask_leader(
-                context.control, renewal.message, limit=RENEW_LIMIT
+                context.control, renewal.message, limit=RENEW_TIMEOUT
             )
         except ControlUnavailableError:
             context.metrics.count("lease.unanswered", 1)
@@ -164,7 +172,7 @@
 
 
 async def flush_evidence(context: EntryContext, upkeep: Upkeep) -> None:
-    """Send what was learnt of versions; a resend carries the same sequence."""
+    """Send new evidence about versions; a retry carries the same sequence number."""
     rows = take_increments(context.tables)
     if not rows:
         return
@@ -176,7 +184,7 @@
         rows=rows,
     )
     try:
-        await submit_command(context.control, command, limit=EVIDENCE_LIMIT)
+        await submit_command(context.control, command, limit=EVIDENCE_TIMEOUT)
     except ControlUnavailableError:
         return
 
@@ -185,10 +193,10 @@
 
 
 def spread_news(context: EntryContext, upkeep: Upkeep) -> None:
-    """Tell the other entries of upstreams and demand heard of here.
+    """Send announcements and demand known at this entry to the other entries.
 
-    Each is told what is new since it was last told. What was under way when a
-    connection broke may be lost, so that a new connection is told everything.
+    Each entry receives what is new since the last message to it. Messages in transit
+    may be lost when a connection breaks, so a new connection receives everything.
     """
     now = context.clock()
     upkeep.demand_sequence += 1
@@ -199,21 +207,21 @@
         sequence=upkeep.demand_sequence,
     )
     for name, link in upkeep.entries.items():
-        since = upkeep.told.get(name, NOTHING_TOLD)
-        news = list_spread(context.tables, since, now)
-        if not news.announcements or cast_link(link, news):
-            upkeep.told[name] = now
+        since = upkeep.announced_at.get(name, NEVER_ANNOUNCED)
+        update = list_spread(context.tables, since, now)
+        if not update.announcements or cast_link(link, update):
+            upkeep.announced_at[name] = now
 
         cast_link(link, demand)
 
 
-def forget_told(upkeep: Upkeep, name: str) -> None:
-    """Note that an entry must be told everything: its connection is new."""
-    upkeep.told.pop(name, None)
+def reset_announced(upkeep: Upkeep, name: str) -> None:
+    """Send all announcements again to an entry, as its connection is new."""
+    upkeep.announced_at.pop(name, None)
 
 
 def take_news(context: EntryContext, upkeep: Upkeep, body: Any) -> None:
-    """Take in what another entry tells."""
+    """Apply a message from another entry."""
     now = context.clock()
     if isinstance(body, SpreadAnnouncements):
         take_spread(context.tables, body, 0.0, now)
@@ -222,13 +230,13 @@
 
 
 def run_queue_tick(context: EntryContext, placements: Placements) -> None:
-    """Hand out waiting requests; costs nothing while none waits."""
+    """Place waiting requests; costs nothing while none waits."""
     if context.tables.waiting:
         run_queue(context, placements)
 
 
 def run_tables_tick(context: EntryContext, upkeep: Upkeep) -> None:
-    """Run the systems that go over whole tables."""
+    """Run the periodic passes over whole tables."""
     now = context.clock()
     expire_upstreams(context.tables, now)
     index_upstreams(context.tables, now)
--- a/src/waxwingwell/adapters/entry/whole.py
+++ b/src/waxwingwell/adapters/entry/whole.py
@@ -1,4 +1,4 @@
-"""Chats answered whole: one version, or a cascade that rates and escalates."""
+"""Non-streaming chats: one version, or a cascade that rates and escalates."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 from ...records import UpstreamId
 from ...records import Usage
 from ...records import VersionId
-from .attempts import end_attempt
-from .attempts import read_answer_body
+from .attempts import finish_attempt
+from .attempts import read_response_body
 from .attempts import run_attempt
 from .chats import make_upstream_body
 from .checks import assert_dispatch
 from .checks import check_dispatch
 from .choice import price_usage
 from .placement import place_request
-from .ratings import RatedAnswer
+from .ratings import RatedResponse
 from .ratings import rate_answer
-from .ratings import rate_later
+from .ratings import rate_in_background
 from .replies import Problem
 from .streams import TokenCounts
 from .upstream_client import AttemptError
@@ -46,9 +46,10 @@
 
 
 CHAT_PATH = "/v1/chat/completions"
-MAX_ANSWER = 16_000_000
-"""Bytes of a whole answer."""
+MAX_RESPONSE_BYTES = 16_000_000
+"""Largest complete response of an upstream."""
 RETRY_AFTER_FAILURE = 1.0
+"""Seconds after which a caller may retry when an upstream failed."""
 
 
 class _Message(msgspec.Struct):
@@ -65,8 +66,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WholeAnswer:
-    """A whole answer with what it used, over all versions that were tried."""
+class CompleteResponse:
+    """A complete response with its usage, summed over all versions that ran."""
 
     body: bytes
     text: str
@@ -82,38 +83,38 @@
 
     version: VersionId
     escalated: bool
-    """An earlier version's answer was rated too low."""
+    """An earlier version's response was rated too low."""
     last: bool
 
 
-async def answer_whole(
+async def fetch_complete_response(
     context: EntryContext,
     placements: Placements,
     chat: Chat,
     chosen: ChosenWork,
     span: Span,
-) -> WholeAnswer:
-    """Run the plan's versions in turn until one answers well enough.
+) -> CompleteResponse:
+    """Run the plan's versions in turn until a response is rated high enough.
 
-    Errors: ``Problem``. A later version that can't be had doesn't lose the answer of
-    an earlier one: the best there is goes out.
+    Errors: ``Problem``. If a later version fails, the response of the version before
+    it is returned.
     """
     spent = Usage()
-    best: WholeAnswer | None = None
+    best: CompleteResponse | None = None
     last = len(chosen.choice.plan) - 1
-    for place, version in enumerate(chosen.choice.plan):
-        step = CascadeStep(version=version, escalated=place > 0, last=place == last)
+    for index, version in enumerate(chosen.choice.plan):
+        step = CascadeStep(version=version, escalated=index > 0, last=index == last)
         try:
-            answer = await _run_step(context, placements, chat, chosen, step, span)
+            response = await _run_step(context, placements, chat, chosen, step, span)
         except Problem:
             if best is None:
                 raise
 
             break
 
-        spent = _add_usage(spent, answer.usage)
-        best = answer
-        if step.last or _is_good(answer, chosen.choice.threshold):
+        spent = _add_usage(spent, response.usage)
+        best = response
+        if step.last or _meets_threshold(response, chosen.choice.threshold):
             break
 
     assert best is not None
@@ -127,7 +128,7 @@
     chosen: ChosenWork,
     step: CascadeStep,
     span: Span,
-) -> WholeAnswer:
+) -> CompleteResponse:
     """Run one version; all but a plan's last are rated before they are served."""
     work, rate = chosen.work, chosen.choice.rate or not step.last
     note_sent(
@@ -141,7 +142,9 @@
         escalated=step.escalated,
     )
     try:
-        answer = await _answer_by(context, placements, chat, chosen, step.version, span)
+        response = await _request_version(
+            context, placements, chat, chosen, step.version, span
+        )
     except Problem:
         if rate:
             note_unrated(
@@ -154,35 +157,35 @@
 
         raise
 
-    asked = RatedAnswer(
+    rated = RatedResponse(
         work=work,
         version=step.version,
         prompt=chat.prompt,
-        text=answer.text,
+        text=response.text,
         escalated=step.escalated,
         threshold=0.0 if step.last else chosen.choice.threshold,
     )
     if not step.last:
-        return replace(answer, rating=await rate_answer(context, asked))
+        return replace(response, rating=await rate_answer(context, rated))
 
     if rate:
-        rate_later(context, asked)
+        rate_in_background(context, rated)
 
-    return answer
+    return response
 
 
-def _is_good(answer: WholeAnswer, threshold: float) -> bool:
-    return answer.rating is not None and answer.rating >= threshold
+def _meets_threshold(response: CompleteResponse, threshold: float) -> bool:
+    return response.rating is not None and response.rating >= threshold
 
 
-async def _answer_by(
+async def _request_version(
     context: EntryContext,
     placements: Placements,
     chat: Chat,
     chosen: ChosenWork,
     version: VersionId,
     span: Span,
-) -> WholeAnswer:
+) -> CompleteResponse:
     work = chosen.work
     body = make_upstream_body(chat, version)
 
@@ -211,14 +214,14 @@
         if response.code != 200:
             raise make_upstream_problem(response.code, data)
 
-        return _read_answer(context, data, version, choice.upstream)
+        return _parse_completion(context, data, version, choice.upstream)
 
 
 def correct_outcome(problem: Problem, *, ran: bool) -> Problem:
-    """Return the problem with an outcome that is true of all attempts so far.
+    """Return the problem with an outcome that holds for all attempts so far.
 
-    Failure guarded against: an engine takes the request and falls silent, no other
-    is free, and the refusal for want of a place says "not run" of work that ran.
+    Otherwise, if an engine accepts the request and then stalls and no other one has
+    capacity, the refusal would report work that ran as "not run".
     """
     if not ran or problem.outcome is not OutcomeKind.NOT_RUN:
         return problem
@@ -229,9 +232,9 @@
 def check_retry(
     context: EntryContext, error: AttemptError, *, repeatable: bool, ran: bool = False
 ) -> None:
-    """Return if one more attempt is safe and within the budget, or raise.
+    """Return if another attempt is safe and within the retry budget, or raise.
 
-    ``ran`` tells whether an earlier attempt may have run.
+    ``ran`` states whether an earlier attempt may have run.
     """
     state = DispatchState.SENT if error.may_have_run else DispatchState.NOT_SENT
     safe = is_retry_safe(repeatable, state)
@@ -256,7 +259,7 @@
 
 
 def make_upstream_problem(status: int, data: bytes) -> Problem:
-    """Return the problem that tells a caller of an engine's own error answer."""
+    """Return the problem that reports an engine's error response to the caller."""
     return Problem(
         status=status if 400 <= status < 500 else 502,
         code="upstream_error",
@@ -270,18 +273,18 @@
     context: EntryContext, response: Any, upstream: UpstreamId
 ) -> bytes:
     limit = context.settings.progress_timeout * 4
-    data = await read_answer_body(context, response, upstream, limit=limit)
-    if len(data) > MAX_ANSWER:
-        end_attempt(context, upstream, failed=True)
+    data = await read_response_body(context, response, upstream, limit=limit)
+    if len(data) > MAX_RESPONSE_BYTES:
+        finish_attempt(context, upstream, failed=True)
         raise AttemptError("the answer is too long", may_have_run=True)
 
-    end_attempt(context, upstream, failed=response.code >= 500)
+    finish_attempt(context, upstream, failed=response.code >= 500)
     return data
 
 
-def _read_answer(
+def _parse_completion(
     context: EntryContext, data: bytes, version: VersionId, upstream: UpstreamId
-) -> WholeAnswer:
+) -> CompleteResponse:
     try:
         completion = msgspec.json.decode(data, type=_Completion)
         text = completion.choices[0].message.content or ""
@@ -298,7 +301,7 @@
     usage = Usage(
         prompt_tokens=tokens.prompt_tokens, answer_tokens=tokens.completion_tokens
     )
-    return WholeAnswer(
+    return CompleteResponse(
         body=data,
         text=text,
         version=version,
--- a/tests/routing/test_retries.py
+++ b/tests/routing/test_retries.py
@@ -1,4 +1,4 @@
-"""The budget of repeats that all gateways share."""
+"""Tests of the retry budget that all gateways share."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from waxwingwell.routing.retries import FAILURE_PART
 from waxwingwell.routing.retries import RetryLimits
 from waxwingwell.routing.retries import RetryTable
-from waxwingwell.routing.retries import add_repeats
 from waxwingwell.routing.retries import count_own
 from waxwingwell.routing.retries import list_repeats
 from waxwingwell.routing.retries import may_repeat
 from waxwingwell.routing.retries import note_repeat
 from waxwingwell.routing.retries import note_request
+from waxwingwell.routing.retries import sum_retries
 from waxwingwell.routing.retries import take_repeats
 
 
@@ -31,18 +31,18 @@
     return table
 
 
-def take_counts(
+def apply_counts(
     table: RetryTable, others: tuple[int, int, float], now: float, shares: int = 99
 ) -> None:
-    """Take a sum of the others' requests, repeats and draws, and of our own."""
+    """Apply totals of other gateways' requests, retries and draws, and the own ones."""
     own = count_own(table, "chat", LIMITS, now)
     requests, repeats, drawn = others
     mine = ServiceRepeats("chat", requests, repeats, drawn, shares)
-    take_repeats(table, add_repeats((mine, own)), (own,), now)
+    take_repeats(table, sum_retries((mine, own)), (own,), now)
 
 
 def count_allowed(table: RetryTable, part: float, gateways: int, now: float) -> int:
-    """Repeat until the budget says no; return how often."""
+    """Send retries until the budget refuses one; return their number."""
     count = 0
     while may_repeat(table, "chat", LIMITS, part=part, gateways=gateways, now=now):
         note_repeat(table, "chat", now, LIMITS)
@@ -52,7 +52,7 @@
 
 
 class Gateways:
-    """Gateways with a request a second each, half of which need a repeat."""
+    """Gateways with nearly one request per second each, half of which need a retry."""
 
     LIMITS = RetryLimits(ratio=0.9, slack=430.0, window=10.0)
     LAG = 0.5
@@ -61,22 +61,22 @@
         self.tables = [RetryTable() for _ in range(count)]
         self.shared = shared
         self.random = random.Random(1)
-        self.most_used = 0.0
-        """Largest part of the budget that was ever used."""
+        self.peak_use = 0.0
+        """Largest part of the budget used in any window."""
 
-    def play(self, seconds: float) -> float:
-        """Return the share of repeats that were allowed."""
+    def run(self, seconds: float) -> float:
+        """Return the share of needed retries that were allowed."""
         allowed: list[bool] = []
-        for turn in range(int(seconds / self.LAG)):
-            now = turn * self.LAG
-            self._share(now)
+        for step in range(int(seconds / self.LAG)):
+            now = step * self.LAG
+            self._exchange_totals(now)
             for table in self.tables:
                 if self.random.random() < 0.85 * self.LAG:
-                    allowed += self._ask(table, now)
+                    allowed += self._handle_request(table, now)
 
         return sum(allowed) / len(allowed)
 
-    def _ask(self, table: RetryTable, now: float) -> list[bool]:
+    def _handle_request(self, table: RetryTable, now: float) -> list[bool]:
         note_request(table, "chat", now, self.LIMITS)
         if self.random.random() < 0.5:
             return []
@@ -89,12 +89,12 @@
 
         return [allowed]
 
-    def _share(self, now: float) -> None:
+    def _exchange_totals(self, now: float) -> None:
         reports = [list_repeats(one, self.LIMITS, now) for one in self.tables]
-        total = add_repeats(part for report in reports for part in report)
+        total = sum_retries(part for report in reports for part in report)
         for one in total:
             budget = self.LIMITS.ratio * one.requests + self.LIMITS.slack
-            self.most_used = max(self.most_used, one.repeats / budget)
+            self.peak_use = max(self.peak_use, one.repeats / budget)
 
         if self.shared:
             for table, report in zip(self.tables, reports, strict=True):
@@ -102,9 +102,9 @@
 
 
 class BudgetTest(unittest.TestCase):
-    """How many repeats are allowed."""
+    """Number of allowed retries."""
 
-    def test_allowed_repeats(self) -> None:
+    def test_allowed_retries(self) -> None:
         for requests, gateways, now, part, expected in (
             (100, 10, 1.0, 1.0, 54),
             (100, 10, 1.0, 0.5, 27),
@@ -124,27 +124,27 @@
         )
         self.assertLessEqual(total, LIMITS.ratio * 20 * gateways + LIMITS.slack)
 
-    def test_a_gateway_draws_on_what_the_others_leave(self) -> None:
-        """Guards against repeats refused to one of many gateways with a request each.
+    def test_a_gateway_draws_on_the_remainder_of_the_others(self) -> None:
+        """Guards against retries refused to one of many gateways with few requests.
 
-        Others' counts that are old say nothing, and each keeps to its own part again.
+        With stale totals each gateway uses its own allowance only.
         """
         for name, others, age, expected in (
             ("others use little", (1_000, 100, 0.0), 0.1, 4),
             ("others draw half", (1_000, 300, 120.0), 0.1, 3),
             ("others draw all", (1_000, 500, 250.0), 0.1, 2),
             ("others use all", (1_000, 600, 250.0), 0.1, 0),
-            ("old news", (1_000, 100, 0.0), 2.0, 5),
+            ("stale totals", (1_000, 100, 0.0), 2.0, 5),
         ):
             with self.subTest(name):
                 table = make_table(10)
-                take_counts(table, others, 1.0 - age)
+                apply_counts(table, others, 1.0 - age)
                 self.assertEqual(count_allowed(table, 1.0, 100, 1.0), expected)
 
-    def test_a_gateway_goes_on_drawing_while_the_others_use_little(self) -> None:
-        """Guards against a gateway in need that is kept to its own part.
+    def test_a_gateway_continues_to_draw_while_the_others_use_little(self) -> None:
+        """Guards against a gateway limited to its own part while others need none.
 
-        All gateways at once must not draw more than the others leave; one alone gets
+        All gateways at once must not draw more than the remainder; one alone gets
         several times what its own requests and its share of the slack allow.
         """
         for name, drawn, least, most in (
@@ -154,43 +154,43 @@
             with self.subTest(name):
                 table = make_table(10)
                 allowed = 0
-                for turn in range(36):
-                    now = 1.0 + turn * 0.25
-                    take_counts(table, (1_000, 100, drawn), now)
+                for step in range(36):
+                    now = 1.0 + step * 0.25
+                    apply_counts(table, (1_000, 100, drawn), now)
                     allowed += count_allowed(table, 1.0, 100, now)
 
                 self.assertGreaterEqual(allowed, least)
                 self.assertLessEqual(allowed, most)
 
-    def test_all_gateways_at_once_draw_what_is_left(self) -> None:
-        """Guards against each gateway using up what the same sum has left."""
+    def test_all_gateways_at_once_draw_the_remainder(self) -> None:
+        """Guards against each gateway using up the remainder of the same totals."""
         for gateways in (6, 100, 1_000):
             with self.subTest(gateways):
                 requests = 10 * (gateways - 1)
                 shares = gateways - 1
-                phases = random.Random(1)
+                rng = random.Random(1)
                 total = 0
                 for _ in range(gateways):
                     table = make_table(0)
-                    table.phase = phases.random()
+                    table.phase = rng.random()
                     for _ in range(10):
                         note_request(table, "chat", 0.0, LIMITS)
 
-                    take_counts(table, (requests, 0, 0.0), 1.0, shares)
+                    apply_counts(table, (requests, 0, 0.0), 1.0, shares)
                     total += count_allowed(table, FAILURE_PART, gateways, 1.0)
 
                 budget = LIMITS.ratio * 10 * gateways + LIMITS.slack
                 self.assertLessEqual(total, budget)
 
     def test_a_gateway_that_starts_has_no_slack(self) -> None:
-        """Guards against a share of the slack that is used twice around a restart."""
+        """Guards against a share of the slack that is used again after a restart."""
         for age, expected in ((9.0, 0), (10.0, 4)):
             with self.subTest(age):
                 table = make_table(0)
                 table.began_at = 1.0 - age
                 self.assertEqual(count_allowed(table, 1.0, 10, 1.0), expected)
 
-    def test_limits_that_cannot_be(self) -> None:
+    def test_invalid_limits(self) -> None:
         for name, fields in (
             ("ratio", {"ratio": -0.1}),
             ("slack", {"slack": -1.0}),
@@ -199,26 +199,25 @@
             with self.subTest(name), self.assertRaisesRegex(ValueError, name):
                 RetryLimits(**fields)
 
-    def test_hundreds_of_gateways_repeat_as_their_callers_need(self) -> None:
-        """Guards against unsure answers kept for want of a gateway's own part.
+    def test_hundreds_of_gateways_send_all_needed_retries(self) -> None:
+        """Guards against escalations refused because a gateway's own part is small.
 
         195 gateways have nine requests each within the window, every second of which
-        needs a repeat; sums are half a second old. All repeats fit in the budget.
+        needs a retry; totals are half a second old. All retries fit in the budget.
         """
-        shares = {"own part": 0.0, "sums": 0.0}
+        shares = {"own part": 0.0, "totals": 0.0}
         for name in shares:
-            gateways = Gateways(195, shared=name == "sums")
-            shares[name] = gateways.play(seconds=20.0)
-            self.assertLessEqual(gateways.most_used, 1.0)
+            gateways = Gateways(195, shared=name == "totals")
+            shares[name] = gateways.run(seconds=20.0)
+            self.assertLessEqual(gateways.peak_use, 1.0)
 
         self.assertLess(shares["own part"], 0.95)
-        self.assertGreater(shares["sums"], 0.99)
+        self.assertGreater(shares["totals"], 0.99)
 
-    def test_larger_models_leave_room_for_failures(self) -> None:
-        """A busy gateway asks a larger model for each second request.
+    def test_escalations_leave_budget_for_failures(self) -> None:
+        """Guards against escalations that use up the whole budget.
 
-        Then an upstream crashes, and its streams must go on elsewhere. The budget must
-        not have been used up by our own choice.
+        When an upstream then crashes, its streams must be resumed elsewhere.
         """
         table = make_table(100)
         count_allowed(table, CHOICE_PART, 10, 1.0)
