--- a/src/waxwingwell/state/attempts.py
+++ b/src/waxwingwell/state/attempts.py
@@ -1,11 +1,11 @@
-"""Attempts that ended: their late messages open no row again.
-
-Failure guarded against: a reservation that was held up, or a settle that is resent
-because its answer was lost, arrives when the row of its attempt is gone or belongs to
-another attempt. It would open a row that nobody settles, or bill a request twice. The
-ids of ended attempts are remembered for ``ENDED_KEPT`` to twice as long, which is
-longer than an entry resends anything: they are kept in two periods, and the older one
-is let go as a whole.
+"""Request ids of ended attempts, so that late messages don't reopen their rows.
+
+A delayed reservation, or a settle resent because its response was lost, may arrive
+after the row of its attempt was dropped or taken over by another attempt. It would
+then open a row that is never settled, or bill a request twice. The ids of ended
+attempts are therefore kept for one to two times ``ENDED_RETENTION``, which is longer
+than an entry resends anything. They are stored in two generations, of which the older
+one is discarded as a whole.
 """
 
 from __future__ import annotations
@@ -17,34 +17,34 @@
     from .rows import Ledger
 
 
-ENDED_KEPT = 900.0
-"""Least seconds for which the id of an ended attempt is remembered."""
+ENDED_RETENTION = 900.0
+"""Minimum seconds for which the id of an ended attempt is kept."""
 
-MAX_ENDED = 500_000
-"""Ids of one period; beyond it the next one begins early."""
+MAX_ENDED_PER_PERIOD = 500_000
+"""Ids per generation; a new generation starts early once it is reached."""
 
 
 def note_ended(ledger: Ledger, request: str) -> None:
-    """Remember that an attempt ended."""
-    if len(ledger.ended) >= MAX_ENDED:
-        _begin_period(ledger)
+    """Record the request id of an attempt that ended."""
+    if len(ledger.ended) >= MAX_ENDED_PER_PERIOD:
+        _start_period(ledger)
 
     ledger.ended[request] = None
 
 
 def has_ended(ledger: Ledger, request: str) -> bool:
-    """Tell whether an attempt is known to have ended."""
+    """Return whether an attempt is recorded as ended."""
     return request in ledger.ended or request in ledger.ended_before
 
 
-def forget_ended(ledger: Ledger) -> None:
-    """Let the older period go once the present one is long enough."""
-    if ledger.clock - ledger.ended_since >= ENDED_KEPT:
-        _begin_period(ledger)
+def rotate_ended(ledger: Ledger) -> None:
+    """Discard the older generation once the current one is old enough."""
+    if ledger.clock - ledger.ended_since >= ENDED_RETENTION:
+        _start_period(ledger)
 
 
-def _begin_period(ledger: Ledger) -> None:
-    """Begin another period."""
+def _start_period(ledger: Ledger) -> None:
+    """Make the current generation the older one and start an empty one."""
     ledger.ended_before = ledger.ended
     ledger.ended = {}
     ledger.ended_since = ledger.clock
--- a/src/waxwingwell/state/audit.py
+++ b/src/waxwingwell/state/audit.py
@@ -1,8 +1,8 @@
-"""The audit trail: every change that was decided, and past answers of workspaces.
+"""The audit trail: decided changes, and earlier revisions of workspace answers.
 
-Both are bounded: the trail by ``TRAIL_KEPT`` changes, the answers by
-``ANSWERS_KEPT`` revisions of each workspace. Whoever must keep more reads them out
-in time; ``dropped`` tells how many are gone.
+Both are bounded: the trail by ``MAX_AUDIT_ROWS`` changes, the answers by
+``MAX_PAST_ANSWERS`` revisions per workspace. Longer retention requires exporting them
+regularly; ``dropped`` counts the audit rows that were discarded.
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
 from ..records import WorkspaceId
 
 
-TRAIL_KEPT = 20_000
-ANSWERS_KEPT = 100
+MAX_AUDIT_ROWS = 20_000
+MAX_PAST_ANSWERS = 100
 
 
 @dataclass(frozen=True, slots=True)
 class AuditRow:
-    """One change and what became of it."""
+    """One change and its outcome."""
 
     at: float
-    """Seconds since the epoch, as the leader stamped it."""
+    """Seconds since the epoch, stamped by the leader."""
     operator: str
     kind: str
     subject: str
@@ -50,7 +50,7 @@
 
 @dataclass(slots=True)
 class AuditTable:
-    """The trail, oldest first, and past answers by workspace."""
+    """Audit rows, oldest first, and past answers by workspace."""
 
     rows: list[AuditRow] = field(default_factory=list)
     dropped: int = 0
@@ -58,7 +58,7 @@
 
 
 def record_change(table: AuditTable, change: Change, outcome: Outcome) -> None:
-    """Note a change that was decided now; not for a resend of an earlier one."""
+    """Append a newly decided change; resends of earlier changes are not recorded."""
     subject, revision = "", 0
     if isinstance(outcome, Accepted | Conflict):
         subject, revision = outcome.subject, outcome.revision
@@ -74,17 +74,20 @@
             revision=revision,
         )
     )
-    # A slice at a time: dropping one row with each change would move the whole list.
-    surplus = len(table.rows) - TRAIL_KEPT
-    if surplus > TRAIL_KEPT // 10:
+    # Rows are dropped in batches: dropping one per change would shift the whole list.
+    surplus = len(table.rows) - MAX_AUDIT_ROWS
+    if surplus > MAX_AUDIT_ROWS // 10:
         del table.rows[:surplus]
         table.dropped += surplus
 
     if isinstance(change, ApplyAnswers) and isinstance(outcome, Accepted):
-        _keep_answers(table, change, outcome)
+        _store_past_answers(table, change, outcome)
 
 
-def _keep_answers(table: AuditTable, change: ApplyAnswers, outcome: Accepted) -> None:
+def _store_past_answers(
+    table: AuditTable, change: ApplyAnswers, outcome: Accepted
+) -> None:
+    """Store an accepted revision and drop the oldest ones beyond the bound."""
     kept = table.answers.setdefault(change.config.workspace, [])
     kept.append(
         PastAnswers(
@@ -95,4 +98,4 @@
             answers=change.answers,
         )
     )
-    del kept[:-ANSWERS_KEPT]
+    del kept[:-MAX_PAST_ANSWERS]
--- a/src/waxwingwell/state/bills.py
+++ b/src/waxwingwell/state/bills.py
@@ -1,4 +1,4 @@
-"""Bills: sums over settled ledger rows, each row taken in exactly once."""
+"""Bills: totals over settled ledger rows, each of which is added exactly once."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 
 @dataclass(slots=True)
 class Bill:
-    """What one workspace owes for one version; plain services have an empty version."""
+    """Usage and cost of a workspace by version; plain services have no version."""
 
     workspace: WorkspaceId
     version: VersionId
     requests: int = 0
-    """Rows taken in, whatever their outcome."""
+    """Rows added, regardless of their outcome."""
     completed: int = 0
     failed: int = 0
     unknown: int = 0
-    """Requests that may have run; they cost nothing here."""
+    """Requests that may have run; they are not charged."""
     prompt_tokens: int = 0
     answer_tokens: int = 0
     cost: int = 0
@@ -35,21 +35,21 @@
 
 @dataclass(slots=True)
 class BillTable:
-    """Bills by workspace and version, since the state began."""
+    """Bills by workspace and version since the state was created."""
 
     bills: dict[tuple[WorkspaceId, VersionId], Bill] = field(default_factory=dict)
 
 
 def add_row(table: BillTable, row: LedgerRow) -> None:
-    """Add a final row to its bill; a row that did not run makes no bill."""
+    """Add a final row to its bill; requests that did not run are not billed."""
     if row.outcome is OutcomeKind.NOT_RUN:
         return
 
-    place = (row.workspace, row.version)
-    bill = table.bills.get(place)
+    key = (row.workspace, row.version)
+    bill = table.bills.get(key)
     if bill is None:
         bill = Bill(row.workspace, row.version)
-        table.bills[place] = bill
+        table.bills[key] = bill
 
     bill.requests += 1
     bill.completed += row.outcome is OutcomeKind.COMPLETED
@@ -61,9 +61,9 @@
 
 
 def list_bills(table: BillTable, workspace: WorkspaceId | None = None) -> list[Bill]:
-    """Return the bills of one workspace, or of all, in a fixed order."""
+    """Return the bills of one workspace, or of all, sorted by key."""
     return [
-        table.bills[place]
-        for place in sorted(table.bills)
-        if workspace is None or place[0] == workspace
+        table.bills[key]
+        for key in sorted(table.bills)
+        if workspace is None or key[0] == workspace
     ]
--- a/src/waxwingwell/state/catalogue.py
+++ b/src/waxwingwell/state/catalogue.py
@@ -26,21 +26,21 @@
 
 
 WITHDRAWN_STATUSES = frozenset((VersionStatus.ENDING, VersionStatus.WITHDRAWN))
-"""Statuses that a version never leaves towards new work."""
+"""Statuses from which a version can't become available for new work again."""
 
 
 @dataclass(frozen=True, slots=True)
 class PastChange:
-    """The first outcome of a change id, for answering resends."""
+    """The first outcome of a change id, returned again for resends."""
 
     digest: bytes
-    """Of the change without its ``at``: one id must not name two changes."""
+    """Digest of the change without ``at``; detects an id used for two changes."""
     outcome: Accepted | Conflict | Rejected
 
 
 @dataclass(frozen=True, slots=True)
 class Author:
-    """Who made the present revision of a subject, and when."""
+    """Operator, change id and time of a subject's current revision."""
 
     operator: str
     change_id: str
@@ -49,24 +49,24 @@
 
 @dataclass(slots=True)
 class ConfigTable:
-    """All configuration; only ``configuration.apply_change`` alters it."""
+    """All configuration; modified by ``configuration.apply_change`` only."""
 
     config_version: int = 0
-    """Number of changes ever accepted."""
+    """Number of changes accepted so far."""
     workspaces: dict[WorkspaceId, WorkspaceConfig] = field(default_factory=dict)
     answers: dict[WorkspaceId, bytes] = field(default_factory=dict)
     versions: dict[VersionId, VersionSpec] = field(default_factory=dict)
     rollouts: dict[str, Rollout] = field(default_factory=dict)
     """The latest roll-out of each model, running or ended."""
     revisions: dict[str, int] = field(default_factory=dict)
-    """By subject; a subject that was never written stands at 0."""
+    """Revision by subject; 0 for a subject that was never written."""
     authors: dict[str, Author] = field(default_factory=dict)
     changes: dict[str, PastChange] = field(default_factory=dict)
-    """By change id, oldest first."""
+    """Outcomes by change id, oldest first."""
     changed: dict[str, int] = field(default_factory=dict)
-    """By subject, the configuration version that last changed it, oldest first."""
+    """Configuration version of each subject's last change, oldest first."""
     snapshot: ConfigSnapshot | None = field(default=None, compare=False, repr=False)
-    """The present snapshot, made on demand; not part of the replicated state."""
+    """Cached current snapshot; not part of the replicated state."""
 
 
 def name_workspace(workspace: str) -> str:
@@ -84,11 +84,11 @@
     return f"rollout:{model}"
 
 
-def raise_revision(table: ConfigTable, subject: str, change: Change) -> int:
-    """Give ``subject`` its next revision and return it."""
+def bump_revision(table: ConfigTable, subject: str, change: Change) -> int:
+    """Increment the revision of ``subject`` and return the new one."""
     revision = table.revisions.get(subject, 0) + 1
     table.revisions[subject] = revision
-    # Taken out and put back: the subjects stay in the order of their last change.
+    # Re-inserting keeps the subjects in the order of their last change.
     table.changed.pop(subject, None)
     table.changed[subject] = table.config_version + 1
     table.authors[subject] = Author(change.operator, change.change_id, change.at)
@@ -98,29 +98,28 @@
 def set_status(
     table: ConfigTable, version: VersionId, status: VersionStatus, change: Change
 ) -> None:
-    """Change a version's status under a revision of its own, if it differs.
+    """Change a version's status and bump its revision, if the status differs.
 
-    Failure guarded against: a withdrawn version coming back because a change that
-    was decided earlier is applied later. It would show as new work on a version that
-    an operator had taken away. The order of statuses only ever moves towards
-    ``WITHDRAWN`` once it has reached ``ENDING``, so no order of changes can do it.
+    Once a version is ``ENDING`` its status can only become ``WITHDRAWN``, whatever the
+    order of changes. Otherwise a change decided before the withdrawal but applied after
+    it would reactivate the version, which would then receive new work again.
     """
     spec = table.versions[version]
     if spec.status is status:
         return
 
-    backwards = spec.status in WITHDRAWN_STATUSES and status not in WITHDRAWN_STATUSES
-    softer = spec.status is VersionStatus.WITHDRAWN
+    reactivates = spec.status in WITHDRAWN_STATUSES and status not in WITHDRAWN_STATUSES
+    already_withdrawn = spec.status is VersionStatus.WITHDRAWN
     holds = check(
         Promise.NO_NEW_WORK_WHEN_WITHDRAWN,
-        not backwards and not softer,
-        lambda: f"{version} would go from {spec.status} to {status}",
+        not reactivates and not already_withdrawn,
+        lambda: f"{version} would change from {spec.status} to {status}",
     )
     if not holds:
         return
 
     table.versions[version] = replace(spec, status=status)
-    raise_revision(table, name_version(version), change)
+    bump_revision(table, name_version(version), change)
 
 
 def make_snapshot(table: ConfigTable) -> ConfigSnapshot:
@@ -139,10 +138,11 @@
 
 
 def make_delta(table: ConfigTable, since: int) -> ConfigSnapshot:
-    """Return what changed after ``since``, for an entry that has that version.
+    """Return what changed after configuration version ``since``.
 
-    Everything if ``since`` is no version that this table has passed. A change then
-    costs an entry what it changed, and not the whole configuration.
+    An entry that has ``since`` then receives only the changed subjects instead of the
+    whole configuration. If ``since`` is not a version that this table has reached, the
+    full configuration is returned.
     """
     if not 0 < since <= table.config_version:
         return make_snapshot(table)
--- a/src/waxwingwell/state/configuration.py
+++ b/src/waxwingwell/state/configuration.py
@@ -1,10 +1,10 @@
-"""Compare-and-swap changes of configuration, each applied at most once.
+"""Compare-and-swap changes of the configuration, each applied at most once.
 
-A subject (``workspace:demo``, ``version:heron@2``, ``rollout:heron``) has one
-revision counter, and each revision exactly one ancestor: a change names the revision
-it was made on and is refused if another came first. The idea is that of "Design doc:
-distributed CAS-only key-value store with quorum transactions"; see
-docs/design/configuration.md.
+Each subject (``workspace:demo``, ``version:heron@2``, ``rollout:heron``) has a
+revision counter, and each revision has exactly one predecessor: a change names the
+revision it is based on and is rejected if another change was applied first. This
+follows "Design doc: distributed CAS-only key-value store with quorum transactions";
+see docs/design/configuration.md.
 """
 
 from __future__ import annotations
@@ -28,10 +28,10 @@
 from . import versions
 from . import workspaces
 from .catalogue import PastChange
+from .catalogue import bump_revision
 from .catalogue import name_rollout
 from .catalogue import name_version
 from .catalogue import name_workspace
-from .catalogue import raise_revision
 
 
 if TYPE_CHECKING:
@@ -39,18 +39,18 @@
     from .catalogue import ConfigTable
 
 
-CHANGES_KEPT = 4096
-"""Change ids whose first outcome is remembered, the newest ones.
+MAX_REMEMBERED_CHANGES = 4096
+"""Number of most recent change ids whose first outcome is remembered.
 
-An accepted change resent after that finds its revision taken and gets a conflict, so
-that forgetting never applies a change twice.
+An accepted change that is resent after its id was dropped gets a conflict, because its
+expected revision is outdated, so that no change is applied twice.
 """
 
 MAX_NAME = 256
-"""Characters in a change id or an operator's name."""
+"""Maximum characters in a change id or an operator's name."""
 
 DIGEST_SIZE = 16
-"""Bytes of the digest that tells two changes under one id apart."""
+"""Bytes of the digest that distinguishes two changes with the same id."""
 
 ConfigChange = (
     ApplyAnswers | RegisterVersion | StartRollout | StepRollout | WithdrawVersion
@@ -60,39 +60,41 @@
 def apply_change(
     table: ConfigTable, change: ConfigChange, evidence: tuple[Evidence, ...] = ()
 ) -> Accepted | Conflict | Rejected:
-    """Apply a change if its revision stands and nothing speaks against it.
+    """Apply a change if its expected revision is current and it has no findings.
 
-    ``evidence`` is what the stages of a roll-out begin with.
+    ``evidence`` is the baseline that a new stage of a roll-out starts with.
     """
-    faults = _check_header(change)
-    if faults:
-        return Rejected(findings=tuple(faults + find_faults(table, change)))
+    header_findings = _check_header(change)
+    if header_findings:
+        return Rejected(
+            findings=tuple(header_findings + collect_findings(table, change))
+        )
 
     digest = digest_change(change)
     past = table.changes.get(change.change_id)
     if past is not None:
-        return _answer_resend(past, digest)
+        return _replay_outcome(past, digest)
 
-    outcome = _try_change(table, change, evidence)
+    outcome = _compare_and_swap(table, change, evidence)
     table.changes[change.change_id] = PastChange(digest, outcome)
-    while len(table.changes) > CHANGES_KEPT:
+    while len(table.changes) > MAX_REMEMBERED_CHANGES:
         del table.changes[next(iter(table.changes))]
 
     return outcome
 
 
 def digest_change(change: ConfigChange) -> bytes:
-    """Return a digest of all but the clock reading, which differs on a resend."""
-    plain = msgspec.structs.replace(change, at=0.0)
-    return blake2b(msgspec.msgpack.encode(plain), digest_size=DIGEST_SIZE).digest()
+    """Return a digest without the time stamp, which differs on a resend."""
+    unstamped = msgspec.structs.replace(change, at=0.0)
+    return blake2b(msgspec.msgpack.encode(unstamped), digest_size=DIGEST_SIZE).digest()
 
 
-def _answer_resend(past: PastChange, digest: bytes) -> Accepted | Conflict | Rejected:
-    """Return the first outcome again.
+def _replay_outcome(past: PastChange, digest: bytes) -> Accepted | Conflict | Rejected:
+    """Return the remembered outcome of a change that is resent.
 
-    Failure guarded against: an operator who lost the answer sends the change again
-    and would get a conflict with itself, or, on a subject that moved back to the same
-    value, apply it twice. The change id is remembered with the outcome.
+    Without it, an operator who resends a change because the response was lost would get
+    a conflict with their own change, or would apply it twice if the subject had been
+    changed back to the same value.
     """
     if past.digest == digest:
         return past.outcome
@@ -101,30 +103,30 @@
     return Rejected(findings=(Finding("change_id", text),))
 
 
-def _try_change(
+def _compare_and_swap(
     table: ConfigTable, change: ConfigChange, evidence: tuple[Evidence, ...]
 ) -> Accepted | Conflict | Rejected:
-    """Compare the revision, collect findings, then swap."""
-    subject = name_subject(change)
+    """Check the expected revision, collect findings, then store the change."""
+    subject = get_subject(change)
     revision = table.revisions.get(subject, 0)
     if revision != change.expected_revision:
         current = describe_current(table, change)
         return Conflict(subject=subject, revision=revision, current=current)
 
-    findings = find_faults(table, change)
+    findings = collect_findings(table, change)
     if findings:
         return Rejected(findings=tuple(findings))
 
-    _carry_out(table, change, evidence)
-    revision = raise_revision(table, subject, change)
+    _store_change(table, change, evidence)
+    revision = bump_revision(table, subject, change)
     table.config_version += 1
     return Accepted(
         subject=subject, revision=revision, config_version=table.config_version
     )
 
 
-def name_subject(change: ConfigChange) -> str:
-    """Return the subject whose revision a change is compared with."""
+def get_subject(change: ConfigChange) -> str:
+    """Return the subject that a change modifies."""
     match change:
         case ApplyAnswers():
             return name_workspace(change.config.workspace)
@@ -136,8 +138,8 @@
             return name_rollout(change.model)
 
 
-def find_faults(table: ConfigTable, change: ConfigChange) -> list[Finding]:
-    """Return every reason against a change, each with its place."""
+def collect_findings(table: ConfigTable, change: ConfigChange) -> list[Finding]:
+    """Return all validation findings for a change, each with its place."""
     match change:
         case ApplyAnswers():
             return workspaces.check_answers(table, change)
@@ -152,7 +154,7 @@
 
 
 def _check_header(change: Change) -> list[Finding]:
-    """Return findings on what all changes carry."""
+    """Return findings for the fields that all changes have."""
     text = f"must have 1 to {MAX_NAME} characters"
     return [
         Finding(place, text)
@@ -161,10 +163,10 @@
     ]
 
 
-def _carry_out(
+def _store_change(
     table: ConfigTable, change: ConfigChange, evidence: tuple[Evidence, ...]
 ) -> None:
-    """Alter the table; nothing speaks against the change any more."""
+    """Store a validated change in the table."""
     match change:
         case ApplyAnswers():
             workspaces.store_answers(table, change)
@@ -179,8 +181,8 @@
 
 
 def describe_current(table: ConfigTable, change: ConfigChange) -> str:
-    """Return what stands at the subject of a change, and who put it there."""
-    subject = name_subject(change)
+    """Return the current content of a change's subject and its author."""
+    subject = get_subject(change)
     author = table.authors.get(subject)
     text = _describe_subject(table, change)
     if author is None:
@@ -193,7 +195,7 @@
 
 
 def _describe_subject(table: ConfigTable, change: ConfigChange) -> str:
-    """Return the content of a change's subject in words."""
+    """Return a textual description of a change's subject."""
     match change:
         case ApplyAnswers():
             return workspaces.describe_workspace(table, change)
--- a/src/waxwingwell/state/control.py
+++ b/src/waxwingwell/state/control.py
@@ -1,4 +1,4 @@
-"""The tables that the control state machine runs over."""
+"""The tables that make up the state of the control state machine."""
 
 from __future__ import annotations
 
--- a/src/waxwingwell/state/demand.py
+++ b/src/waxwingwell/state/demand.py
@@ -1,4 +1,4 @@
-"""Demand of workspaces at the other entries, so that limits are shared."""
+"""Demand of workspaces at other entries, so that limits apply to all entries."""
 
 from __future__ import annotations
 
@@ -15,27 +15,27 @@
     from ..decisions.tables import Tables
 
 
-DEMAND_KEPT = 5.0
-"""Seconds after which a silent entry's demand no longer counts."""
+DEMAND_TIMEOUT = 5.0
+"""Seconds without a message after which an entry's demand is ignored."""
 
-SENDER_KEPT = 600.0
-"""Seconds for which a silent entry's place in its sequence is remembered."""
+SENDER_RETENTION = 600.0
+"""Seconds without a message after which an entry's last sequence is forgotten."""
 
 MAX_SENDERS = 4096
-"""Entries remembered; beyond it the one heard longest ago is dropped."""
+"""Entries tracked; beyond it the least recently heard one is dropped."""
 
 
 @dataclass(slots=True)
 class EntryDemand:
-    """What one other entry last told of its workspaces."""
+    """The latest demand message of another entry."""
 
     message: SpreadDemand
-    heard_at: float
+    received_at: float
 
 
 @dataclass(slots=True)
 class DemandMemory:
-    """The last word of each other entry, the one heard longest ago first."""
+    """The latest message of each other entry, least recently heard first."""
 
     rows: dict[EntryId, EntryDemand] = field(default_factory=dict)
 
@@ -43,7 +43,7 @@
 def take_demand(
     memory: DemandMemory, tables: Tables, message: SpreadDemand, now: float
 ) -> bool:
-    """Take in another entry's demand; false if a newer one was heard before."""
+    """Store another entry's demand; return false if a newer message is stored."""
     row = memory.rows.get(message.entry)
     if row is not None and _rank(message) <= _rank(row.message):
         return False
@@ -58,35 +58,35 @@
 
 
 def _rank(message: SpreadDemand) -> tuple[int, int]:
-    """Return the order of one entry's messages."""
+    """Return the sort key that orders messages of one entry."""
     return message.incarnation, message.sequence
 
 
 def sum_demand(memory: DemandMemory, tables: Tables, now: float) -> None:
-    """Write the other entries' demand into the tables; to be run each tick.
+    """Write the other entries' total demand into the tables; called on each tick.
 
-    An entry that was cut off or died stops counting after ``DEMAND_KEPT``, so that
-    what it last used doesn't block a workspace for good.
+    The demand of an entry that crashed or is partitioned off is ignored after
+    ``DEMAND_TIMEOUT``, so that its last report doesn't block a workspace for good.
     """
     for demand in tables.demand.values():
         demand.elsewhere_in_flight = 0
         demand.elsewhere_rate = 0.0
 
-    forgotten = []
+    expired = []
     for entry, row in memory.rows.items():
-        silent = now - row.heard_at
-        if silent >= SENDER_KEPT:
-            forgotten.append(entry)
+        idle = now - row.received_at
+        if idle >= SENDER_RETENTION:
+            expired.append(entry)
 
-        if silent < DEMAND_KEPT:
+        if idle < DEMAND_TIMEOUT:
             _add_demand(tables, row.message)
 
-    for entry in forgotten:
+    for entry in expired:
         del memory.rows[entry]
 
 
 def _add_demand(tables: Tables, message: SpreadDemand) -> None:
-    """Add one entry's demand to the sums."""
+    """Add one entry's demand to the totals."""
     triples = zip(message.workspaces, message.in_flight, message.rates, strict=True)
     for workspace, in_flight, rate in triples:
         demand = tables.demand.setdefault(workspace, WorkspaceDemand())
@@ -97,7 +97,7 @@
 def make_demand(
     tables: Tables, *, entry: EntryId, incarnation: int, sequence: int
 ) -> SpreadDemand:
-    """Return this entry's own demand; ``sequence`` must rise with each message."""
+    """Return this entry's own demand; ``sequence`` must increase with each message."""
     busy = [
         (workspace, demand)
         for workspace, demand in tables.demand.items()
--- a/src/waxwingwell/state/evidence.py
+++ b/src/waxwingwell/state/evidence.py
@@ -1,4 +1,4 @@
-"""Ratings summed over all entries, each entry's increments taken in once."""
+"""Ratings aggregated over all entries, counting each increment once."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 MAX_SENDERS = 4096
-"""Entries whose last sequence is remembered; those heard last."""
+"""Most recently heard entries whose last sequence is remembered."""
 
 EvidenceKey = tuple[WorkspaceId, str, VersionId]
 """Workspace, kind of work, version."""
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Sender:
-    """How far the increments of one entry were taken in."""
+    """Incarnation and sequence of the last increments applied from an entry."""
 
     incarnation: int
     sequence: int
@@ -35,18 +35,19 @@
 
 @dataclass(slots=True)
 class EvidenceTable:
-    """Sums by (workspace, kind, version), and how far each entry was heard."""
+    """Totals by (workspace, kind, version), and the last increments per entry."""
 
-    sums: dict[EvidenceKey, Evidence] = field(default_factory=dict)
+    totals: dict[EvidenceKey, Evidence] = field(default_factory=dict)
     senders: dict[EntryId, Sender] = field(default_factory=dict)
-    """By entry, the one heard longest ago first."""
+    """Last increments by entry, least recently heard first."""
 
 
 def record_evidence(table: EvidenceTable, command: RecordEvidence) -> Recorded:
-    """Add an entry's increments unless they were taken in before.
+    """Add an entry's increments unless they were applied before.
 
-    An entry sends one set at a time and resends it under the same sequence until it
-    is answered, so that a lower or equal sequence is always a repeat.
+    An entry sends one set of increments at a time and resends it with the same sequence
+    until it receives a response, so that a lower or equal sequence is always a
+    duplicate.
     """
     sender = Sender(command.incarnation, command.sequence)
     last = table.senders.pop(command.entry, None)
@@ -65,28 +66,28 @@
 
 
 def _rank(sender: Sender) -> tuple[int, int]:
-    """Return the order of increments: by incarnation, then by sequence."""
+    """Return the sort key of increments: incarnation, then sequence."""
     return sender.incarnation, sender.sequence
 
 
 def _add_row(table: EvidenceTable, row: Evidence) -> None:
-    """Add one increment to its sum."""
-    place = (row.workspace, row.kind, row.version)
-    present = table.sums.get(place)
-    if present is None:
-        table.sums[place] = row
+    """Add one increment to its total."""
+    key = (row.workspace, row.kind, row.version)
+    existing = table.totals.get(key)
+    if existing is None:
+        table.totals[key] = row
         return
 
-    table.sums[place] = replace(
-        present,
-        rated=present.rated + row.rated,
-        total=present.total + row.total,
-        squares=present.squares + row.squares,
-        sent=present.sent + row.sent,
-        to_rate=present.to_rate + row.to_rate,
+    table.totals[key] = replace(
+        existing,
+        rated=existing.rated + row.rated,
+        total=existing.total + row.total,
+        squares=existing.squares + row.squares,
+        sent=existing.sent + row.sent,
+        to_rate=existing.to_rate + row.to_rate,
     )
 
 
 def list_evidence(table: EvidenceTable) -> tuple[Evidence, ...]:
-    """Return all sums, for the entries' version choice."""
-    return tuple(table.sums.values())
+    """Return all totals, which entries use to choose versions."""
+    return tuple(table.totals.values())
--- a/src/waxwingwell/state/exceptions.py
+++ b/src/waxwingwell/state/exceptions.py
@@ -8,16 +8,16 @@
 
 
 class StorageError(StateError):
-    """A write or sync failed; nothing of the batch may be promised."""
+    """A write or sync failed; nothing in the batch may be acknowledged."""
 
 
 class CorruptStorageError(StateError):
-    """The data folder holds something that was never written whole."""
+    """The data folder holds incomplete or inconsistent data."""
 
 
 class InvalidMemberError(StateError):
-    """A member's name can't be used; the message says why."""
+    """A member's name or id is not valid for the operation."""
 
 
 class ImageError(StateError):
-    """The bytes are no image of the control state that this program reads."""
+    """The bytes are not a control state image that this program can read."""
--- a/src/waxwingwell/state/fencing.py
+++ b/src/waxwingwell/state/fencing.py
@@ -1,4 +1,4 @@
-"""Fencing at an entry, for upstreams that don't check who gives them an order."""
+"""Fencing at an entry, for upstreams that don't check fencing numbers themselves."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 MAX_UPSTREAMS = 4096
-"""Upstreams whose highest number is remembered one by one."""
+"""Upstreams whose highest fencing number is tracked individually."""
 
 
 @dataclass(slots=True)
@@ -17,18 +17,18 @@
     """Highest fencing number seen for each upstream."""
 
     highest: dict[UpstreamId, int] = field(default_factory=dict)
-    """By upstream, the one ordered longest ago first."""
+    """Highest number by upstream, least recently ordered first."""
     floor: int = 0
-    """Lowest number accepted for any upstream: the highest among those forgotten, or
-    the term of the leader that granted this entry's lease."""
+    """Lowest number accepted for any upstream: the highest one of the upstreams that
+    are no longer tracked, or the term of the leader that granted this entry's lease."""
 
 
 def accept_order(memory: FencingMemory, upstream: UpstreamId, fencing: int) -> bool:
-    """Tell whether an order may go to an upstream, and remember its number.
+    """Return whether an order may be sent to an upstream, and record its number.
 
-    Failure guarded against: a leader that was cut off wakes up and orders a withdrawn
-    version loaded at an engine that ignores fencing numbers. All orders go through
-    entries, and each entry refuses a number lower than one it has passed on.
+    A partitioned or frozen leader that resumes could order an engine that ignores
+    fencing numbers to load a withdrawn version. All orders pass through entries, and
+    each entry refuses numbers lower than the highest one it has forwarded.
     """
     highest = max(memory.highest.pop(upstream, 0), memory.floor)
     accepted = fencing >= highest
@@ -43,7 +43,8 @@
 def raise_floor(memory: FencingMemory, term: int) -> None:
     """Refuse orders below a leader's term from now on.
 
-    Failure guarded against: two entries pass orders on, and one of them has not seen
-    the new leader's first order. Its lease came from the new leader, or has run out.
+    An entry that has not yet seen an order of the new leader would otherwise still
+    forward orders of the old one. An entry that may forward orders has a lease, and a
+    lease that has not expired was granted by the new leader.
     """
     memory.floor = max(memory.floor, term)
--- a/src/waxwingwell/state/group.py
+++ b/src/waxwingwell/state/group.py
@@ -26,7 +26,7 @@
 from .group_changes import transfer_leadership
 from .group_flush import flush_group
 from .group_flush import needs_flush
-from .group_flush import with_invariants
+from .group_flush import run_checked
 from .group_opening import open_group
 from .group_records import Committed
 from .group_records import Group
@@ -75,7 +75,7 @@
     if group.halted:
         return
 
-    with_invariants(group, lambda: tick(group.replica, now))
+    run_checked(group, lambda: tick(group.replica, now))
 
 
 def receive_message(
@@ -85,7 +85,7 @@
     if group.halted or name_of(message.sender) != sender:
         return
 
-    with_invariants(group, lambda: receive(group.replica, message, now))
+    run_checked(group, lambda: receive(group.replica, message, now))
 
 
 def propose(
--- a/src/waxwingwell/state/group_changes.py
+++ b/src/waxwingwell/state/group_changes.py
@@ -39,7 +39,7 @@
     taken over within an election timeout, we step down.
     """
     replica = group.replica
-    voters = [one for one in replica.membership.voters if name_of(one) == target]
+    voters = [voter for voter in replica.membership.voters if name_of(voter) == target]
     if group.halted or replica.role is not Role.LEADER or not voters:
         return False
 
--- a/src/waxwingwell/state/group_flush.py
+++ b/src/waxwingwell/state/group_flush.py
@@ -32,7 +32,7 @@
     from .group_records import Group
 
 
-ENTRY_BYTES = 64
+ENTRY_OVERHEAD_BYTES = 64
 """About what an entry takes beside its command."""
 
 
@@ -48,7 +48,7 @@
     if not write_changes(group):
         return
 
-    with_invariants(group, lambda: take_effect(group, now))
+    run_checked(group, lambda: send_and_apply(group, now))
 
 
 def needs_flush(group: Group) -> bool:
@@ -128,10 +128,10 @@
     replica.leader = ""
     replica.progress.clear()
     logger.error("consensus: group {} stopped: {}", replica.group, reason)
-    settle_lost(group)
+    fail_lost_proposals(group)
 
 
-def with_invariants(group: Group, step: Callable[[], None]) -> None:
+def run_checked(group: Group, step: Callable[[], None]) -> None:
     """Run a step; if it breaks an invariant, stop promising anything for good."""
     try:
         step()
@@ -139,10 +139,10 @@
         halt(group, str(error))
         raise
 
-    settle_lost(group)
+    fail_lost_proposals(group)
 
 
-def settle_lost(group: Group) -> None:
+def fail_lost_proposals(group: Group) -> None:
     """Tell proposers whose commit we can't watch any more."""
     replica = group.replica
     if not group.pending:
@@ -157,7 +157,7 @@
         group.pending.pop(index).done(ProposalLost())
 
 
-def take_effect(group: Group, now: float) -> None:
+def send_and_apply(group: Group, now: float) -> None:
     """Send and apply what is durable now."""
     replica = group.replica
     advance_commit(replica)
@@ -169,7 +169,7 @@
     apply_committed(group)
     leave_if_removed(replica, now)
     compact_if_due(group)
-    report_expelled(group)
+    log_expulsion(group)
 
 
 def apply_committed(group: Group) -> None:
@@ -193,7 +193,7 @@
     if entry.kind is EntryKind.COMMAND:
         result = group.machine.apply(index, entry.data)
 
-    group.bytes_since_snapshot += len(entry.data) + ENTRY_BYTES
+    group.bytes_since_snapshot += len(entry.data) + ENTRY_OVERHEAD_BYTES
     replica.applied = index
     pending = group.pending.pop(index, None)
     if pending is None:
@@ -203,13 +203,13 @@
     pending.done(Committed(index, result) if same else ProposalLost())
 
 
-def report_expelled(group: Group) -> None:
+def log_expulsion(group: Group) -> None:
     """Log once that this member is out of the group."""
     replica = group.replica
-    if not replica.expelled or group.told_expelled:
+    if not replica.expelled or group.expulsion_logged:
         return
 
-    group.told_expelled = True
+    group.expulsion_logged = True
     logger.error(
         "consensus: {} was removed from group {}; empty its data folder to rejoin",
         replica.member,
--- a/src/waxwingwell/state/group_opening.py
+++ b/src/waxwingwell/state/group_opening.py
@@ -159,5 +159,5 @@
     replica.heard_at = heard_at
     draw_election_time(replica, heard_at)
     # Members that start together must not all stand at once.
-    spread = replica.random.uniform(0.0, 2 * replica.timing.heartbeat)
-    replica.election_at = max(replica.election_at, now + spread)
+    jitter = replica.random.uniform(0.0, 2 * replica.timing.heartbeat)
+    replica.election_at = max(replica.election_at, now + jitter)
--- a/src/waxwingwell/state/group_records.py
+++ b/src/waxwingwell/state/group_records.py
@@ -70,4 +70,4 @@
     """A snapshot that is being written, piece after piece."""
     staged_parts: int = 0
     halted: str = ""
-    told_expelled: bool = False
+    expulsion_logged: bool = False
--- a/src/waxwingwell/state/group_snapshots.py
+++ b/src/waxwingwell/state/group_snapshots.py
@@ -27,8 +27,8 @@
         finish_snapshot(group, group.staging)
         return
 
-    last = len(replica.snapshot.data) if replica.snapshot else 0
-    if group.bytes_since_snapshot < max(replica.timing.snapshot_bytes, last):
+    last_size = len(replica.snapshot.data) if replica.snapshot else 0
+    if group.bytes_since_snapshot < max(replica.timing.snapshot_bytes, last_size):
         return
 
     group.staging = make_snapshot(replica, group.machine.save())
--- a/src/waxwingwell/state/images.py
+++ b/src/waxwingwell/state/images.py
@@ -83,9 +83,9 @@
         image_format=IMAGE_FORMAT,
         config=replace(state.config, snapshot=None),
         ledger=_save_ledger(state.ledger),
-        pins=[SavedPin(*place, pin) for place, pin in state.pins.pins.items()],
+        pins=[SavedPin(*row_key, pin) for row_key, pin in state.pins.pins.items()],
         pins_clock=state.pins.clock,
-        evidence=list(state.evidence.sums.values()),
+        evidence=list(state.evidence.totals.values()),
         senders=state.evidence.senders,
         audit=state.audit,
     )
@@ -96,7 +96,7 @@
     """Return the ledger in the form of an image."""
     return SavedLedger(
         rows=list(ledger.rows.values()),
-        swept=[(*place, request) for place, request in ledger.swept.items()],
+        swept=[(*row_key, request) for row_key, request in ledger.swept.items()],
         ended=list(ledger.ended),
         ended_before=list(ledger.ended_before),
         ended_since=ledger.ended_since,
@@ -129,7 +129,7 @@
             clock=saved.pins_clock,
         ),
         evidence=EvidenceTable(
-            sums={
+            totals={
                 (row.workspace, row.kind, row.version): row for row in saved.evidence
             },
             senders=saved.senders,
@@ -143,10 +143,10 @@
     rows: dict[RowKey, LedgerRow] = {}
     open_rows: dict[EntryId, dict[RowKey, int]] = {}
     for row in saved.rows:
-        place = (row.workspace, row.key)
-        rows[place] = row
+        row_key = (row.workspace, row.key)
+        rows[row_key] = row
         if row.status is RowStatus.OPEN:
-            open_rows.setdefault(row.entry, {})[place] = row.entry_incarnation
+            open_rows.setdefault(row.entry, {})[row_key] = row.entry_incarnation
 
     return Ledger(
         rows=rows,
--- a/src/waxwingwell/state/leases.py
+++ b/src/waxwingwell/state/leases.py
@@ -1,10 +1,11 @@
-"""Configuration leases: what lets an entry admit work, and what "in force" means.
-
-An entry may admit work only while it holds a lease. The leader grants one only to an
-entry that has the newest committed configuration, so that a configuration is in force
-once every entry whose lease may still hold has acknowledged it. Both sides use their
-own monotonic clock: the entry counts from the sending of its renewal, the leader from
-the granting, which is later; ``DRIFT`` covers clocks that run at unlike speeds.
+"""Configuration leases: when an entry may admit work, and what "in force" means.
+
+An entry may admit work only while it holds a lease. The leader grants leases only to
+entries that have the newest committed configuration, so that a configuration is in
+force once every entry whose lease may still be valid has acknowledged it. Both sides
+use their own monotonic clock: the entry counts from sending its renewal, the leader
+from the grant, which is later; ``MAX_CLOCK_DRIFT`` covers clocks that run at different
+speeds.
 """
 
 from __future__ import annotations
@@ -34,50 +35,51 @@
 
 
 LEASE_DURATION = 3.5
-"""Seconds that a lease holds; an entry renews about once a second."""
+"""Seconds for which a lease is valid; an entry renews it about once a second."""
 
-DRIFT = 0.02
-"""Largest share by which two monotonic clocks are taken to run apart."""
+MAX_CLOCK_DRIFT = 0.02
+"""Largest assumed relative drift between two monotonic clocks."""
 
-RECORD_KEPT = 3600.0
-"""Seconds for which an expired lease is remembered by the leader."""
+EXPIRED_LEASE_RETENTION = 3600.0
+"""Seconds for which the leader keeps the record of an expired lease."""
 
 EVIDENCE_EVERY = 5.0
-"""Seconds between two grants to an entry that carry the evidence.
+"""Seconds between two grants to an entry that include the evidence.
 
-Its size grows with workspaces, kinds and versions, and an entry renews each second.
+The evidence grows with the number of workspaces, kinds of work and versions, and an
+entry renews its lease every second, so it is not sent with each grant.
 """
 
-RENEWALS_KEPT = 16
-"""Unanswered renewals that an entry remembers."""
+MAX_PENDING_RENEWALS = 16
+"""Pending renewals that an entry keeps track of."""
 
 
 @dataclass(slots=True)
 class EntryLease:
-    """What the leader knows of one incarnation of an entry."""
+    """The leader's record of the lease of one incarnation of an entry."""
 
     config_version: int
-    """The newest configuration that it acknowledged."""
+    """Newest configuration version that the entry acknowledged."""
     expires_at: float
-    """When its lease has run out by any clock; leader's monotonic seconds."""
+    """When the lease has expired on any clock; leader's monotonic seconds."""
     evidence_at: float = -math.inf
-    """When a grant to it last carried the evidence."""
+    """When a grant last included the evidence; leader's monotonic seconds."""
 
 
 LeaseKey = tuple[EntryId, int]
-"""Entry and incarnation: an old process may live on beside the new one."""
+"""Entry and incarnation; an old process may still run beside the new one."""
 
 
 @dataclass(slots=True)
 class EntryLeases:
-    """The leader's table of leases, begun anew with each election."""
+    """The leader's table of leases, which starts empty after each election."""
 
     elected_at: float
-    """Leader's monotonic seconds."""
+    """Time of the election in the leader's monotonic seconds."""
     duration: float = LEASE_DURATION
     rows: dict[LeaseKey, EntryLease] = field(default_factory=dict)
     newest: dict[EntryId, int] = field(default_factory=dict)
-    """The highest incarnation seen of each entry."""
+    """Highest incarnation seen by entry."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -88,19 +90,19 @@
     incarnation: int
 
 
-def get_longest_hold(leases: EntryLeases) -> float:
-    """Return seconds after a grant when the lease has run out by any clock."""
-    return leases.duration * (1 + 2 * DRIFT)
+def get_max_lease_time(leases: EntryLeases) -> float:
+    """Return the seconds after a grant when the lease has expired on any clock."""
+    return leases.duration * (1 + 2 * MAX_CLOCK_DRIFT)
 
 
 def knows_all_leases(leases: EntryLeases, now: float) -> bool:
-    """Tell whether leases granted by an earlier leader have all run out.
+    """Return whether all leases granted by earlier leaders have expired.
 
-    Failure guarded against: a new leader doesn't know whom the old one granted a
-    lease. It would claim a configuration in force while an entry it never heard of
-    admits work by an older one. All those grants were made before the election.
+    A new leader doesn't know which entries hold leases of an earlier leader. Without
+    this check it could report a configuration as in force while an entry unknown to it
+    still admits work under an older one. All those grants precede the election.
     """
-    return now >= leases.elected_at + get_longest_hold(leases)
+    return now >= leases.elected_at + get_max_lease_time(leases)
 
 
 def renew_lease(
@@ -114,61 +116,62 @@
 ) -> LeaseGranted | LeaseBehind:
     """Grant a lease to an entry that has the newest configuration.
 
-    ``snapshot`` is the newest committed one. The caller must have confirmed its
-    leadership for ``now`` after it read the snapshot; otherwise a leader that was cut
-    off would grant leases on an old configuration. ``list_evidence`` is asked now and
-    then only; a grant without evidence brings no news.
+    ``snapshot`` is the newest committed configuration. The caller must have confirmed
+    its leadership for ``now`` after reading the snapshot; otherwise a partitioned
+    leader would grant leases for an outdated configuration. ``list_evidence`` is called
+    every ``EVIDENCE_EVERY`` seconds; the evidence of other grants is empty, which means
+    unchanged.
     """
-    place = (message.entry, message.incarnation)
+    lease_key = (message.entry, message.incarnation)
     newest = leases.newest.get(message.entry, message.incarnation)
     if message.incarnation < newest:
         return LeaseBehind(snapshot=snapshot)
 
     leases.newest[message.entry] = message.incarnation
-    row = leases.rows.get(place)
+    row = leases.rows.get(lease_key)
     if row is not None:
         row.config_version = max(row.config_version, message.config_version)
 
-    # An entry ahead of this leader was served by a later one: it gets no lease here.
+    # An entry ahead of this leader was served by a later leader; it gets no lease.
     if message.config_version != snapshot.config_version:
         return LeaseBehind(snapshot=snapshot)
 
-    expires_at = now + get_longest_hold(leases)
+    expires_at = now + get_max_lease_time(leases)
     if row is None:
         row = EntryLease(message.config_version, expires_at)
-        leases.rows[place] = row
+        leases.rows[lease_key] = row
 
     row.expires_at = max(row.expires_at, expires_at)
-    _drop_old_records(leases, now)
-    due = now - row.evidence_at >= EVIDENCE_EVERY
-    if due:
+    _drop_expired_leases(leases, now)
+    evidence_due = now - row.evidence_at >= EVIDENCE_EVERY
+    if evidence_due:
         row.evidence_at = now
 
     return LeaseGranted(
         duration=leases.duration,
         config_version=snapshot.config_version,
         term=term,
-        evidence=list_evidence() if due else (),
+        evidence=list_evidence() if evidence_due else (),
     )
 
 
-def _drop_old_records(leases: EntryLeases, now: float) -> None:
-    """Drop leases that ran out long ago, so that the table stays bounded."""
-    old = [
-        place
-        for place, row in leases.rows.items()
-        if row.expires_at + RECORD_KEPT <= now
+def _drop_expired_leases(leases: EntryLeases, now: float) -> None:
+    """Drop leases that expired long ago, so that the table stays bounded."""
+    expired_keys = [
+        lease_key
+        for lease_key, row in leases.rows.items()
+        if row.expires_at + EXPIRED_LEASE_RETENTION <= now
     ]
-    for place in old:
-        del leases.rows[place]
-        if leases.newest.get(place[0]) == place[1]:
-            del leases.newest[place[0]]
+    for lease_key in expired_keys:
+        del leases.rows[lease_key]
+        if leases.newest.get(lease_key[0]) == lease_key[1]:
+            del leases.newest[lease_key[0]]
 
 
 def is_in_force(leases: EntryLeases, config_version: int, now: float) -> InForce:
-    """Tell whether no entry may still admit work by an older configuration.
+    """Return whether no entry may still admit work under an older configuration.
 
-    ``config_version`` must be a committed one, and the caller the confirmed leader.
+    ``config_version`` must be committed, and the caller must be the confirmed leader.
     """
     if not knows_all_leases(leases, now):
         return InForce(in_force=False)
@@ -182,7 +185,7 @@
 
 
 def list_expired_entries(leases: EntryLeases, now: float) -> tuple[ExpiredEntry, ...]:
-    """Return incarnations whose lease has run out, for sweeping their rows."""
+    """Return the incarnations with an expired lease, whose rows can be swept."""
     return tuple(
         ExpiredEntry(entry, incarnation)
         for (entry, incarnation), row in leases.rows.items()
@@ -197,10 +200,11 @@
     *,
     at: float,
 ) -> tuple[SettleAbandoned, ...]:
-    """Return sweeps for entries with open rows and no lease that may still hold.
+    """Return sweeps for entries that have open rows but no possibly valid lease.
 
-    ``open_entries`` is ``ledger.list_open_entries``; ``at`` is the wall clock. It
-    covers entries that died before this leader was elected, which have no row here.
+    ``open_entries`` comes from ``ledger.list_open_entries`` and also covers entries
+    that crashed before this leader was elected, which have no record in ``leases``.
+    ``at`` is the wall clock time.
     """
     if not knows_all_leases(leases, now):
         return ()
@@ -222,7 +226,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Renewal:
-    """A renewal to send; ``number`` names it when the answer comes."""
+    """A renewal to send; ``number`` correlates it with its response."""
 
     number: int
     message: RenewLease
@@ -230,24 +234,24 @@
 
 @dataclass(slots=True)
 class ConfigLease:
-    """An entry's own lease; it starts without one, also after a restart."""
+    """An entry's own lease; initially, and after a restart, it is not valid."""
 
     entry: EntryId
     incarnation: int
     config_version: int = 0
-    """The configuration that this entry has in force; it only rises."""
+    """Configuration version that this entry applies; it never decreases."""
     expires_at: float = -math.inf
-    """Entry's monotonic seconds."""
+    """When the lease expires; entry's monotonic seconds."""
     sent: dict[int, float] = field(default_factory=dict)
-    """When each unanswered renewal was sent, by number."""
+    """When each pending renewal was sent, by number."""
     last_number: int = 0
 
 
 def begin_renewal(lease: ConfigLease, now: float) -> Renewal:
-    """Return a renewal to send at once; the lease will count from ``now``."""
+    """Return a renewal to send immediately; its lease will count from ``now``."""
     lease.last_number += 1
     lease.sent[lease.last_number] = now
-    while len(lease.sent) > RENEWALS_KEPT:
+    while len(lease.sent) > MAX_PENDING_RENEWALS:
         del lease.sent[next(iter(lease.sent))]
 
     message = RenewLease(
@@ -261,11 +265,12 @@
 def finish_renewal(
     lease: ConfigLease, number: int, granted: LeaseGranted, now: float
 ) -> bool:
-    """Take a granted lease; false if it is unknown, too old or for another revision.
+    """Apply a granted lease; return whether the entry may now admit work.
 
-    Failure guarded against: an answer that was held up on the way would stretch the
-    lease beyond what the leader counts with. It counts from the sending, not from
-    ``now``, and answers may arrive in any order.
+    A grant is ignored if its renewal is unknown or it is for a newer configuration. The
+    lease counts from sending the renewal, not from ``now``: a delayed response would
+    otherwise extend it beyond the expiry that the leader assumes. Responses may arrive
+    in any order.
     """
     sent_at = lease.sent.pop(number, None)
     if sent_at is None or granted.config_version > lease.config_version:
@@ -276,11 +281,11 @@
 
 
 def take_snapshot(lease: ConfigLease, snapshot: ConfigSnapshot) -> bool:
-    """Tell whether the entry shall replace its configuration by this newer one.
+    """Record a newer configuration; return false if the entry must not apply it.
 
-    Failure guarded against: an answer of a leader that is behind, or one that was
-    held up on the way, would take the entry back to a configuration that was
-    replaced, where a withdrawn version is still allowed.
+    A delayed response, or one of a leader that is behind, would otherwise revert the
+    entry to a configuration that was replaced, in which a withdrawn version may still
+    be allowed.
     """
     if snapshot.config_version <= lease.config_version:
         return False
@@ -290,18 +295,18 @@
 
 
 def check_taken(before: int, after: int, entry: EntryId) -> bool:
-    """Check that the configuration in an entry's tables did not go back."""
+    """Check that the configuration in an entry's tables was not reverted."""
     return check(
         Promise.CONFIG_NEVER_REVERTS,
         after >= before,
-        lambda: f"{entry} went from configuration {before} back to {after}",
+        lambda: f"{entry} reverted from configuration {before} to {after}",
     )
 
 
 def may_admit(lease: ConfigLease, now: float) -> bool:
-    """Tell whether the entry may admit and dispatch work now.
+    """Return whether the entry may admit and dispatch work at ``now``.
 
-    To be asked again after every wait: a process that was stopped and woke up has
-    lost its lease without having run any code.
+    Callers must check again after every wait: the lease of a process that was suspended
+    may have expired without any of its code running.
     """
     return now < lease.expires_at
--- a/src/waxwingwell/state/ledger.py
+++ b/src/waxwingwell/state/ledger.py
@@ -1,7 +1,8 @@
 """The ledger: one billing row for each (workspace, key), settled once.
 
-A key is never opened again while its row is kept, unless its request provably did not
-run. ``retention`` tells how long that is; beyond ``MAX_ROWS`` reservations are refused.
+A key can't be reserved again while its row is kept, unless its request provably did
+not run. ``retention`` defines how long rows are kept; once there are ``MAX_ROWS``,
+new reservations are rejected.
 """
 
 from __future__ import annotations
@@ -43,64 +44,64 @@
 
 
 MAX_ROWS = 500_000
-"""Rows held, open and settled; see docs/CAPACITY.md for the memory they take."""
+"""Maximum open and settled rows; see docs/CAPACITY.md for their memory use."""
 
 MAX_KEY = 256
-"""Characters in a request key."""
+"""Maximum characters in a request key."""
 
 ReserveOutcome = Reserved | AlreadyOpen | AlreadySettled | Rejected
 
 
 @dataclass(frozen=True, slots=True)
 class OpenIncarnations:
-    """The oldest and the newest incarnation of an entry that has open rows."""
+    """The oldest and the newest incarnation of an entry with open rows."""
 
     oldest: int
     newest: int
 
 
 def reserve(ledger: Ledger, command: Reserve) -> ReserveOutcome:
-    """Open a row, or tell what became of its key."""
+    """Open a row, or return the state of the existing row of its key."""
     row = command.row
     advance_clock(ledger, row.reserved_at)
-    place = (row.workspace, row.key)
-    present = ledger.rows.get(place)
-    findings = _check_reservation(ledger, row, present)
+    row_key = (row.workspace, row.key)
+    existing = ledger.rows.get(row_key)
+    findings = _check_reservation(ledger, row, existing)
     if findings:
         return Rejected(findings=tuple(findings))
 
-    if present is None:
+    if existing is None:
         return _open_row(ledger, row)
 
-    if present.status is RowStatus.OPEN:
-        return _answer_open(present, row)
+    if existing.status is RowStatus.OPEN:
+        return _resolve_open(existing, row)
 
-    if not may_reopen(ledger, present, row):
-        return AlreadySettled(row=present)
+    if not may_reopen(ledger, existing, row):
+        return AlreadySettled(row=existing)
 
-    note_ended(ledger, present.request)
+    note_ended(ledger, existing.request)
     return _open_row(ledger, row)
 
 
-def may_reopen(ledger: Ledger, present: LedgerRow, row: LedgerRow) -> bool:
-    """Tell whether a closed key may be opened for a new attempt.
+def may_reopen(ledger: Ledger, existing: LedgerRow, row: LedgerRow) -> bool:
+    """Return whether the row of a closed key may be reopened for a new attempt.
 
-    Only after one that did not run, and never for an attempt that ended: a reservation
-    that was delayed or sent twice would open a row that nobody settles.
+    This requires that the previous attempt did not run and that the new one has not
+    ended: a delayed or duplicate reservation would open a row that is never settled.
     """
-    if present.status is not RowStatus.SETTLED:
+    if existing.status is not RowStatus.SETTLED:
         return False
 
-    if present.outcome is not OutcomeKind.NOT_RUN or present.request == row.request:
+    if existing.outcome is not OutcomeKind.NOT_RUN or existing.request == row.request:
         return False
 
     return not has_ended(ledger, row.request)
 
 
 def _check_reservation(
-    ledger: Ledger, row: LedgerRow, present: LedgerRow | None
+    ledger: Ledger, row: LedgerRow, existing: LedgerRow | None
 ) -> list[Finding]:
-    """Return every reason against a reservation."""
+    """Return all validation findings for a reservation."""
     findings = []
     if not 0 < len(row.key) <= MAX_KEY:
         findings.append(Finding("key", f"a key has 1 to {MAX_KEY} characters"))
@@ -108,7 +109,7 @@
     if not row.request:
         findings.append(Finding("request", "a reservation needs a request id"))
 
-    if present is None:
+    if existing is None:
         if len(ledger.rows) >= MAX_ROWS:
             findings.append(Finding("ledger", f"{MAX_ROWS} rows are held; none free"))
 
@@ -117,39 +118,39 @@
 
         return findings
 
-    if present.digest != row.digest or present.repeatable != row.repeatable:
+    if existing.digest != row.digest or existing.repeatable != row.repeatable:
         text = "this key was used for a request with another body"
         findings.append(Finding("key", text))
 
     return findings
 
 
-def _answer_open(present: LedgerRow, row: LedgerRow) -> Reserved | AlreadyOpen:
-    """Answer a reservation sent twice with success, another attempt with a wait."""
-    same = (present.request, present.entry, present.entry_incarnation) == (
+def _resolve_open(existing: LedgerRow, row: LedgerRow) -> Reserved | AlreadyOpen:
+    """Accept a resent reservation; report the open row to any other attempt."""
+    is_resend = (existing.request, existing.entry, existing.entry_incarnation) == (
         row.request,
         row.entry,
         row.entry_incarnation,
     )
-    return Reserved() if same else AlreadyOpen(row=present)
+    return Reserved() if is_resend else AlreadyOpen(row=existing)
 
 
 def _open_row(ledger: Ledger, row: LedgerRow) -> Reserved:
-    """Put an open row in place, whatever the sender filled in beyond its request."""
-    place = (row.workspace, row.key)
-    before = ledger.rows.get(place)
+    """Store an open row, with the sender's values of outcome fields reset."""
+    row_key = (row.workspace, row.key)
+    before = ledger.rows.get(row_key)
     check(
         Promise.AT_MOST_ONCE,
         before is None or before.outcome is OutcomeKind.NOT_RUN,
-        lambda: f"{place} opened again after {before and before.outcome}",
+        lambda: f"{row_key} reopened after {before and before.outcome}",
     )
-    ledger.rows[place] = row if _is_blank(row) else _make_blank(row)
-    ledger.open_rows.setdefault(row.entry, {})[place] = row.entry_incarnation
+    ledger.rows[row_key] = row if _is_blank(row) else _make_blank(row)
+    ledger.open_rows.setdefault(row.entry, {})[row_key] = row.entry_incarnation
     return Reserved()
 
 
 def _is_blank(row: LedgerRow) -> bool:
-    """Tell whether a row is open and says nothing of an end; saves a copy of it."""
+    """Return whether a row is open without outcome fields, which saves a copy."""
     return (
         row.status is RowStatus.OPEN
         and row.outcome is OutcomeKind.FAILED
@@ -160,7 +161,7 @@
 
 
 def _make_blank(row: LedgerRow) -> LedgerRow:
-    """Return the row as an open one."""
+    """Return a copy of the row that is open and has no outcome fields."""
     return replace(
         row,
         status=RowStatus.OPEN,
@@ -172,23 +173,23 @@
 
 
 def settle(ledger: Ledger, command: Settle) -> Settled | Rejected:
-    """Close the row of this request id; a second settle changes nothing."""
+    """Close the row of this request id; settling it again has no effect."""
     advance_clock(ledger, command.at)
     if command.outcome is OutcomeKind.NOT_RUN and command.usage != NO_USAGE:
         text = "a request that did not run has no usage"
         return Rejected(findings=(Finding("usage", text),))
 
-    place = (command.workspace, command.key)
-    if command.row is not None and place not in ledger.rows:
+    row_key = (command.workspace, command.key)
+    if command.row is not None and row_key not in ledger.rows:
         if has_ended(ledger, command.request):
-            ended = _fill_row(ledger, command.row, command)
+            ended = _make_settled_row(ledger, command.row, command)
             return Settled(row=ended, changed=False)
 
-        refused = _open_for(ledger, command, command.row)
-        if refused is not None:
-            return refused
+        rejection = _open_carried_row(ledger, command, command.row)
+        if rejection is not None:
+            return rejection
 
-    row = ledger.rows.get(place)
+    row = ledger.rows.get(row_key)
     if row is None:
         note_ended(ledger, command.request)
         text = "no row under this key; it was never reserved or is past its retention"
@@ -198,18 +199,20 @@
         note_ended(ledger, command.request)
         return Settled(row=row, changed=False)
 
-    if row.status is not RowStatus.OPEN and ledger.swept.get(place) != row.request:
+    if row.status is not RowStatus.OPEN and ledger.swept.get(row_key) != row.request:
         return Settled(row=row, changed=False)
 
-    unbilled = row.status is RowStatus.OPEN or place in ledger.swept
-    check(Promise.BILLED_ONCE, unbilled, lambda: f"{place} settled twice")
-    settled = close_row(ledger, place, _fill_row(ledger, row, command))
-    bill_row(ledger, place, settled)
+    not_billed = row.status is RowStatus.OPEN or row_key in ledger.swept
+    check(Promise.BILLED_ONCE, not_billed, lambda: f"{row_key} settled twice")
+    settled = close_row(ledger, row_key, _make_settled_row(ledger, row, command))
+    bill_row(ledger, row_key, settled)
     return Settled(row=settled, changed=True)
 
 
-def _open_for(ledger: Ledger, command: Settle, row: LedgerRow) -> Rejected | None:
-    """Open the row that a settle brings along, if it is the row of that settle."""
+def _open_carried_row(
+    ledger: Ledger, command: Settle, row: LedgerRow
+) -> Rejected | None:
+    """Open the row included in a settle, if its workspace and key match."""
     if (row.workspace, row.key) != (command.workspace, command.key):
         text = "the row brought along has another workspace or key"
         return Rejected(findings=(Finding("row", text),))
@@ -218,12 +221,12 @@
     return outcome if isinstance(outcome, Rejected) else None
 
 
-def _fill_row(ledger: Ledger, row: LedgerRow, command: Settle) -> LedgerRow:
-    """Return the row as its entry settles it.
+def _make_settled_row(ledger: Ledger, row: LedgerRow, command: Settle) -> LedgerRow:
+    """Return the settled row with the values reported by its entry.
 
-    A row that was swept while its entry was merely cut off is settled here too: the
-    entry alone knows how the request ended, and it is on no bill yet. Names that few
-    rows differ in are shared, which makes a settled row smaller.
+    This also applies to a row that was swept while its entry was only partitioned off:
+    only the entry knows the outcome of the request, and swept rows are not billed yet.
+    Strings that many rows have in common are interned to make settled rows smaller.
     """
     outcome = command.outcome
     unknown = outcome is OutcomeKind.MAY_HAVE_RUN and not row.repeatable
@@ -244,28 +247,29 @@
 def sweep(ledger: Ledger, command: SettleAbandoned) -> Swept:
     """Close the rows that older incarnations of an entry left open.
 
-    A reservation doesn't tell whether its request was dispatched, so nothing here can
-    be proved not to have run: repeatable ones failed, unbilled; others may have run.
+    A reservation doesn't show whether its request was dispatched, so no request can be
+    proved not to have run: repeatable requests are closed as failed and unbilled, all
+    others as possibly run.
     """
     advance_clock(ledger, command.at)
     places = [
-        place
-        for place, incarnation in ledger.open_rows.get(command.entry, {}).items()
+        row_key
+        for row_key, incarnation in ledger.open_rows.get(command.entry, {}).items()
         if incarnation < command.below_incarnation
     ]
-    for place in places:
-        row = ledger.rows[place]
+    for row_key in places:
+        row = ledger.rows[row_key]
         outcome = OutcomeKind.FAILED if row.repeatable else OutcomeKind.MAY_HAVE_RUN
         status = RowStatus.SETTLED if row.repeatable else RowStatus.UNKNOWN
         closed = replace(row, status=status, outcome=outcome, settled_at=ledger.clock)
-        close_row(ledger, place, closed)
-        ledger.swept[place] = row.request
+        close_row(ledger, row_key, closed)
+        ledger.swept[row_key] = row.request
 
     return Swept(rows=len(places))
 
 
 def list_open_entries(ledger: Ledger) -> dict[EntryId, OpenIncarnations]:
-    """Return the entries with open rows, and the incarnations that opened them."""
+    """Return the entries with open rows and the incarnations that opened them."""
     return {
         entry: OpenIncarnations(min(rows.values()), max(rows.values()))
         for entry, rows in ledger.open_rows.items()
--- a/src/waxwingwell/state/membership.py
+++ b/src/waxwingwell/state/membership.py
@@ -26,7 +26,7 @@
 MAX_LEASE = 30.0
 """Longest lease in seconds that an upstream may ask for."""
 
-TOMBSTONE_KEPT = 600.0
+TOMBSTONE_RETENTION = 600.0
 """Seconds for which an upstream that left is remembered after its lease ran out."""
 
 MAX_TOMBSTONES = 4096
@@ -67,19 +67,19 @@
         row = UpstreamRow(announcement, expires_at, announced_at)
         tables.upstreams[announcement.upstream] = row
     elif row.announcement.incarnation != announcement.incarnation:
-        _forget_incarnation(row)
+        _reset_incarnation(row)
 
     _replace_announcement(row, announcement, expires_at, announced_at)
     row.taken_at = now
     return True
 
 
-def _is_newer(announcement: Announcement, present: Announcement) -> bool:
+def _is_newer(announcement: Announcement, current: Announcement) -> bool:
     """Tell whether an announcement outranks the present one."""
-    return rank_announcement(announcement) > rank_announcement(present)
+    return rank_announcement(announcement) > rank_announcement(current)
 
 
-def _forget_incarnation(row: UpstreamRow) -> None:
+def _reset_incarnation(row: UpstreamRow) -> None:
     """Forget what held for the process that an upstream was before its restart."""
     row.dispatched.clear()
     row.finished.clear()
@@ -95,17 +95,17 @@
     row: UpstreamRow, announcement: Announcement, expires_at: float, announced_at: float
 ) -> None:
     """Put the newer announcement and its load report in place."""
-    came_back = row.left and not announcement.leaving
+    returned = row.left and not announcement.leaving
     same = row.announcement.incarnation == announcement.incarnation
     check(
         Promise.NO_NEW_WORK_WHEN_LEAVING,
-        not (came_back and same and row.announcement.leaving),
+        not (returned and same and row.announcement.leaving),
         lambda: f"{announcement.upstream} came back after it left",
     )
-    lag = announcement.load.age if announcement.load is not None else 0.0
+    report_age = announcement.load.age if announcement.load is not None else 0.0
     row.announcement = announcement
     row.expires_at = expires_at
-    row.heard_at = announced_at - max(0.0, lag)
+    row.heard_at = announced_at - max(0.0, report_age)
     row.left = announcement.leaving
     trim_times(row.dispatched, row.heard_at)
     trim_times(row.finished, row.heard_at)
@@ -139,15 +139,15 @@
 
 def _drop_tombstones(tables: Tables, now: float) -> None:
     """Drop tombstones that are old, or too many; rows with running work stay."""
-    dead = [
+    tombstones = [
         (row.expires_at, upstream)
         for upstream, row in tables.upstreams.items()
         if row.left and not row.in_flight
     ]
-    dead.sort()
-    surplus = len(dead) - MAX_TOMBSTONES
-    for place, (expires_at, upstream) in enumerate(dead):
-        if place < surplus or expires_at + TOMBSTONE_KEPT <= now:
+    tombstones.sort()
+    surplus = len(tombstones) - MAX_TOMBSTONES
+    for index, (expires_at, upstream) in enumerate(tombstones):
+        if index < surplus or expires_at + TOMBSTONE_RETENTION <= now:
             del tables.upstreams[upstream]
 
 
--- a/src/waxwingwell/state/pins.py
+++ b/src/waxwingwell/state/pins.py
@@ -1,6 +1,6 @@
 """Session pins: the first version a session was given stays.
 
-A pin is kept for ``PIN_KEPT`` seconds after the session was last pinned, by the
+A pin is kept for ``PIN_RETENTION`` seconds after the session was last pinned, by the
 largest time that commands carried. An entry that caches pins asks again at least
 once a day, which renews them. Beyond ``MAX_PINS`` new sessions are refused: dropping
 a live session's pin would move it to another version.
@@ -29,13 +29,13 @@
     from .catalogue import ConfigTable
 
 
-PIN_KEPT = 7 * 86_400.0
+PIN_RETENTION = 7 * 86_400.0
 """Seconds for which a pin is kept after its last use here."""
 
 MAX_PINS = 500_000
 """Pins held; see docs/CAPACITY.md for the memory they take."""
 
-DROPPED_AT_ONCE = 8
+MAX_DROPS_PER_COMMAND = 8
 """Pins past their retention that one command drops."""
 
 MAX_CLOCK_STEP = 60.0
@@ -75,18 +75,18 @@
     and a first pin is checked against the configuration at its place in the log.
     """
     _advance_clock(table, command.at)
-    place = (command.workspace, command.session)
-    present = table.pins.get(place)
-    if present is not None:
-        table.pins[place] = replace(present, used_at=table.clock)
-        table.pins.move_to_end(place)
-        return Pinned(version=present.version)
+    pin_key = (command.workspace, command.session)
+    existing = table.pins.get(pin_key)
+    if existing is not None:
+        table.pins[pin_key] = replace(existing, used_at=table.clock)
+        table.pins.move_to_end(pin_key)
+        return Pinned(version=existing.version)
 
     findings = _check_pin(table, config, command)
     if findings:
         return Rejected(findings=tuple(findings))
 
-    table.pins[place] = Pin(command.version, table.clock)
+    table.pins[pin_key] = Pin(command.version, table.clock)
     return Pinned(version=command.version)
 
 
@@ -108,8 +108,8 @@
 
     spec = config.versions.get(command.version)
     if spec is None or spec.status in WITHDRAWN_STATUSES:
-        standing = "not in the catalogue" if spec is None else spec.status.value
-        text = f"{command.version} is {standing}; no session starts on it"
+        status_text = "not in the catalogue" if spec is None else spec.status.value
+        text = f"{command.version} is {status_text}; no session starts on it"
         findings.append(Finding("version", text))
 
     if len(table.pins) >= MAX_PINS:
@@ -124,12 +124,12 @@
         first = table.clock == 0.0
         table.clock = at if first else min(at, table.clock + MAX_CLOCK_STEP)
 
-    for _ in range(DROPPED_AT_ONCE):
-        place = next(iter(table.pins), None)
-        if place is None or table.pins[place].used_at + PIN_KEPT > table.clock:
+    for _ in range(MAX_DROPS_PER_COMMAND):
+        pin_key = next(iter(table.pins), None)
+        if pin_key is None or table.pins[pin_key].used_at + PIN_RETENTION > table.clock:
             return
 
-        del table.pins[place]
+        del table.pins[pin_key]
 
 
 def check_pinned(pinned: VersionId, used: VersionId, session: str) -> bool:
--- a/src/waxwingwell/state/recovery.py
+++ b/src/waxwingwell/state/recovery.py
@@ -68,13 +68,15 @@
         if other != held.member:
             membership = without_member(membership, other)
 
-    alone = Membership(
+    single_member = Membership(
         voters=(held.member,),
-        learners=tuple(one for one in membership.learners if one != held.member),
+        learners=tuple(
+            learner for learner in membership.learners if learner != held.member
+        ),
         removed=membership.removed,
     )
     term = loaded.hard_state.term + TERM_JUMP
-    entry = Entry(term, EntryKind.MEMBERSHIP, msgspec.msgpack.encode(alone))
+    entry = Entry(term, EntryKind.MEMBERSHIP, msgspec.msgpack.encode(single_member))
     store.write(
         Batch(
             hard_state=HardState(term, held.member),
--- a/src/waxwingwell/state/retention.py
+++ b/src/waxwingwell/state/retention.py
@@ -1,9 +1,9 @@
-"""Retention of the ledger: how long closed rows stay, and when they are billed.
+"""Retention of the ledger: how long closed rows are kept, and when they are billed.
 
-Times are seconds of the ledger's own clock, the largest time that commands carried.
-Rows of repeatable requests are kept for ``REPEATABLE_KEPT`` after they were closed,
-all others with their stored answer for ``REPLAY_WINDOW``. Beyond ``ANSWER_BUDGET`` the
-oldest stored answers are let go while their rows stay.
+Times are in seconds of the ledger's own clock, the latest time stamp of any command.
+Rows of repeatable requests are kept for ``REPEATABLE_RETENTION`` after they were
+closed, all others with their stored answer for ``REPLAY_WINDOW``. When stored answers
+exceed ``ANSWER_BUDGET``, the oldest ones are dropped while their rows are kept.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 from ..invariants import Promise
 from ..invariants import check
 from ..records import RowStatus
-from .attempts import forget_ended
 from .attempts import note_ended
+from .attempts import rotate_ended
 from .bills import add_row
 from .rows import Retained
 
@@ -29,33 +29,35 @@
     from .rows import RowKey
 
 
-REPEATABLE_KEPT = 120.0
+REPEATABLE_RETENTION = 120.0
 """Seconds for which the settled row of a repeatable request is kept."""
 
 REPLAY_WINDOW = 86_400.0
-"""Seconds for which a settled non-idempotent request is replayed, never repeated."""
+"""Seconds in which a settled non-idempotent request is replayed, never run again."""
 
 MAX_CLOCK_STEP = 60.0
-"""Most seconds by which one command moves the ledger's clock.
+"""Maximum seconds by which one command advances the ledger's clock.
 
-A proposer whose clock is wrong by a year would otherwise end the replay window of
-every row with one command.
+A proposer whose clock is a year ahead would otherwise end the replay window of every
+row with a single command.
 """
 
 ANSWER_BUDGET = 64 * 1024 * 1024
-"""Bytes of stored answers held."""
+"""Maximum total bytes of stored answers."""
 
-DROPPED_AT_ONCE = 8
-"""Rows past their retention that one command drops, so that none takes long."""
+MAX_DROPS_PER_COMMAND = 8
+"""Maximum expired rows that one command drops, so that no command takes long."""
 
 
-def close_row(ledger: Ledger, place: RowKey, row: LedgerRow) -> LedgerRow:
-    """Put a closed row in place of its open or swept one; return it."""
-    swept = place in ledger.swept
-    _forget_open(ledger, place, row.entry)
-    ledger.rows[place] = row
-    kept = REPEATABLE_KEPT if row.repeatable else REPLAY_WINDOW
-    retained = Retained(row.workspace, row.key, row.request, ledger.clock + kept)
+def close_row(ledger: Ledger, row_key: RowKey, row: LedgerRow) -> LedgerRow:
+    """Replace an open or swept row by its closed row; return the stored row."""
+    swept = row_key in ledger.swept
+    _remove_open(ledger, row_key, row.entry)
+    ledger.rows[row_key] = row
+    retention_time = REPEATABLE_RETENTION if row.repeatable else REPLAY_WINDOW
+    retained = Retained(
+        row.workspace, row.key, row.request, ledger.clock + retention_time
+    )
     if not swept:
         queue = ledger.repeatable_kept if row.repeatable else ledger.others_kept
         queue.append(retained)
@@ -63,58 +65,58 @@
     if row.answer is not None:
         ledger.answers_kept.append(retained)
         ledger.answer_bytes += len(row.answer.body)
-        _limit_answers(ledger)
+        _evict_answers(ledger)
 
-    return ledger.rows[place]
+    return ledger.rows[row_key]
 
 
-def _forget_open(ledger: Ledger, place: RowKey, entry: EntryId) -> None:
-    """Take a row off its entry's open ones."""
+def _remove_open(ledger: Ledger, row_key: RowKey, entry: EntryId) -> None:
+    """Remove a row from the open rows of its entry."""
     rows = ledger.open_rows.get(entry)
     if rows is None:
         return
 
-    rows.pop(place, None)
+    rows.pop(row_key, None)
     if not rows:
         del ledger.open_rows[entry]
 
 
-def bill_row(ledger: Ledger, place: RowKey, row: LedgerRow) -> None:
-    """Put a row on its bill, once: by its entry's settle or when it is dropped."""
-    ledger.swept.pop(place, None)
+def bill_row(ledger: Ledger, row_key: RowKey, row: LedgerRow) -> None:
+    """Add a row to its bill, once: when its entry settles it, or when it is dropped."""
+    ledger.swept.pop(row_key, None)
     check(
         Promise.BILLED_ONCE,
         row.status is not RowStatus.OPEN,
-        lambda: f"{place} put on a bill while open",
+        lambda: f"{row_key} billed while open",
     )
     add_row(ledger.bills, row)
 
 
-def _limit_answers(ledger: Ledger) -> None:
-    """Let the oldest stored answers go while they take more than their budget."""
+def _evict_answers(ledger: Ledger) -> None:
+    """Drop the oldest stored answers until they fit the budget."""
     while ledger.answer_bytes > ANSWER_BUDGET:
         oldest = ledger.answers_kept.popleft()
-        place = (oldest.workspace, oldest.key)
-        row = ledger.rows.get(place)
+        row_key = (oldest.workspace, oldest.key)
+        row = ledger.rows.get(row_key)
         if row is None or row.request != oldest.request or row.answer is None:
             continue
 
         ledger.answer_bytes -= len(row.answer.body)
-        ledger.rows[place] = replace(row, answer=None)
+        ledger.rows[row_key] = replace(row, answer=None)
 
 
 def advance_clock(ledger: Ledger, at: float) -> None:
-    """Move the ledger's clock on and drop a few rows past their retention."""
+    """Advance the ledger's clock and drop a few expired rows."""
     if at > ledger.clock:
         first = ledger.clock == 0.0
         ledger.clock = at if first else min(at, ledger.clock + MAX_CLOCK_STEP)
 
-    forget_ended(ledger)
+    rotate_ended(ledger)
     for queue in (ledger.repeatable_kept, ledger.others_kept):
         _drop_rows(ledger, queue)
 
     answers = ledger.answers_kept
-    for _ in range(DROPPED_AT_ONCE):
+    for _ in range(MAX_DROPS_PER_COMMAND):
         if not answers or answers[0].drop_at > ledger.clock:
             return
 
@@ -122,22 +124,22 @@
 
 
 def _drop_rows(ledger: Ledger, queue: deque[Retained]) -> None:
-    """Drop up to ``DROPPED_AT_ONCE`` rows that are past their retention."""
-    for _ in range(DROPPED_AT_ONCE):
+    """Drop up to ``MAX_DROPS_PER_COMMAND`` expired rows of a queue."""
+    for _ in range(MAX_DROPS_PER_COMMAND):
         if not queue or queue[0].drop_at > ledger.clock:
             return
 
         retained = queue.popleft()
-        place = (retained.workspace, retained.key)
-        row = ledger.rows.get(place)
+        row_key = (retained.workspace, retained.key)
+        row = ledger.rows.get(row_key)
         if row is None or row.request != retained.request:
             continue
 
-        if place in ledger.swept:
-            bill_row(ledger, place, row)
+        if row_key in ledger.swept:
+            bill_row(ledger, row_key, row)
 
         if row.answer is not None:
             ledger.answer_bytes -= len(row.answer.body)
 
         note_ended(ledger, row.request)
-        del ledger.rows[place]
+        del ledger.rows[row_key]
--- a/src/waxwingwell/state/rollouts.py
+++ b/src/waxwingwell/state/rollouts.py
@@ -24,7 +24,7 @@
 from ..records import VersionStatus
 from .catalogue import WITHDRAWN_STATUSES
 from .catalogue import set_status
-from .versions import RUNNING_STATUSES
+from .versions import ONGOING_STATUSES
 
 
 if TYPE_CHECKING:
@@ -41,22 +41,22 @@
     if change.candidate == change.incumbent:
         findings.append(Finding("candidate", "candidate and incumbent are the same"))
 
-    findings += _check_member(table, change, "candidate", change.candidate)
-    findings += _check_member(table, change, "incumbent", change.incumbent)
+    findings += _check_version(table, change, "candidate", change.candidate)
+    findings += _check_version(table, change, "incumbent", change.incumbent)
     incumbent = table.versions.get(change.incumbent)
     if incumbent is not None and incumbent.status is VersionStatus.CANDIDATE:
         text = f"{change.incumbent} is itself a candidate"
         findings.append(Finding("incumbent", text))
 
-    present = table.rollouts.get(change.model)
-    if present is not None and present.status in RUNNING_STATUSES:
-        text = f"a roll-out of {present.candidate} is {present.status.value}"
+    existing = table.rollouts.get(change.model)
+    if existing is not None and existing.status in ONGOING_STATUSES:
+        text = f"a roll-out of {existing.candidate} is {existing.status.value}"
         findings.append(Finding("model", text))
 
     return findings
 
 
-def _check_member(
+def _check_version(
     table: ConfigTable, change: StartRollout, place: str, version: VersionId
 ) -> list[Finding]:
     """Return findings on one of the two versions of a roll-out."""
@@ -114,14 +114,14 @@
     if change.status not in {status.value for status in RolloutStatus}:
         return [Finding("status", f"{change.status!r} is no status of a roll-out")]
 
-    if rollout.status not in RUNNING_STATUSES:
+    if rollout.status not in ONGOING_STATUSES:
         text = f"the roll-out is {rollout.status.value}, which is final"
         return [Finding("status", text)]
 
-    return _check_move(rollout, change)
+    return _check_transition(rollout, change)
 
 
-def _check_move(rollout: Rollout, change: StepRollout) -> list[Finding]:
+def _check_transition(rollout: Rollout, change: StepRollout) -> list[Finding]:
     """Return findings on the move itself; see the table of this module."""
     status = RolloutStatus(change.status)
     last = len(rollout.pace.stages) - 1
@@ -171,11 +171,13 @@
         return []
 
     resumed = rollout.status is RolloutStatus.PAUSED
-    wanted = rollout.stage if resumed else rollout.stage + 1
-    if change.stage == wanted:
+    expected_stage = rollout.stage if resumed else rollout.stage + 1
+    if change.stage == expected_stage:
         return []
 
-    text = f"stage {rollout.stage} is followed by {wanted}, not by {change.stage}"
+    text = (
+        f"stage {rollout.stage} is followed by {expected_stage}, not by {change.stage}"
+    )
     return [Finding("stage", text)]
 
 
@@ -189,17 +191,17 @@
     """
     rollout = table.rollouts[change.model]
     status = RolloutStatus(change.status)
-    back = status is RolloutStatus.ROLLED_BACK
-    moved = not back and change.stage != rollout.stage
+    rolled_back = status is RolloutStatus.ROLLED_BACK
+    stage_changed = not rolled_back and change.stage != rollout.stage
     table.rollouts[change.model] = replace(
         rollout,
-        stage=rollout.stage if back else change.stage,
+        stage=rollout.stage if rolled_back else change.stage,
         status=status,
-        stage_at=change.at if moved else rollout.stage_at,
+        stage_at=change.at if stage_changed else rollout.stage_at,
         reason=change.reason,
-        base=take_base(rollout, evidence) if moved else rollout.base,
+        base=take_base(rollout, evidence) if stage_changed else rollout.base,
     )
-    if back:
+    if rolled_back:
         set_status(table, rollout.candidate, VersionStatus.WITHDRAWN, change)
         return
 
--- a/src/waxwingwell/state/routing.py
+++ b/src/waxwingwell/state/routing.py
@@ -20,11 +20,11 @@
 from ..routing.records import Document
 
 
-RESEND_SECONDS = 6.0
+RESEND_WINDOW = 6.0
 """An order for the same target within this time is a resend: operators repeat an order
 whose answer was lost for a few seconds only."""
 
-_COMMANDS = msgspec.msgpack.Decoder(RoutingCommand)
+_COMMAND_DECODER = msgspec.msgpack.Decoder(RoutingCommand)
 
 
 class SavedRouting(msgspec.Struct, frozen=True):
@@ -56,11 +56,11 @@
         case Publish():
             publish(state, command)
         case BeginRollout():
-            begin_rollout(state, command)
+            start_rollout(state, command)
         case GrowRollout():
-            grow_rollout(state, command)
+            raise_share(state, command)
         case EndRollout():
-            end_rollout(state, command)
+            finish_rollout(state, command)
 
 
 def publish(state: RoutingState, command: Publish) -> None:
@@ -74,17 +74,17 @@
         state.source = command.source
 
 
-def begin_rollout(state: RoutingState, command: BeginRollout) -> None:
+def start_rollout(state: RoutingState, command: BeginRollout) -> None:
     """Begin a move unless this is a resend of the latest order for the service."""
-    held = state.rollouts.get(command.service)
-    if held is not None and held.target == command.target:
-        recent = abs(command.ordered_at - held.ordered_at) < RESEND_SECONDS
-        if recent or held.state != "reverted":
+    current = state.rollouts.get(command.service)
+    if current is not None and current.target == command.target:
+        recent = abs(command.ordered_at - current.ordered_at) < RESEND_WINDOW
+        if recent or current.state != "reverted":
             return
 
-    former = held.former if held is not None else ""
-    if held is not None and held.state == "completed":
-        former = held.target
+    former = current.former if current is not None else ""
+    if current is not None and current.state == "completed":
+        former = current.target
 
     state.rollouts[command.service] = RolloutState(
         service=command.service,
@@ -97,41 +97,44 @@
     )
 
 
-def find_rollout(
+def find_ongoing_rollout(
     state: RoutingState, command: GrowRollout | EndRollout
 ) -> RolloutState | None:
     """Return the move under way that a command means."""
-    held = state.rollouts.get(command.service)
-    if held is None or held.state != "in_progress":
+    current = state.rollouts.get(command.service)
+    if current is None or current.state != "in_progress":
         return None
 
-    same = (held.target, held.ordered_at) == (command.target, command.ordered_at)
-    return held if same else None
+    matches = (current.target, current.ordered_at) == (
+        command.target,
+        command.ordered_at,
+    )
+    return current if matches else None
 
 
-def grow_rollout(state: RoutingState, command: GrowRollout) -> None:
+def raise_share(state: RoutingState, command: GrowRollout) -> None:
     """Raise a move's share; it never falls."""
-    held = find_rollout(state, command)
-    if held is not None and command.share > held.share:
-        grown = msgspec.structs.replace(held, share=command.share)
-        state.rollouts[command.service] = grown
+    current = find_ongoing_rollout(state, command)
+    if current is not None and command.share > current.share:
+        updated = msgspec.structs.replace(current, share=command.share)
+        state.rollouts[command.service] = updated
 
 
-def end_rollout(state: RoutingState, command: EndRollout) -> None:
+def finish_rollout(state: RoutingState, command: EndRollout) -> None:
     """Finish a move for good."""
-    held = find_rollout(state, command)
-    if held is None:
+    current = find_ongoing_rollout(state, command)
+    if current is None:
         return
 
     outcome = "completed" if command.completed else "reverted"
     share = 1.0 if command.completed else 0.0
-    ended = msgspec.structs.replace(held, state=outcome, share=share)
+    ended = msgspec.structs.replace(current, state=outcome, share=share)
     state.rollouts[command.service] = ended
 
 
 def decode_command(data: bytes) -> RoutingCommand:
     """Return a command from the log."""
-    return _COMMANDS.decode(data)
+    return _COMMAND_DECODER.decode(data)
 
 
 def save_routing(state: RoutingState) -> bytes:
--- a/src/waxwingwell/state/rows.py
+++ b/src/waxwingwell/state/rows.py
@@ -1,4 +1,4 @@
-"""The tables of the ledger: rows by (workspace, key), and what is kept beside them."""
+"""Tables of the ledger: rows by (workspace, key), with indexes and queues."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Retained:
-    """A settled row's place in the order in which rows are dropped."""
+    """A closed row in a retention queue, with the time when it can be dropped."""
 
     workspace: WorkspaceId
     key: str
@@ -30,19 +30,19 @@
 
 @dataclass(slots=True)
 class Ledger:
-    """Rows by (workspace, key), with what retention and sweeping need."""
+    """Rows by (workspace, key), with the state for retention and sweeping."""
 
     rows: dict[RowKey, LedgerRow] = field(default_factory=dict)
     open_rows: dict[EntryId, dict[RowKey, int]] = field(default_factory=dict)
-    """Open rows of each entry with the entry's incarnation."""
+    """Keys of open rows by entry, with the incarnation that opened them."""
     swept: dict[RowKey, str] = field(default_factory=dict)
-    """Rows closed for a dead entry, with the request id: not yet on a bill."""
+    """Request ids of rows closed by a sweep and not billed yet, by row key."""
     ended: dict[str, None] = field(default_factory=dict)
-    """Request ids of attempts that ended and have no row of their own any more."""
+    """Request ids of ended attempts that no longer have a row of their own."""
     ended_before: dict[str, None] = field(default_factory=dict)
-    """Those of the period before; see ``attempts``."""
+    """Request ids of the previous generation; see ``attempts``."""
     ended_since: float = 0.0
-    """When the present period began, by ``clock``."""
+    """When the current generation started, by ``clock``."""
     clock: float = 0.0
     repeatable_kept: deque[Retained] = field(default_factory=deque)
     others_kept: deque[Retained] = field(default_factory=deque)
--- a/src/waxwingwell/state/storage.py
+++ b/src/waxwingwell/state/storage.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from .exceptions import StorageError
-from .storage_load import describe
+from .storage_load import convert_error
 from .storage_load import load_all
 from .storage_records import Batch
 from .storage_records import Piece
@@ -33,10 +33,10 @@
 
 
 GROUP_ID = re.compile(r"[a-z0-9][a-z0-9-]*")
-BUSY_SECONDS = 0.2
+BUSY_TIMEOUT = 0.2
 """How long to wait for a former process of the same member to let go."""
-PIECES_DROPPED = 3
-ENTRIES_DROPPED = 100
+MAX_PIECES_DROPPED = 3
+MIN_ENTRIES_DROPPED = 100
 """At each write of entries, and twice as many as were written."""
 SCHEMA = """
 CREATE TABLE IF NOT EXISTS marker (
@@ -89,7 +89,7 @@
         sync_folder(folder)
         sync_folder(folder.parent)
     except sqlite3.DatabaseError as error:
-        raise describe(error, path) from error
+        raise convert_error(error, path) from error
     except OSError as error:
         raise StorageError(f"{path}: {error}") from error
 
@@ -104,7 +104,7 @@
     """Open the file with the settings that make a commit durable."""
     database = sqlite3.connect(
         path,
-        timeout=BUSY_SECONDS,
+        timeout=BUSY_TIMEOUT,
         isolation_level=None,
         check_same_thread=False,
     )
@@ -187,7 +187,7 @@
     database.execute(
         "DELETE FROM piece WHERE rowid IN (SELECT rowid FROM piece WHERE place <"
         " (SELECT place FROM snapshot) LIMIT ?)",
-        (PIECES_DROPPED,),
+        (MAX_PIECES_DROPPED,),
     )
 
 
@@ -212,11 +212,11 @@
 
     database.execute("DELETE FROM entry WHERE place >= ?", (batch.first,))
     rows = [
-        (place, entry.term, entry.kind.value, entry.data, checksum(place, entry))
-        for place, entry in enumerate(batch.entries, start=batch.first)
+        (index, entry.term, entry.kind.value, entry.data, checksum(index, entry))
+        for index, entry in enumerate(batch.entries, start=batch.first)
     ]
     database.executemany("INSERT INTO entry VALUES (?, ?, ?, ?, ?)", rows)
-    drop_old_entries(database, 2 * len(rows) + ENTRIES_DROPPED)
+    drop_old_entries(database, 2 * len(rows) + MIN_ENTRIES_DROPPED)
 
 
 def drop_old_entries(database: sqlite3.Connection, limit: int) -> None:
--- a/src/waxwingwell/state/storage_load.py
+++ b/src/waxwingwell/state/storage_load.py
@@ -27,7 +27,7 @@
     try:
         return read_tables(database, path)
     except sqlite3.DatabaseError as error:
-        raise describe(error, path) from error
+        raise convert_error(error, path) from error
 
 
 def read_tables(database: sqlite3.Connection, path: Path) -> Loaded:
@@ -54,22 +54,22 @@
     if row is None:
         return None
 
-    _, place, parts, header, stored = row
+    _, index, parts, header, stored = row
     if zlib.crc32(header) != stored:
         raise CorruptStorageError(f"{path}: the snapshot's checksum is wrong")
 
     snapshot = msgspec.msgpack.decode(header, type=Snapshot)
-    data = read_pieces(database, place, parts, path)
+    data = read_pieces(database, index, parts, path)
     return msgspec.structs.replace(snapshot, data=data)
 
 
 def read_pieces(
-    database: sqlite3.Connection, place: int, parts: int, path: Path
+    database: sqlite3.Connection, index: int, parts: int, path: Path
 ) -> bytes:
     """Read a snapshot's data and check that all of it is there."""
     rows = database.execute(
         "SELECT data, checksum FROM piece WHERE place = ? AND part < ? ORDER BY part",
-        (place, parts),
+        (index, parts),
     ).fetchall()
     if len(rows) < parts:
         raise CorruptStorageError(f"{path}: a piece of the snapshot is missing")
@@ -88,13 +88,13 @@
     rows = database.execute(
         "SELECT * FROM entry WHERE place > ? ORDER BY place", (base,)
     )
-    for expected, (place, term, kind, data, stored) in enumerate(rows, start=base + 1):
-        if place != expected:
+    for expected, (index, term, kind, data, stored) in enumerate(rows, start=base + 1):
+        if index != expected:
             raise CorruptStorageError(f"{path}: entry {expected} is missing")
 
         entry = Entry(term, EntryKind(kind), data)
-        if checksum(place, entry) != stored:
-            raise CorruptStorageError(f"{path}: the checksum of entry {place} is wrong")
+        if checksum(index, entry) != stored:
+            raise CorruptStorageError(f"{path}: the checksum of entry {index} is wrong")
 
         entries.append(entry)
 
@@ -119,7 +119,9 @@
         raise CorruptStorageError(f"{path}: an entry is of a later term than any known")
 
 
-def describe(error: sqlite3.Error, path: Path) -> StorageError | CorruptStorageError:
+def convert_error(
+    error: sqlite3.Error, path: Path
+) -> StorageError | CorruptStorageError:
     """Return our error for SQLite's: corrupt if the file is, else failed."""
     if isinstance(error, sqlite3.OperationalError):
         return StorageError(f"{path}: {error}")
--- a/src/waxwingwell/state/storage_records.py
+++ b/src/waxwingwell/state/storage_records.py
@@ -77,7 +77,7 @@
     return Piece(snapshot.index, part, snapshot.data[start : start + PIECE_BYTES])
 
 
-def checksum(place: int, entry: Entry) -> int:
+def checksum(index: int, entry: Entry) -> int:
     """Return a checksum over all of an entry and its place."""
-    head = f"{place} {entry.term} {entry.kind.value} ".encode()
+    head = f"{index} {entry.term} {entry.kind.value} ".encode()
     return zlib.crc32(entry.data, zlib.crc32(head))
--- a/src/waxwingwell/state/versions.py
+++ b/src/waxwingwell/state/versions.py
@@ -9,8 +9,8 @@
 from ..records import RolloutStatus
 from ..records import VersionStatus
 from .catalogue import WITHDRAWN_STATUSES
+from .catalogue import bump_revision
 from .catalogue import name_rollout
-from .catalogue import raise_revision
 
 
 if TYPE_CHECKING:
@@ -22,7 +22,7 @@
     from .catalogue import ConfigTable
 
 
-RUNNING_STATUSES = frozenset((RolloutStatus.RUNNING, RolloutStatus.PAUSED))
+ONGOING_STATUSES = frozenset((RolloutStatus.RUNNING, RolloutStatus.PAUSED))
 """Statuses of a roll-out that has not ended."""
 
 
@@ -30,23 +30,23 @@
     """Return every reason against a version's entry in the catalogue."""
     spec = change.spec
     findings = _check_spec(spec)
-    before = table.versions.get(spec.version)
-    if before is None:
+    existing = table.versions.get(spec.version)
+    if existing is None:
         if spec.status in WITHDRAWN_STATUSES:
             text = f"a new version can't start as {spec.status.value}"
             findings.append(Finding("status", text))
 
         return findings
 
-    if before.status is not spec.status:
+    if existing.status is not spec.status:
         text = (
-            f"{spec.version} is {before.status.value}; only a roll-out or a "
+            f"{spec.version} is {existing.status.value}; only a roll-out or a "
             "withdrawal changes that"
         )
         findings.append(Finding("status", text))
 
-    if before.model != spec.model:
-        text = f"{spec.version} belongs to {before.model}"
+    if existing.model != spec.model:
+        text = f"{spec.version} belongs to {existing.model}"
         findings.append(Finding("model", text))
 
     return findings
@@ -55,8 +55,8 @@
 def _check_spec(spec: VersionSpec) -> list[Finding]:
     """Return findings that need no other table."""
     findings = []
-    model, mark, number = spec.version.partition("@")
-    if not (model and mark and number) or model != spec.model:
+    model, separator, number = spec.version.partition("@")
+    if not (model and separator and number) or model != spec.model:
         text = f"{spec.version!r} is not written {spec.model}@version"
         findings.append(Finding("version", text))
 
@@ -81,8 +81,8 @@
     if spec is None:
         return [Finding("version", f"{change.version} is not in the catalogue")]
 
-    done = spec.status is VersionStatus.WITHDRAWN
-    if done or (change.graceful and spec.status is VersionStatus.ENDING):
+    withdrawn = spec.status is VersionStatus.WITHDRAWN
+    if withdrawn or (change.graceful and spec.status is VersionStatus.ENDING):
         text = f"{change.version} is {spec.status.value} already"
         return [Finding("version", text)]
 
@@ -95,7 +95,7 @@
     spec = table.versions[change.version]
     # The revision of the version itself is raised by the caller.
     table.versions[change.version] = replace(spec, status=status)
-    rollout = find_running(table, change.version)
+    rollout = find_ongoing_rollout(table, change.version)
     if rollout is None:
         return
 
@@ -105,17 +105,17 @@
         stage_at=change.at,
         reason=f"{change.version} was withdrawn by {change.operator}",
     )
-    raise_revision(table, name_rollout(rollout.model), change)
+    bump_revision(table, name_rollout(rollout.model), change)
 
 
-def find_running(table: ConfigTable, candidate: VersionId) -> Rollout | None:
+def find_ongoing_rollout(table: ConfigTable, candidate: VersionId) -> Rollout | None:
     """Return the roll-out of ``candidate`` that has not ended, if there is one."""
     spec = table.versions[candidate]
     rollout = table.rollouts.get(spec.model)
     if rollout is None or rollout.candidate != candidate:
         return None
 
-    return rollout if rollout.status in RUNNING_STATUSES else None
+    return rollout if rollout.status in ONGOING_STATUSES else None
 
 
 def describe_version(table: ConfigTable, version: VersionId) -> str:
--- a/src/waxwingwell/state/workspaces.py
+++ b/src/waxwingwell/state/workspaces.py
@@ -33,9 +33,9 @@
 
     kinds = [kind.name for kind in config.kinds]
     findings += [
-        Finding(f"kinds.{place}.name", f"the kind {name} is listed twice")
-        for place, name in enumerate(kinds)
-        if name in kinds[:place]
+        Finding(f"kinds.{index}.name", f"the kind {name} is listed twice")
+        for index, name in enumerate(kinds)
+        if name in kinds[:index]
     ]
     if kinds and config.default_kind not in kinds:
         text = f"{config.default_kind} is none of the kinds {', '.join(kinds)}"
@@ -51,18 +51,18 @@
     routing refuses it anyway; it can't be added to another.
     """
     before = table.workspaces.get(config.workspace)
-    known = before.allowed if before is not None else ()
+    previously_allowed = before.allowed if before is not None else ()
     findings = []
-    for place, version in enumerate(config.allowed):
+    for index, version in enumerate(config.allowed):
         spec = table.versions.get(version)
         if spec is None:
             text = f"{version} is not in the catalogue; register it first"
-            findings.append(Finding(f"allowed.{place}", text))
+            findings.append(Finding(f"allowed.{index}", text))
             continue
 
-        if spec.status in WITHDRAWN_STATUSES and version not in known:
+        if spec.status in WITHDRAWN_STATUSES and version not in previously_allowed:
             text = f"{version} is {spec.status.value}; it takes no new work"
-            findings.append(Finding(f"allowed.{place}", text))
+            findings.append(Finding(f"allowed.{index}", text))
 
     return findings
 
--- a/tests/state/runs/test_leases.py
+++ b/tests/state/runs/test_leases.py
@@ -16,7 +16,7 @@
 from waxwingwell.messages import LeaseGranted
 from waxwingwell.messages import RenewLease
 from waxwingwell.records import EntryId
-from waxwingwell.state.leases import DRIFT
+from waxwingwell.state.leases import MAX_CLOCK_DRIFT
 from waxwingwell.state.leases import ConfigLease
 from waxwingwell.state.leases import EntryLeases
 from waxwingwell.state.leases import begin_renewal
@@ -31,7 +31,7 @@
 
 
 ENTRY_NAMES = tuple(EntryId(name) for name in ("bole-1", "kazanchis-1", "cmc-1"))
-RATES = st.sampled_from((1.0 - DRIFT / 2, 1.0, 1.0 + DRIFT / 2))
+RATES = st.sampled_from((1.0 - MAX_CLOCK_DRIFT / 2, 1.0, 1.0 + MAX_CLOCK_DRIFT / 2))
 RARELY = st.integers(0, 3)
 """Zero makes it so: a new leader claims nothing for a while."""
 STEPS = st.sampled_from((0.02, 0.4, 1.0, 3.0, 3.98))
--- a/tests/state/test_configuration.py
+++ b/tests/state/test_configuration.py
@@ -97,7 +97,7 @@
 
     def test_forgotten_change_is_not_applied_twice(self) -> None:
         state = make_state()
-        with mock.patch.object(configuration, "CHANGES_KEPT", 4):
+        with mock.patch.object(configuration, "MAX_REMEMBERED_CHANGES", 4):
             apply_command(state, answers("old", 1, OLD))
             for number in range(5):
                 apply_command(state, answers(f"x{number}", 2 + number, OLD, NEW))
--- a/tests/state/test_demand.py
+++ b/tests/state/test_demand.py
@@ -7,8 +7,8 @@
 
 from waxwingwell.decisions.tables import Tables
 from waxwingwell.decisions.tables import WorkspaceDemand
-from waxwingwell.state.demand import DEMAND_KEPT
-from waxwingwell.state.demand import SENDER_KEPT
+from waxwingwell.state.demand import DEMAND_TIMEOUT
+from waxwingwell.state.demand import SENDER_RETENTION
 from waxwingwell.state.demand import DemandMemory
 from waxwingwell.state.demand import make_demand
 from waxwingwell.state.demand import sum_demand
@@ -46,10 +46,10 @@
     def test_silent_entry_stops_counting(self) -> None:
         memory, tables = DemandMemory(), Tables()
         take_demand(memory, tables, make_message(5, 1), 1.0)
-        sum_demand(memory, tables, 1.0 + DEMAND_KEPT)
+        sum_demand(memory, tables, 1.0 + DEMAND_TIMEOUT)
         self.assertEqual(tables.demand[DEMO].elsewhere_in_flight, 0)
         self.assertFalse(take_demand(memory, tables, make_message(5, 1), 2.0))
-        sum_demand(memory, tables, 1.0 + SENDER_KEPT)
+        sum_demand(memory, tables, 1.0 + SENDER_RETENTION)
         self.assertFalse(memory.rows)
 
     def test_own_demand_leaves_out_idle_workspaces(self) -> None:
--- a/tests/state/test_leases.py
+++ b/tests/state/test_leases.py
@@ -8,14 +8,14 @@
 from waxwingwell.messages import LeaseGranted
 from waxwingwell.messages import RenewLease
 from waxwingwell.records import Evidence
-from waxwingwell.state.leases import DRIFT
 from waxwingwell.state.leases import LEASE_DURATION
+from waxwingwell.state.leases import MAX_CLOCK_DRIFT
 from waxwingwell.state.leases import ConfigLease
 from waxwingwell.state.leases import EntryLeases
 from waxwingwell.state.leases import ExpiredEntry
 from waxwingwell.state.leases import begin_renewal
 from waxwingwell.state.leases import finish_renewal
-from waxwingwell.state.leases import get_longest_hold
+from waxwingwell.state.leases import get_max_lease_time
 from waxwingwell.state.leases import is_in_force
 from waxwingwell.state.leases import list_abandoned
 from waxwingwell.state.leases import list_expired_entries
@@ -125,7 +125,7 @@
         last = 10.0 + LEASE_DURATION - 0.01
         self.assertTrue(may_admit(bole, last))
         self.assertFalse(is_in_force(leases, 4, last).in_force)
-        after = 10.0 + get_longest_hold(leases)
+        after = 10.0 + get_max_lease_time(leases)
         self.assertFalse(may_admit(bole, after))
         self.assertTrue(is_in_force(leases, 4, after).in_force)
 
@@ -135,7 +135,7 @@
         Order: an entry whose clock runs slow renews, is cut off, and a leader whose
         clock runs fast waits out the lease. Cause: both count the same seconds.
         """
-        slow, fast = 1.0 - DRIFT / 2, 1.0 + DRIFT / 2
+        slow, fast = 1.0 - MAX_CLOCK_DRIFT / 2, 1.0 + MAX_CLOCK_DRIFT / 2
         for entry_rate, leader_rate in ((slow, fast), (1.0, 1.0), (fast, slow)):
             with self.subTest(entry=entry_rate, leader=leader_rate):
                 leases = EntryLeases(elected_at=0.0)
@@ -159,7 +159,7 @@
         leases = EntryLeases(elected_at=100.0)
         last = 100.0 + LEASE_DURATION - 0.01
         self.assertFalse(is_in_force(leases, 1, last).in_force)
-        later = 100.0 + get_longest_hold(leases)
+        later = 100.0 + get_max_lease_time(leases)
         self.assertTrue(is_in_force(leases, 1, later).in_force)
 
     def test_old_process_beside_the_new_one_counts(self) -> None:
@@ -203,7 +203,7 @@
         leases = EntryLeases(elected_at=100.0)
         open_entries = {BOLE: OpenIncarnations(3, 3)}
         self.assertEqual(list_abandoned(leases, open_entries, 103.0, at=1.0), ())
-        later = 100.0 + get_longest_hold(leases)
+        later = 100.0 + get_max_lease_time(leases)
         (sweep,) = list_abandoned(leases, open_entries, later, at=1.0)
         self.assertEqual(sweep.below_incarnation, 4)
 
--- a/tests/state/test_ledger.py
+++ b/tests/state/test_ledger.py
@@ -255,7 +255,7 @@
 
     def test_rows_are_dropped_after_their_time(self) -> None:
         cases = (
-            ("repeatable", True, retention.REPEATABLE_KEPT),
+            ("repeatable", True, retention.REPEATABLE_RETENTION),
             ("other", False, retention.REPLAY_WINDOW),
         )
         for name, repeatable, kept in cases:
@@ -282,7 +282,7 @@
         row = reserve("r1", repeatable=True).row
         command = msgspec.structs.replace(settle("r1"), row=row)
         apply_command(state, command)
-        self.run_until(state, 11.0 + retention.REPEATABLE_KEPT)
+        self.run_until(state, 11.0 + retention.REPEATABLE_RETENTION)
         self.assertNotIn(PLACE, state.ledger.rows)
         state = load_state(save_state(state))
         outcome = apply_command(state, command)
@@ -303,7 +303,7 @@
     def test_ended_attempts_are_forgotten_in_time(self) -> None:
         state = ControlState()
         apply_command(state, settle("r1", NOT_RUN))
-        self.run_until(state, 11.0 + 3 * attempts.ENDED_KEPT)
+        self.run_until(state, 11.0 + 3 * attempts.ENDED_RETENTION)
         self.assertFalse(state.ledger.ended)
         self.assertFalse(state.ledger.ended_before)
 
--- a/tests/state/test_machine.py
+++ b/tests/state/test_machine.py
@@ -96,7 +96,7 @@
                 for taken in (True, False, True, False, True, False)
             ],
         )
-        (row,) = state.evidence.sums.values()
+        (row,) = state.evidence.totals.values()
         self.assertEqual((row.rated, row.sent, row.total), (3, 6, 1.5))
 
     def test_stage_begins_with_the_evidence_of_its_versions(self) -> None:
--- a/tests/state/test_membership.py
+++ b/tests/state/test_membership.py
@@ -172,7 +172,7 @@
         self.assertEqual(len(tables.upstreams), 11)
         self.assertIn("u0", tables.upstreams)
         tables.upstreams[UpstreamId("u0")].in_flight = 0
-        expire_upstreams(tables, 36.0 + membership.TOMBSTONE_KEPT)
+        expire_upstreams(tables, 36.0 + membership.TOMBSTONE_RETENTION)
         self.assertFalse(tables.upstreams)
 
     def test_moved_upstream(self) -> None:
--- a/tests/state/test_pins.py
+++ b/tests/state/test_pins.py
@@ -58,12 +58,12 @@
         with mock.patch.object(pins, "MAX_CLOCK_STEP", 1e9):
             apply_command(state, pin("old", OLD, at=1.0))
             apply_command(state, pin("used", OLD, at=2.0))
-            apply_command(state, pin("used", OLD, at=pins.PIN_KEPT))
-            apply_command(state, pin("new", OLD, at=pins.PIN_KEPT + 1.0))
+            apply_command(state, pin("used", OLD, at=pins.PIN_RETENTION))
+            apply_command(state, pin("new", OLD, at=pins.PIN_RETENTION + 1.0))
 
         sessions = [session for _, session in state.pins.pins]
         self.assertEqual(sessions, ["used", "new"])
-        self.assertEqual(state.pins.pins[(DEMO, "used")].used_at, pins.PIN_KEPT)
+        self.assertEqual(state.pins.pins[(DEMO, "used")].used_at, pins.PIN_RETENTION)
 
     def test_check_at_dispatch(self) -> None:
         self.assertTrue(check_pinned(OLD, OLD, "s"))
