--- a/src/waxwingwell/state/__init__.py
+++ b/src/waxwingwell/state/__init__.py
@@ -1,4 +1,4 @@
-"""State: the replicated log, its storage, and the state machine it drives.
+"""State: the replicated log, its storage, and the state machine driven by it.
 
 May import ``decisions`` and ``records``; never ``adapters`` or a reactor.
 """
--- a/src/waxwingwell/state/catalogue.py
+++ b/src/waxwingwell/state/catalogue.py
@@ -123,7 +123,7 @@
 
 
 def make_snapshot(table: ConfigTable) -> ConfigSnapshot:
-    """Return all configuration at the present version, as entries receive it."""
+    """Return the current configuration as sent to entries."""
     snapshot = table.snapshot
     if snapshot is not None and snapshot.config_version == table.config_version:
         return snapshot
--- a/src/waxwingwell/state/group.py
+++ b/src/waxwingwell/state/group.py
@@ -1,8 +1,8 @@
-"""One member of one replicated group: log, store and machine together.
+"""Member of a replicated group: combines the log, its store and the state machine.
 
-All of a turn's messages and proposals are taken in first; ``flush_group`` then
-makes them durable in one write, and only after that sends and applies. The
-present time must be read after a message has arrived, never before.
+All messages and proposals of a reactor turn are processed first; ``flush_group`` then
+makes their effects durable in one write, and only then sends messages and applies
+entries. ``now`` must be read after a message has arrived, never before.
 """
 
 from __future__ import annotations
@@ -71,7 +71,7 @@
 
 
 def tick_group(group: Group, now: float) -> None:
-    """Do what is due; call every few tens of milliseconds, then flush."""
+    """Run the timers; call every few tens of milliseconds, followed by a flush."""
     if group.halted:
         return
 
@@ -81,7 +81,7 @@
 def receive_message(
     group: Group, sender: str, message: ConsensusMessage, now: float
 ) -> None:
-    """Take in a message that came on the stream of the member named ``sender``."""
+    """Handle a message received on the stream of the member named ``sender``."""
     if group.halted or name_of(message.sender) != sender:
         return
 
@@ -94,7 +94,11 @@
     done: Callable[[ProposalOutcome], None],
     now: float,
 ) -> None:
-    """Put a command to the log; ``done`` is called once, during a flush at latest."""
+    """Append a command to the log; ``done`` is called once with the outcome.
+
+    It is called at once if this member can't accept proposals, otherwise when the
+    command is applied or its commit can't be observed any more.
+    """
     replica = group.replica
     if group.halted or replica.role is not Role.LEADER:
         done(NotLeading(leader_of(group)))
@@ -114,22 +118,22 @@
 
 
 def term_of(group: Group) -> int:
-    """Return the term, which serves as fencing number of a leader's orders."""
+    """Return the current term, which is the fencing number of a leader's orders."""
     return group.replica.term
 
 
 def members_of(group: Group) -> Membership:
-    """Return the member ids in use."""
+    """Return the current membership."""
     return group.replica.membership
 
 
 def confirm_read(
     group: Group, done: Callable[[ProposalOutcome], None], now: float
 ) -> None:
-    """Tell whether the machine's state is the newest; costs no message.
+    """Report whether the machine's state is up to date, without sending a message.
 
-    The lease proves that nobody else has committed anything, and every command
-    that was answered is applied here.
+    The leader lease proves that no other member has committed anything, and every
+    command whose outcome was reported is applied here.
     """
     if not leads(group, now):
         done(NotLeading(leader_of(group)))
--- a/src/waxwingwell/state/group_changes.py
+++ b/src/waxwingwell/state/group_changes.py
@@ -1,4 +1,4 @@
-"""Changes of a group that operators ask for: hand-over and membership."""
+"""Group changes requested by operators: leadership transfer and membership."""
 
 from __future__ import annotations
 
@@ -28,15 +28,15 @@
 
 
 def leader_of(group: Group) -> str:
-    """Return the name of the leader as far as known, or the empty string."""
+    """Return the name of the leader, or the empty string if it is not known."""
     return leader_name(group.replica)
 
 
 def transfer_leadership(group: Group, target: str, now: float) -> bool:
-    """Begin to hand leadership to the voter named ``target``; False if we can't.
+    """Start a leadership transfer to the voter ``target``; return False if impossible.
 
-    Proposals are answered with ``NotLeading`` from now on. If the target hasn't
-    taken over within an election timeout, we step down.
+    Proposals get ``NotLeading`` from then on. If the target hasn't taken over within an
+    election timeout, this member steps down.
     """
     replica = group.replica
     voters = [voter for voter in replica.membership.voters if name_of(voter) == target]
@@ -56,7 +56,7 @@
     membership: Membership,
     done: Callable[[ProposalOutcome], None],
 ) -> None:
-    """Begin a membership change, or answer ``NotLeading`` if it can't begin now."""
+    """Start a membership change, or report ``NotLeading`` if it can't start now."""
     replica = group.replica
     if group.halted or not may_change(replica):
         done(NotLeading(leader_of(group)))
@@ -69,14 +69,14 @@
 def add_learner(
     group: Group, member_id: str, done: Callable[[ProposalOutcome], None], now: float
 ) -> None:
-    """Add a member that receives the log and doesn't vote."""
+    """Add a member that receives the log but doesn't vote."""
     change_group(group, with_learner(group.replica.membership, member_id), done)
 
 
 def promote_learner(
     group: Group, member_id: str, done: Callable[[ProposalOutcome], None], now: float
 ) -> None:
-    """Let a learner vote; the leader does so by itself once it has caught up."""
+    """Make a learner a voter; the leader does so itself once it has caught up."""
     membership = group.replica.membership
     if member_id not in membership.learners:
         raise InvalidMemberError(f"{member_id} is not a learner")
@@ -87,7 +87,7 @@
 def remove_member(
     group: Group, member: str, done: Callable[[ProposalOutcome], None], now: float
 ) -> None:
-    """Remove a member, given by id or by name, for good."""
+    """Permanently remove a member, given by id or by name."""
     membership = group.replica.membership
     member_id = find_member(membership, member)
     if not member_id:
@@ -109,10 +109,10 @@
 
 
 def allow_name(group: Group, name: str) -> None:
-    """Let an empty member of that name join while this process runs.
+    """Allow an empty member of that name to join while this process runs.
 
-    The settings' names are allowed from the start. Each member that may lead must
-    be told, as it is the leader that takes a member in.
+    The names in the settings are allowed from the start. The name must be allowed on
+    each member that may become leader, because the leader adds new members.
     """
     check_name(name)
     if name not in group.replica.names:
@@ -120,6 +120,6 @@
 
 
 def forbid_name(group: Group, name: str) -> None:
-    """Let no member of that name join any more."""
+    """Stop allowing members of that name to join."""
     names = group.replica.names
     group.replica.names = tuple(known for known in names if known != name)
--- a/src/waxwingwell/state/group_flush.py
+++ b/src/waxwingwell/state/group_flush.py
@@ -1,4 +1,4 @@
-"""The turn of a group: one durable write, then messages, then the machine."""
+"""Flush of a group: one durable write, then messages, then applied entries."""
 
 from __future__ import annotations
 
@@ -33,11 +33,11 @@
 
 
 ENTRY_OVERHEAD_BYTES = 64
-"""About what an entry takes beside its command."""
+"""Approximate bytes of a log entry in addition to its command."""
 
 
 def flush_group(group: Group, now: float) -> None:
-    """Make all since the last flush durable in one write, then send and apply."""
+    """Make all changes since the last flush durable, then send and apply."""
     if group.halted:
         return
 
@@ -65,7 +65,7 @@
 
 
 def write_changes(group: Group) -> bool:
-    """Write what changed; on failure halt and return False."""
+    """Write the changes to the store; on failure halt the group and return False."""
     replica = group.replica
     batch = collect_batch(group)
     if batch is None:
@@ -86,7 +86,7 @@
 
 
 def collect_batch(group: Group) -> Batch | None:
-    """Return what the store lacks, or None."""
+    """Return the changes that are not stored yet, or None if there are none."""
     replica = group.replica
     log = replica.log
     piece = next_piece(group)
@@ -115,11 +115,11 @@
 
 
 def halt(group: Group, reason: str) -> None:
-    """Stop for good: what is in memory may differ from what is on the disk.
+    """Stop permanently, because the state in memory may differ from the disk.
 
-    Failure: the disk is full or a sync failed. After that no answer may rest on
-    what is in memory, so nothing queued leaves, leadership is given up and the
-    process must be started anew, which reads what is truly on the disk.
+    After a failed write or sync, for example on a full disk, no response may rely on
+    the state in memory. Queued messages are discarded, the member gives up leadership,
+    and the process must be restarted to load what is actually on the disk.
     """
     replica = group.replica
     group.halted = reason
@@ -132,7 +132,7 @@
 
 
 def run_checked(group: Group, step: Callable[[], None]) -> None:
-    """Run a step; if it breaks an invariant, stop promising anything for good."""
+    """Run a step, and halt the group if it violates an invariant."""
     try:
         step()
     except InvariantError as error:
@@ -143,7 +143,7 @@
 
 
 def fail_lost_proposals(group: Group) -> None:
-    """Tell proposers whose commit we can't watch any more."""
+    """Report ``ProposalLost`` for proposals whose commit can't be observed any more."""
     replica = group.replica
     if not group.pending:
         return
@@ -158,7 +158,7 @@
 
 
 def send_and_apply(group: Group, now: float) -> None:
-    """Send and apply what is durable now."""
+    """Send the messages and apply the entries that are now durable."""
     replica = group.replica
     advance_commit(replica)
     outbox, replica.outbox = replica.outbox, []
@@ -173,7 +173,7 @@
 
 
 def apply_committed(group: Group) -> None:
-    """Apply what is committed and held durably, in order and without a gap."""
+    """Apply the committed, locally durable entries in order and without gaps."""
     replica = group.replica
     while replica.applied < min(replica.commit, replica.durable):
         index = replica.applied + 1
@@ -186,7 +186,7 @@
 
 
 def apply_entry(group: Group, index: int) -> None:
-    """Apply one entry and tell its proposer."""
+    """Apply one entry and report the outcome to its proposer."""
     replica = group.replica
     entry = entry_at(replica.log, index)
     result = b""
@@ -204,7 +204,7 @@
 
 
 def log_expulsion(group: Group) -> None:
-    """Log once that this member is out of the group."""
+    """Log once that this member was removed from the group."""
     replica = group.replica
     if not replica.expelled or group.expulsion_logged:
         return
--- a/src/waxwingwell/state/group_opening.py
+++ b/src/waxwingwell/state/group_opening.py
@@ -1,4 +1,4 @@
-"""Opening a group's member: what is on the disk, and what a restart must keep."""
+"""Opening a member of a group: loading its store and resuming after a restart."""
 
 from __future__ import annotations
 
@@ -49,14 +49,15 @@
     heard_at: float | None = None,
     bootstrap: bool = False,
 ) -> Group:
-    """Load a member and let it take part.
-
-    ``member`` and ``members`` are names from the settings; ``send`` gets a name.
-    ``random`` must be seeded by the system, as the member's id is drawn from it.
-    ``heard_at`` is the latest time at which an earlier run of this member may have
-    answered a leader; now, if it isn't known.
-    ``bootstrap`` allows to found a group (see ``consensus/founding.py``); without
-    it an empty store joins. Raises ``InvalidMemberError`` or ``CorruptStorageError``.
+    """Load a member and start it.
+
+    ``member`` and ``members`` are names from the settings; ``send`` receives the name
+    of the target. ``random`` must be seeded by the system, because the member's id is
+    generated from it. ``heard_at`` is the latest time at which an earlier run of this
+    member may have responded to a leader; it defaults to ``now``. ``bootstrap`` allows
+    the member to found a group (see ``consensus/founding.py``); without it a member
+    with an empty store joins one. Raises ``InvalidMemberError`` or
+    ``CorruptStorageError``.
     """
     check_members(member, members)
     replica = load_replica(
@@ -85,7 +86,7 @@
 
 
 def check_members(member: str, members: tuple[str, ...]) -> None:
-    """Raise ``InvalidMemberError`` if the names can't make a group."""
+    """Raise ``InvalidMemberError`` if the names don't form a valid group."""
     for name in members:
         check_name(name)
 
@@ -108,7 +109,7 @@
     random: random.Random,
     bootstrap: bool,
 ) -> Replica:
-    """Build the replica from its store; initialise an empty one with a fresh id."""
+    """Build the replica from its store; initialise an empty store with a new id."""
     loaded = store.load()
     member_id = loaded.member
     if not member_id:
@@ -143,10 +144,11 @@
 
 
 def start_replica(replica: Replica, now: float, heard_at: float) -> None:
-    """Lead at once if alone; else keep the promises that a restart forgot.
+    """Start an election at once in a group of one; else wait for a leader.
 
-    Failure: a member that restarts within a leader's lease would vote, and two
-    leaders would hold a lease. It can't know, so it counts as having heard one.
+    A member that restarts within a leader's lease must not vote, or two leaders would
+    hold a lease. It doesn't know whether a lease is valid, so it behaves as if it had
+    heard from a leader at ``heard_at``.
     """
     if is_empty(replica):
         tend_founding(replica, now)
@@ -158,6 +160,6 @@
 
     replica.heard_at = heard_at
     draw_election_time(replica, heard_at)
-    # Members that start together must not all stand at once.
+    # Jitter, so that members that start together don't all start an election at once.
     jitter = replica.random.uniform(0.0, 2 * replica.timing.heartbeat)
     replica.election_at = max(replica.election_at, now + jitter)
--- a/src/waxwingwell/state/group_records.py
+++ b/src/waxwingwell/state/group_records.py
@@ -1,4 +1,4 @@
-"""One member of a group as a record, and the outcomes of proposals."""
+"""Records of a group member and of the outcomes of proposals."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Machine:
-    """Closures over the state that the log drives; all must be deterministic.
+    """Functions of the state machine that the log drives; all are deterministic.
 
-    ``apply(index, command)`` returns the command's outcome, ``save()`` the whole
-    state, ``restore(data)`` replaces it by a saved one.
+    ``apply(index, command)`` returns the command's outcome, ``save()`` returns the
+    whole state, and ``restore(data)`` replaces it by a saved one.
     """
 
     apply: Callable[[int, bytes], bytes]
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Committed:
-    """The command is durable on a majority and applied here."""
+    """The command is durable on a majority and applied on this member."""
 
     index: int
     result: bytes
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NotLeading:
-    """The command did not run; ``leader`` is the name to ask, if known."""
+    """The command was not accepted; ``leader`` is the leader's name, if known."""
 
     leader: str
 
@@ -50,7 +50,7 @@
 
 @dataclass(slots=True)
 class Pending:
-    """A proposal that awaits its commit."""
+    """A proposal waiting for its commit."""
 
     term: int
     done: Callable[[ProposalOutcome], None]
@@ -58,7 +58,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Group:
-    """A member of a group; ``halted`` tells why it stopped, if it did."""
+    """A member of a group; ``halted`` is the reason why it stopped, if it did."""
 
     replica: Replica
     store: Store
@@ -67,7 +67,7 @@
     pending: dict[int, Pending] = field(default_factory=dict)
     bytes_since_snapshot: int = 0
     staging: Snapshot | None = None
-    """A snapshot that is being written, piece after piece."""
+    """A snapshot that is being written piece by piece."""
     staged_parts: int = 0
     halted: str = ""
     expulsion_logged: bool = False
--- a/src/waxwingwell/state/group_snapshots.py
+++ b/src/waxwingwell/state/group_snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots of the machine: when, written in which steps, and taken over."""
+"""Snapshots of the state machine: when to take, how to write and restore them."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 def compact_if_due(group: Group) -> None:
-    """Begin a snapshot once the log since the last one outweighs it.
+    """Start a snapshot once the log since the last one is larger than it.
 
-    So the log on the disk, and the time to read it at a start, stay below about
-    twice the state, and a large state isn't written anew for a few commands.
+    This bounds the log on disk, and the time to load it at startup, to about twice the
+    state, and avoids rewriting a large state after a few commands.
     """
     replica = group.replica
     if group.staging is not None:
@@ -37,7 +37,7 @@
 
 
 def finish_snapshot(group: Group, snapshot: Snapshot) -> None:
-    """Take a snapshot into use once all its pieces are durable."""
+    """Activate a snapshot once all its pieces are durable."""
     if group.staged_parts < count_pieces(snapshot):
         return
 
@@ -46,10 +46,10 @@
 
 
 def next_piece(group: Group) -> Piece | None:
-    """Return the next part of the snapshot that is being written.
+    """Return the next piece of the snapshot that is being written.
 
-    Failure: a state of 30 MB takes the disk 0.4 s in one write, the leader's lease
-    runs out and each snapshot costs a fail-over. In pieces a flush stays short.
+    Writing a state of 30 MB at once takes 0.4 s, in which the leader's lease would
+    expire, so that each snapshot would cause a fail-over. Pieces keep flushes short.
     """
     if group.staging is None or group.staged_parts >= count_pieces(group.staging):
         return None
@@ -58,7 +58,7 @@
 
 
 def restore_machine(group: Group) -> None:
-    """Give a received snapshot, which is durable now, to the machine."""
+    """Restore the machine from a received snapshot that is now durable."""
     replica = group.replica
     if not replica.machine_stale or replica.snapshot is None:
         return
--- a/src/waxwingwell/state/images.py
+++ b/src/waxwingwell/state/images.py
@@ -1,7 +1,7 @@
-"""Images: the whole control state as bytes, for snapshots of the log.
+"""Images: the whole control state serialised for snapshots of the log.
 
-Tables keyed by a tuple are saved as lists in their order. The order is part of the
-state: it decides what retention drops first.
+Tables keyed by a tuple are saved as lists in table order. The order is part of the
+state: it determines what retention drops first.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 
 IMAGE_FORMAT = 2
-"""Raised with each change of the form; an image of another form is refused."""
+"""Incremented with each change of the format; other formats are rejected."""
 
 
 class SavedPin(msgspec.Struct, frozen=True):
@@ -49,11 +49,11 @@
 
 
 class SavedLedger(msgspec.Struct, frozen=True, kw_only=True):
-    """The ledger without what can be found again from its rows."""
+    """The ledger without the indexes that are rebuilt from its rows."""
 
     rows: list[LedgerRow]
     swept: list[tuple[WorkspaceId, str, str]]
-    """Workspace, key, request."""
+    """Workspace, key and request id of swept rows."""
     ended: list[str]
     ended_before: list[str]
     ended_since: float
@@ -78,7 +78,7 @@
 
 
 def save_state(state: ControlState) -> bytes:
-    """Return the state as bytes that ``load_state`` reads."""
+    """Return the state as bytes that ``load_state`` can read."""
     saved = SavedState(
         image_format=IMAGE_FORMAT,
         config=replace(state.config, snapshot=None),
@@ -93,7 +93,7 @@
 
 
 def _save_ledger(ledger: Ledger) -> SavedLedger:
-    """Return the ledger in the form of an image."""
+    """Return the ledger in the format of an image."""
     return SavedLedger(
         rows=list(ledger.rows.values()),
         swept=[(*row_key, request) for row_key, request in ledger.swept.items()],
@@ -109,14 +109,14 @@
 
 
 def load_state(data: bytes) -> ControlState:
-    """Return the state that ``save_state`` saved; raise ``ImageError`` otherwise."""
+    """Return the state saved by ``save_state``; raise ``ImageError`` if invalid."""
     try:
         saved = msgspec.msgpack.decode(data, type=SavedState)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise ImageError(f"not an image of the control state: {error}") from error
 
     if saved.image_format != IMAGE_FORMAT:
-        text = f"image of form {saved.image_format}, this program reads {IMAGE_FORMAT}"
+        text = f"unsupported image format {saved.image_format}, expected {IMAGE_FORMAT}"
         raise ImageError(text)
 
     return ControlState(
@@ -139,7 +139,7 @@
 
 
 def _load_ledger(saved: SavedLedger) -> Ledger:
-    """Return the ledger with its indexes built anew."""
+    """Return the ledger with its indexes rebuilt."""
     rows: dict[RowKey, LedgerRow] = {}
     open_rows: dict[EntryId, dict[RowKey, int]] = {}
     for row in saved.rows:
@@ -165,5 +165,5 @@
 
 
 def _count_answers(rows: list[LedgerRow]) -> int:
-    """Return the bytes of all stored answers."""
+    """Return the total bytes of all stored answers."""
     return sum(len(row.answer.body) for row in rows if row.answer is not None)
--- a/src/waxwingwell/state/machine.py
+++ b/src/waxwingwell/state/machine.py
@@ -1,8 +1,8 @@
-"""The control state machine: one deterministic step for each committed command.
+"""The control state machine: applies committed commands deterministically.
 
-No clock, no randomness and no I/O: every replica that applies the same log from the
-same state reaches an equal state. Times come with the commands; the leader stamps
-them with ``stamp_command`` when it proposes, so that one clock is used at a time.
+It uses no clock, randomness or I/O, so that replicas that apply the same log to the
+same state reach equal states. Time stamps are part of the commands; the leader sets
+them with ``stamp_command`` before proposing, so that one clock is used at a time.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 
 def apply_command(state: ControlState, command: Command) -> Outcome:
-    """Apply one committed command and return what its sender is told."""
+    """Apply one committed command and return the outcome for its sender."""
     match command:
         case Reserve():
             return reserve(state.ledger, command)
@@ -57,7 +57,7 @@
 
 
 def _apply_audited(state: ControlState, change: ConfigChange) -> Outcome:
-    """Apply a change and put it on the audit trail, unless it is a resend."""
+    """Apply a change and record it in the audit trail unless it is a resend."""
     resent = change.change_id in state.config.changes
     outcome = apply_change(state.config, change, list_evidence(state.evidence))
     if not resent:
@@ -67,7 +67,7 @@
 
 
 def stamp_command(command: Command, at: float) -> Command:
-    """Return the command with the proposing leader's wall clock in it."""
+    """Return the command stamped with the proposing leader's wall clock time."""
     if isinstance(command, Reserve):
         return Reserve(row=replace(command.row, reserved_at=at))
 
@@ -78,7 +78,7 @@
 
 
 def make_snapshot(state: ControlState) -> ConfigSnapshot:
-    """Return all configuration at the present version, as entries receive it."""
+    """Return the current configuration as sent to entries."""
     return make_config_snapshot(state.config)
 
 
--- a/src/waxwingwell/state/membership.py
+++ b/src/waxwingwell/state/membership.py
@@ -1,8 +1,9 @@
-"""Upstream membership at one entry, over ``Tables.upstreams``.
+"""Upstream membership at one entry, stored in ``Tables.upstreams``.
 
-Announcements of one upstream are ordered by (incarnation, leaving, sequence): one
-that left stays away until it starts anew, whatever is late, doubled or reordered. A
-lease counts from the upstream's own announcement, and relaying never extends it.
+Announcements of an upstream are ordered by (incarnation, leaving, sequence): an
+upstream that left is not used again until it restarts, even if announcements are
+delayed, duplicated or reordered. A lease counts from the upstream's own announcement;
+relaying an announcement never extends it.
 """
 
 from __future__ import annotations
@@ -24,35 +25,35 @@
 
 
 MAX_LEASE = 30.0
-"""Longest lease in seconds that an upstream may ask for."""
+"""Maximum lease in seconds that an upstream can request."""
 
 TOMBSTONE_RETENTION = 600.0
-"""Seconds for which an upstream that left is remembered after its lease ran out."""
+"""Seconds for which an upstream that left is kept after its lease expired."""
 
 MAX_TOMBSTONES = 4096
-"""Tombstones kept; beyond it those whose lease ran out first are dropped."""
+"""Maximum tombstones; those whose lease expired first are dropped beyond it."""
 
 
 def get_lease(announcement: Announcement) -> float:
-    """Return the lease in seconds that an announcement is given here."""
+    """Return the lease in seconds that an announcement is granted."""
     return max(0.0, min(announcement.lease, MAX_LEASE))
 
 
 def rank_announcement(announcement: Announcement) -> tuple[int, bool, int]:
-    """Return the order of an upstream's announcements; only a higher one counts."""
+    """Return the sort key of an upstream's announcements; the highest one applies."""
     return announcement.incarnation, announcement.leaving, announcement.sequence
 
 
 def take_announcement(
     tables: Tables, announcement: Announcement, age: float, now: float
 ) -> bool:
-    """Take in an announcement heard ``age`` seconds ago; false if it changes nothing.
+    """Apply an announcement made ``age`` seconds ago; return whether it was applied.
 
-    Failure guarded against: an announcement that was held up on the way arrives after
-    its upstream left or started anew, and would bring it back, so that new work goes
-    to a process that is gone. Only a higher rank is taken in, a tombstone keeps the
-    rank of one that left, and an announcement whose lease ran out on the way never
-    brings in an upstream.
+    A delayed announcement that arrives after its upstream left or restarted would
+    otherwise make the upstream available again, so that new work goes to a process that
+    no longer runs. Therefore only a higher rank is applied, a tombstone keeps the rank
+    of an upstream that left, and an announcement whose lease expired in transit never
+    adds an upstream.
     """
     announced_at = now - max(0.0, age)
     expires_at = announced_at + get_lease(announcement)
@@ -75,12 +76,12 @@
 
 
 def _is_newer(announcement: Announcement, current: Announcement) -> bool:
-    """Tell whether an announcement outranks the present one."""
+    """Return whether an announcement ranks higher than the current one."""
     return rank_announcement(announcement) > rank_announcement(current)
 
 
 def _reset_incarnation(row: UpstreamRow) -> None:
-    """Forget what held for the process that an upstream was before its restart."""
+    """Reset the state that belonged to the upstream's process before its restart."""
     row.dispatched.clear()
     row.finished.clear()
     row.prefixes.clear()
@@ -94,13 +95,13 @@
 def _replace_announcement(
     row: UpstreamRow, announcement: Announcement, expires_at: float, announced_at: float
 ) -> None:
-    """Put the newer announcement and its load report in place."""
+    """Store a newer announcement and its load report."""
     returned = row.left and not announcement.leaving
     same = row.announcement.incarnation == announcement.incarnation
     check(
         Promise.NO_NEW_WORK_WHEN_LEAVING,
         not (returned and same and row.announcement.leaving),
-        lambda: f"{announcement.upstream} came back after it left",
+        lambda: f"{announcement.upstream} became available again after it left",
     )
     report_age = announcement.load.age if announcement.load is not None else 0.0
     row.announcement = announcement
@@ -112,7 +113,7 @@
 
 
 def mark_left(tables: Tables, upstream: UpstreamId, now: float) -> bool:
-    """Mark an upstream as gone for good until it starts anew; false if unknown."""
+    """Mark an upstream as left until it restarts; return whether that is a change."""
     row = tables.upstreams.get(upstream)
     if row is None or row.announcement.leaving:
         return False
@@ -124,7 +125,7 @@
 
 
 def expire_upstreams(tables: Tables, now: float) -> tuple[UpstreamId, ...]:
-    """Mark upstreams whose lease ran out; return them. Drop old tombstones."""
+    """Mark and return upstreams whose lease expired; drop old tombstones."""
     expired = tuple(
         upstream
         for upstream, row in tables.upstreams.items()
@@ -138,7 +139,7 @@
 
 
 def _drop_tombstones(tables: Tables, now: float) -> None:
-    """Drop tombstones that are old, or too many; rows with running work stay."""
+    """Drop old or surplus tombstones; rows with requests in flight are kept."""
     tombstones = [
         (row.expires_at, upstream)
         for upstream, row in tables.upstreams.items()
@@ -152,11 +153,11 @@
 
 
 def list_spread(tables: Tables, since: float, now: float) -> SpreadAnnouncements:
-    """Return what was taken in after ``since``, with ages, for the other entries.
+    """Return the announcements applied after ``since``, to relay to other entries.
 
-    Those that left are spread as well; those whose lease ran out are not, as every
-    entry sees that for itself. The receiver adds the time on the way, as far as it
-    knows it, to each age.
+    Upstreams that left are included; those whose lease expired are not, because every
+    entry detects that itself. The receiver adds the transit time, as far as it is
+    known, to each age.
     """
     rows = [
         row
@@ -170,14 +171,14 @@
 
 
 def _get_announced_at(row: UpstreamRow) -> float:
-    """Return when the upstream made its announcement, on this entry's clock."""
+    """Return when the upstream made its announcement, by this entry's clock."""
     return row.expires_at - get_lease(row.announcement)
 
 
 def take_spread(
     tables: Tables, message: SpreadAnnouncements, delay: float, now: float
 ) -> int:
-    """Take in relayed announcements, ``delay`` seconds on the way; count the new."""
+    """Apply announcements relayed in ``delay`` seconds; return how many were new."""
     pairs = zip(message.announcements, message.ages, strict=True)
     return sum(
         take_announcement(tables, announcement, age + delay, now)
--- a/src/waxwingwell/state/pins.py
+++ b/src/waxwingwell/state/pins.py
@@ -1,9 +1,9 @@
-"""Session pins: the first version a session was given stays.
+"""Session pins: a session keeps the first version it was assigned.
 
 A pin is kept for ``PIN_RETENTION`` seconds after the session was last pinned, by the
-largest time that commands carried. An entry that caches pins asks again at least
-once a day, which renews them. Beyond ``MAX_PINS`` new sessions are refused: dropping
-a live session's pin would move it to another version.
+latest time stamp of any command. An entry that caches pins requests them again at least
+once a day, which renews them. Beyond ``MAX_PINS`` new sessions are rejected, because
+dropping the pin of a live session would move it to another version.
 """
 
 from __future__ import annotations
@@ -30,23 +30,23 @@
 
 
 PIN_RETENTION = 7 * 86_400.0
-"""Seconds for which a pin is kept after its last use here."""
+"""Seconds for which a pin is kept after it was last requested."""
 
 MAX_PINS = 500_000
-"""Pins held; see docs/CAPACITY.md for the memory they take."""
+"""Maximum pins; see docs/CAPACITY.md for their memory use."""
 
 MAX_DROPS_PER_COMMAND = 8
-"""Pins past their retention that one command drops."""
+"""Maximum expired pins that one command drops."""
 
 MAX_CLOCK_STEP = 60.0
-"""Most seconds by which one command moves the clock; guards against a wrong one."""
+"""Maximum seconds by which one command advances the clock; limits a wrong clock."""
 
 PinKey = tuple[WorkspaceId, str]
 
 
 @dataclass(frozen=True, slots=True)
 class Pin:
-    """The version of a session, and when it was last asked for."""
+    """The version of a session, and when the pin was last requested."""
 
     version: VersionId
     used_at: float
@@ -54,10 +54,10 @@
 
 @dataclass(slots=True)
 class PinTable:
-    """Pins by (workspace, session), the one unused for longest first.
+    """Pins by (workspace, session), least recently used first.
 
-    A plain dict finds its first item by going over all places freed before it, which
-    takes long when sessions come back in the order of their age.
+    An ``OrderedDict``, because finding the first item of a plain dict scans all items
+    deleted before it, which is slow when sessions are renewed in order of their age.
     """
 
     pins: OrderedDict[PinKey, Pin] = field(default_factory=OrderedDict)
@@ -67,12 +67,12 @@
 def pin_session(
     table: PinTable, config: ConfigTable, command: PinSession
 ) -> Pinned | Rejected:
-    """Return the session's pin, which is the given version if it had none.
+    """Return the session's pin; create one for the given version if there is none.
 
-    Failure guarded against: two entries pin one session at the same time, or one
-    pins it by a configuration that was just replaced. It would show as a session that
-    changes its version, or starts on a withdrawn one. The first pin in the log wins,
-    and a first pin is checked against the configuration at its place in the log.
+    Two entries may pin a session at the same time, or an entry may use a configuration
+    that was just replaced. The session would then change its version, or start on a
+    withdrawn one. Therefore the first pin in the log wins, and it is checked against
+    the configuration at its position in the log.
     """
     _advance_clock(table, command.at)
     pin_key = (command.workspace, command.session)
@@ -93,7 +93,7 @@
 def _check_pin(
     table: PinTable, config: ConfigTable, command: PinSession
 ) -> list[Finding]:
-    """Return every reason against a first pin."""
+    """Return all validation findings for a first pin."""
     findings = []
     if not command.session:
         findings.append(Finding("session", "a session needs a name"))
@@ -119,7 +119,7 @@
 
 
 def _advance_clock(table: PinTable, at: float) -> None:
-    """Move the clock on and drop a few pins past their retention."""
+    """Advance the clock and drop a few expired pins."""
     if at > table.clock:
         first = table.clock == 0.0
         table.clock = at if first else min(at, table.clock + MAX_CLOCK_STEP)
@@ -133,7 +133,7 @@
 
 
 def check_pinned(pinned: VersionId, used: VersionId, session: str) -> bool:
-    """Check at dispatch that a pinned session runs on its own version."""
+    """Check at dispatch that a pinned session runs on its pinned version."""
     return check(
         Promise.SESSION_KEEPS_VERSION,
         not pinned or pinned == used,
--- a/src/waxwingwell/state/recovery.py
+++ b/src/waxwingwell/state/recovery.py
@@ -1,6 +1,6 @@
-"""The last resort: let one member go on alone when most disks are lost.
+"""Disaster recovery: continue with a single member when most disks are lost.
 
-Never used by itself; an operator decides, see docs/operations/lost-disk.md.
+It never runs automatically; an operator decides, see docs/operations/lost-disk.md.
 """
 
 from __future__ import annotations
@@ -28,15 +28,15 @@
 
 
 TERM_JUMP = 1000
-"""By so much the term moves, past any that the lost members may have reached.
+"""Increase of the term, beyond any term that the lost members may have reached.
 
-Failure: engines refuse orders whose fencing number is below the highest they saw.
+Engines refuse orders whose fencing number is below the highest one they have seen.
 """
 
 
 @dataclass(frozen=True, slots=True)
 class Held:
-    """What a member's disk holds; of several, keep the greatest by term and index."""
+    """Contents of a member's disk; the greatest by term and index is to be kept."""
 
     member: str
     last_term: int
@@ -45,7 +45,7 @@
 
 
 def describe_store(store: Store) -> Held:
-    """Return what a store holds; raise ``InvalidMemberError`` if it has no group."""
+    """Describe a store's contents; raise ``InvalidMemberError`` if it has no group."""
     loaded = store.load()
     membership = read_membership(loaded)
     if not membership.voters:
@@ -56,10 +56,11 @@
 
 
 def keep_alone(store: Store) -> Held:
-    """Make the store's member the only one; it leads once it is started.
+    """Make the store's member the only voter; it becomes leader when it is started.
 
-    All that its disk holds counts as accepted then. The other voters must be
-    emptied before they start again: they join it as new ones. Learners stay.
+    All entries on its disk are then treated as accepted. The data folders of the other
+    voters must be emptied before they start again, so that they join as new members.
+    Learners are kept.
     """
     held = describe_store(store)
     loaded = store.load()
@@ -88,12 +89,12 @@
 
 
 def read_log(loaded: Loaded) -> Log:
-    """Return the log as it is held in memory."""
+    """Return the log of a loaded store."""
     return Log(loaded.base_index, loaded.base_term, list(loaded.entries))
 
 
 def read_membership(loaded: Loaded) -> Membership:
-    """Return the latest membership on the disk."""
+    """Return the latest membership of a loaded store."""
     for entry in reversed(loaded.entries):
         if entry.kind is EntryKind.MEMBERSHIP:
             return msgspec.msgpack.decode(entry.data, type=Membership)
--- a/src/waxwingwell/state/rollouts.py
+++ b/src/waxwingwell/state/rollouts.py
@@ -1,12 +1,12 @@
-"""Changes of a roll-out: it goes on or back, never sideways, and ends once.
+"""Changes of a roll-out: each stage advances or reverts it, and it ends once.
 
-Moves that are allowed, by present status:
+Allowed transitions by current status:
 
 ========  ==================================================================
 running   running at the next stage, running at a lower stage, paused at the same
           stage, completed at the last stage, rolled back
 paused    running at the same or a lower stage, rolled back
-ended     none; another roll-out of the model may be started
+ended     none; another roll-out of the model can be started
 ========  ==================================================================
 """
 
@@ -36,7 +36,7 @@
 
 
 def check_start(table: ConfigTable, change: StartRollout) -> list[Finding]:
-    """Return every reason against beginning a roll-out."""
+    """Return all validation findings for starting a roll-out."""
     findings = _check_pace(change.pace)
     if change.candidate == change.incumbent:
         findings.append(Finding("candidate", "candidate and incumbent are the same"))
@@ -59,7 +59,7 @@
 def _check_version(
     table: ConfigTable, change: StartRollout, place: str, version: VersionId
 ) -> list[Finding]:
-    """Return findings on one of the two versions of a roll-out."""
+    """Return findings for one of the two versions of a roll-out."""
     spec = table.versions.get(version)
     if spec is None:
         return [Finding(place, f"{version} is not in the catalogue")]
@@ -76,7 +76,7 @@
 
 
 def _check_pace(pace: RolloutPace) -> list[Finding]:
-    """Return findings on the stages: shares that rise and end with 1."""
+    """Return findings for the stages, which must be increasing shares up to 1."""
     stages = pace.stages
     if not stages or stages[-1] != 1:
         return [Finding("pace.stages", "the last stage must be 1")]
@@ -91,7 +91,7 @@
 def start_rollout(
     table: ConfigTable, change: StartRollout, evidence: tuple[Evidence, ...]
 ) -> None:
-    """Put the roll-out in place and mark its candidate as one."""
+    """Store the roll-out and set the candidate's status."""
     rollout = Rollout(
         model=change.model,
         candidate=change.candidate,
@@ -106,7 +106,7 @@
 
 
 def check_step(table: ConfigTable, change: StepRollout) -> list[Finding]:
-    """Return every reason against moving a roll-out."""
+    """Return all validation findings for a step of a roll-out."""
     rollout = table.rollouts.get(change.model)
     if rollout is None:
         return [Finding("model", f"no roll-out of {change.model}")]
@@ -122,7 +122,7 @@
 
 
 def _check_transition(rollout: Rollout, change: StepRollout) -> list[Finding]:
-    """Return findings on the move itself; see the table of this module."""
+    """Return findings for the transition; see the table in the module docstring."""
     status = RolloutStatus(change.status)
     last = len(rollout.pace.stages) - 1
     if not 0 <= change.stage <= last:
@@ -143,7 +143,7 @@
 def _check_completion(
     rollout: Rollout, change: StepRollout, last: int
 ) -> list[Finding]:
-    """Let a roll-out be completed from its last stage only, while it runs."""
+    """Return findings for a completion: only a running last stage can complete."""
     if rollout.status is RolloutStatus.PAUSED:
         return [Finding("status", "a paused roll-out must be resumed first")]
 
@@ -155,7 +155,7 @@
 
 
 def _check_pause(rollout: Rollout, change: StepRollout) -> list[Finding]:
-    """Let a pause keep the stage."""
+    """Return findings for a pause, which must keep the stage."""
     if rollout.status is RolloutStatus.PAUSED:
         return [Finding("status", "the roll-out is paused already")]
 
@@ -166,7 +166,7 @@
 
 
 def _check_running(rollout: Rollout, change: StepRollout) -> list[Finding]:
-    """Let a running roll-out go one stage on or any back, a resumed one stay."""
+    """Return findings for running: one stage on, any back, or resumed at the same."""
     if change.stage < rollout.stage:
         return []
 
@@ -184,10 +184,10 @@
 def step_rollout(
     table: ConfigTable, change: StepRollout, evidence: tuple[Evidence, ...]
 ) -> None:
-    """Carry out a move that ``check_step`` allows.
+    """Apply a step that passed ``check_step``.
 
-    Another stage begins with the evidence as it stands; a pause or its end begins
-    none, so that it hides no rating from the judgement of the stage.
+    A new stage starts with the current evidence as its baseline. Pausing and resuming
+    keep the baseline, so that no rating is excluded from the evaluation of the stage.
     """
     rollout = table.rollouts[change.model]
     status = RolloutStatus(change.status)
@@ -209,13 +209,13 @@
         return
 
     set_status(table, rollout.candidate, VersionStatus.ACTIVE, change)
-    # An incumbent that was withdrawn meanwhile must not come back as ENDING.
+    # An incumbent that was withdrawn in the meantime must not be set back to ENDING.
     if table.versions[rollout.incumbent].status not in WITHDRAWN_STATUSES:
         set_status(table, rollout.incumbent, VersionStatus.ENDING, change)
 
 
 def describe_rollout(table: ConfigTable, model: str) -> str:
-    """Return where a model's roll-out stands."""
+    """Return a textual description of a model's roll-out."""
     rollout = table.rollouts.get(model)
     if rollout is None:
         return "no roll-out"
--- a/src/waxwingwell/state/routing.py
+++ b/src/waxwingwell/state/routing.py
@@ -1,7 +1,7 @@
-"""The replicated state of a routing group: the document in force, and roll-outs.
+"""The replicated state of a routing group: the current document and roll-outs.
 
-Deterministic, without clock or I/O: each replica that applies the same commands
-reaches an equal state.
+It is deterministic and uses no clock or I/O, so that replicas that apply the same
+commands reach equal states.
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
 
 
 RESEND_WINDOW = 6.0
-"""An order for the same target within this time is a resend: operators repeat an order
-whose answer was lost for a few seconds only."""
+"""Seconds in which an order for the same target counts as a resend; operators resend an
+order whose response was lost for a few seconds only."""
 
 _COMMAND_DECODER = msgspec.msgpack.Decoder(RoutingCommand)
 
 
 class SavedRouting(msgspec.Struct, frozen=True):
-    """The state as a snapshot holds it."""
+    """The state as stored in a snapshot."""
 
     document: Document | None
     source: bytes
@@ -37,16 +37,16 @@
 
 @dataclass(slots=True)
 class RoutingState:
-    """What all members of a routing group agree on."""
+    """State shared by all members of a routing group."""
 
     document: Document | None = None
     source: bytes = b""
     rollouts: dict[str, RolloutState] = field(default_factory=dict)
-    """By service; the latest one of each."""
+    """Latest roll-out by service."""
 
 
 def version_of(state: RoutingState) -> int:
-    """Return the version in force, -1 if nothing was published yet."""
+    """Return the current document version, or -1 if none was published yet."""
     return -1 if state.document is None else state.document.version
 
 
@@ -64,10 +64,10 @@
 
 
 def publish(state: RoutingState, command: Publish) -> None:
-    """Take a document if its version is higher than the one held.
+    """Store a document if its version is higher than the current one.
 
-    Failure: an older change that was held up arrives again, or other content comes
-    under the version held; neither may be obeyed, though both are acknowledged.
+    A delayed older change, or different content with the current version number, is
+    acknowledged but must not take effect.
     """
     if command.document.version > version_of(state):
         state.document = command.document
@@ -75,7 +75,7 @@
 
 
 def start_rollout(state: RoutingState, command: BeginRollout) -> None:
-    """Begin a move unless this is a resend of the latest order for the service."""
+    """Start a roll-out, unless this resends the latest order for the service."""
     current = state.rollouts.get(command.service)
     if current is not None and current.target == command.target:
         recent = abs(command.ordered_at - current.ordered_at) < RESEND_WINDOW
@@ -100,7 +100,7 @@
 def find_ongoing_rollout(
     state: RoutingState, command: GrowRollout | EndRollout
 ) -> RolloutState | None:
-    """Return the move under way that a command means."""
+    """Return the ongoing roll-out that a command refers to, or None."""
     current = state.rollouts.get(command.service)
     if current is None or current.state != "in_progress":
         return None
@@ -113,7 +113,7 @@
 
 
 def raise_share(state: RoutingState, command: GrowRollout) -> None:
-    """Raise a move's share; it never falls."""
+    """Raise the share of a roll-out; it never decreases."""
     current = find_ongoing_rollout(state, command)
     if current is not None and command.share > current.share:
         updated = msgspec.structs.replace(current, share=command.share)
@@ -121,7 +121,7 @@
 
 
 def finish_rollout(state: RoutingState, command: EndRollout) -> None:
-    """Finish a move for good."""
+    """Complete or revert a roll-out, which is final."""
     current = find_ongoing_rollout(state, command)
     if current is None:
         return
@@ -133,19 +133,19 @@
 
 
 def decode_command(data: bytes) -> RoutingCommand:
-    """Return a command from the log."""
+    """Return the command encoded in a log entry."""
     return _COMMAND_DECODER.decode(data)
 
 
 def save_routing(state: RoutingState) -> bytes:
-    """Return the whole state as bytes."""
+    """Return the whole state as bytes that ``load_routing`` can read."""
     rollouts = tuple(state.rollouts.values())
     saved = SavedRouting(state.document, state.source, rollouts)
     return msgspec.msgpack.encode(saved)
 
 
 def load_routing(data: bytes) -> RoutingState:
-    """Return the state that ``save_routing`` saved."""
+    """Return the state saved by ``save_routing``."""
     saved = msgspec.msgpack.decode(data, type=SavedRouting)
     return RoutingState(
         document=saved.document,
--- a/src/waxwingwell/state/storage.py
+++ b/src/waxwingwell/state/storage.py
@@ -1,8 +1,8 @@
-"""Durable storage of one group in one SQLite file under the data folder.
+"""Durable storage of a group in one SQLite file in the data folder.
 
-A batch is one transaction with ``synchronous=FULL``: whole and synced, or not at
-all. The lock is exclusive: a second process on the folder is turned away, and
-SQLite then keeps the index of its write-ahead log in plain memory.
+A batch is one transaction with ``synchronous=FULL``: either it is complete and synced,
+or it has no effect. The exclusive lock refuses a second process on the same folder and
+lets SQLite keep the index of its write-ahead log in process memory.
 """
 
 from __future__ import annotations
@@ -34,10 +34,11 @@
 
 GROUP_ID = re.compile(r"[a-z0-9][a-z0-9-]*")
 BUSY_TIMEOUT = 0.2
-"""How long to wait for a former process of the same member to let go."""
+"""Seconds to wait for a previous process of the member to release the lock."""
 MAX_PIECES_DROPPED = 3
+"""Obsolete snapshot pieces dropped per written piece."""
 MIN_ENTRIES_DROPPED = 100
-"""At each write of entries, and twice as many as were written."""
+"""Obsolete entries dropped per write, in addition to twice the number written."""
 SCHEMA = """
 CREATE TABLE IF NOT EXISTS marker (
     id INTEGER PRIMARY KEY CHECK (id = 1),
@@ -78,9 +79,9 @@
 
 
 def open_store(folder: Path, group_id: str) -> Store:
-    """Open or create a group's file; raise ``StorageError`` if that can't be."""
+    """Open or create a group's file; raise ``StorageError`` if that fails."""
     if not GROUP_ID.fullmatch(group_id):
-        raise StorageError(f"group id {group_id!r} can't name a file")
+        raise StorageError(f"group id {group_id!r} is not a valid file name")
 
     path = folder / f"{group_id}.sqlite"
     try:
@@ -116,10 +117,10 @@
 
 
 def sync_folder(folder: Path) -> None:
-    """Make new names in a folder durable.
+    """Make new directory entries of a folder durable.
 
-    Failure: a file that was synced is gone after a power loss, since its folder
-    was not; a member would start as if it had never promised anything.
+    Without it a synced file can be missing after a power loss because its folder was
+    not synced, and the member would start without its term, vote and log.
     """
     descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     try:
@@ -129,7 +130,7 @@
 
 
 def write_batch(database: sqlite3.Connection, batch: Batch, path: Path) -> None:
-    """Write a batch as one transaction; it is synced when this returns."""
+    """Write a batch in one transaction, which is synced on return."""
     try:
         database.execute("BEGIN IMMEDIATE")
         write_state(database, batch)
@@ -143,7 +144,7 @@
 
 
 def write_state(database: sqlite3.Connection, batch: Batch) -> None:
-    """Write the small rows of a batch, and its snapshot."""
+    """Write the member id, hard state and snapshot data of a batch."""
     if batch.member is not None:
         database.execute("INSERT INTO marker VALUES (1, ?)", (batch.member,))
 
@@ -167,9 +168,9 @@
 def stage_piece(database: sqlite3.Connection, piece: Piece) -> None:
     """Write a piece of a snapshot that is not in use yet.
 
-    Failure: a snapshot is made anew at the index of the one in use, and the process
-    ends halfway. A piece written over one in use would leave a file that can't be
-    read, and the member would have lost its vote. So such a piece is left out.
+    A new snapshot may have the index of the one in use. If the process ended halfway
+    through overwriting pieces in use, the file would be unreadable and the member would
+    have lost its vote. Such pieces are therefore skipped.
     """
     used = database.execute("SELECT place FROM snapshot").fetchone()
     if used is None or piece.index > used[0]:
@@ -177,13 +178,13 @@
 
 
 def write_piece(database: sqlite3.Connection, piece: Piece) -> None:
-    """Write one piece; a former try at the same snapshot may have left one."""
+    """Write one piece, replacing one left by an earlier attempt at the snapshot."""
     row = (piece.index, piece.part, piece.data, zlib.crc32(piece.data))
     database.execute("REPLACE INTO piece VALUES (?, ?, ?, ?)", row)
 
 
 def drop_old_pieces(database: sqlite3.Connection) -> None:
-    """Drop a few pieces that no snapshot uses; all at once would take long."""
+    """Drop a few unused pieces; dropping all at once would take too long."""
     database.execute(
         "DELETE FROM piece WHERE rowid IN (SELECT rowid FROM piece WHERE place <"
         " (SELECT place FROM snapshot) LIMIT ?)",
@@ -194,7 +195,7 @@
 def write_snapshot(
     database: sqlite3.Connection, snapshot: Snapshot, *, staged: bool
 ) -> None:
-    """Put a snapshot into use; its pieces are written here unless they are staged."""
+    """Activate a snapshot, and write its pieces unless they are staged."""
     parts = count_pieces(snapshot)
     if not staged:
         for part in range(parts):
@@ -206,7 +207,7 @@
 
 
 def write_entries(database: sqlite3.Connection, batch: Batch) -> None:
-    """Replace the end of the log."""
+    """Replace the log from the first entry of the batch on."""
     if batch.first is None:
         return
 
@@ -220,9 +221,9 @@
 
 
 def drop_old_entries(database: sqlite3.Connection, limit: int) -> None:
-    """Drop some of the entries that the snapshot stands for; reading skips the rest.
+    """Drop some of the entries covered by the snapshot; loading skips the rest.
 
-    All at once would stop the leader's turn for tens of milliseconds.
+    Dropping all at once would block the leader for tens of milliseconds.
     """
     database.execute(
         "DELETE FROM entry WHERE place IN (SELECT place FROM entry WHERE place <="
--- a/src/waxwingwell/state/storage_load.py
+++ b/src/waxwingwell/state/storage_load.py
@@ -1,4 +1,4 @@
-"""Reading a group's storage at a start, and checking what is found."""
+"""Loading a group's storage at startup, with consistency checks."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def load_all(database: sqlite3.Connection, path: Path) -> Loaded:
-    """Read a store and check it."""
+    """Load a store and check its contents."""
     try:
         return read_tables(database, path)
     except sqlite3.DatabaseError as error:
@@ -31,7 +31,7 @@
 
 
 def read_tables(database: sqlite3.Connection, path: Path) -> Loaded:
-    """Read all tables; raise ``CorruptStorageError`` where they don't fit together."""
+    """Read all tables; raise ``CorruptStorageError`` if they are inconsistent."""
     marker = database.execute("SELECT member FROM marker").fetchone()
     hard = database.execute("SELECT term, voted_for FROM hard_state").fetchone()
     base = database.execute("SELECT place, term FROM base").fetchone() or (0, 0)
@@ -49,7 +49,7 @@
 
 
 def read_snapshot(database: sqlite3.Connection, path: Path) -> Snapshot | None:
-    """Read the snapshot and check its checksum."""
+    """Read the snapshot and verify its checksum."""
     row = database.execute("SELECT * FROM snapshot").fetchone()
     if row is None:
         return None
@@ -66,7 +66,7 @@
 def read_pieces(
     database: sqlite3.Connection, index: int, parts: int, path: Path
 ) -> bytes:
-    """Read a snapshot's data and check that all of it is there."""
+    """Read a snapshot's data and check that it is complete and undamaged."""
     rows = database.execute(
         "SELECT data, checksum FROM piece WHERE place = ? AND part < ? ORDER BY part",
         (index, parts),
@@ -83,7 +83,7 @@
 def read_entries(
     database: sqlite3.Connection, base: int, path: Path
 ) -> tuple[Entry, ...]:
-    """Read the log and check that it has no gap and no damage."""
+    """Read the log and check that it has no gaps or damaged entries."""
     entries = []
     rows = database.execute(
         "SELECT * FROM entry WHERE place > ? ORDER BY place", (base,)
@@ -122,7 +122,7 @@
 def convert_error(
     error: sqlite3.Error, path: Path
 ) -> StorageError | CorruptStorageError:
-    """Return our error for SQLite's: corrupt if the file is, else failed."""
+    """Return the storage error for an SQLite error, by whether the file is corrupt."""
     if isinstance(error, sqlite3.OperationalError):
         return StorageError(f"{path}: {error}")
 
--- a/src/waxwingwell/state/storage_records.py
+++ b/src/waxwingwell/state/storage_records.py
@@ -1,4 +1,4 @@
-"""What goes to a group's storage and what comes back."""
+"""Records written to and loaded from a group's storage."""
 
 from __future__ import annotations
 
@@ -12,11 +12,12 @@
 
 
 PIECE_BYTES = 256 << 10
+"""Maximum bytes of a piece of a snapshot."""
 
 
 @dataclass(frozen=True, slots=True)
 class Piece:
-    """Part of the data of the snapshot at an index, written ahead of its use."""
+    """Part of a snapshot's data, written before the snapshot is in use."""
 
     index: int
     part: int
@@ -25,25 +26,25 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Batch:
-    """What one sync makes durable; None means unchanged."""
+    """Changes made durable by one sync; None means unchanged."""
 
     member: str | None = None
     hard_state: HardState | None = None
     first: int | None = None
-    """Held entries from here on are replaced by ``entries``."""
+    """Index from which stored entries are replaced by ``entries``."""
     entries: tuple[Entry, ...] = ()
     piece: Piece | None = None
     snapshot: Snapshot | None = None
     staged: bool = False
-    """The snapshot's pieces were all written before."""
+    """Whether all pieces of the snapshot were written before."""
     base_index: int = 0
-    """With a snapshot: entries up to here are dropped."""
+    """With a snapshot, the index up to which entries are dropped."""
     base_term: int = 0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Loaded:
-    """What a store holds; an empty ``member`` means that it was never initialised."""
+    """Contents of a store; ``member`` is empty if it was never initialised."""
 
     member: str = ""
     hard_state: HardState = HardState()
@@ -55,10 +56,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Store:
-    """Closures over one group's storage.
+    """Functions of one group's storage.
 
-    ``write`` returns once the batch is synced, or raises ``StorageError``.
-    ``load`` raises ``CorruptStorageError`` if what it finds can't be trusted.
+    ``write`` returns once the batch is synced, or raises ``StorageError``. ``load``
+    raises ``CorruptStorageError`` if the contents are damaged or inconsistent.
     """
 
     load: Callable[[], Loaded]
@@ -67,7 +68,7 @@
 
 
 def count_pieces(snapshot: Snapshot) -> int:
-    """Return in how many pieces a snapshot's data is stored."""
+    """Return the number of pieces in which a snapshot's data is stored."""
     return -(-len(snapshot.data) // PIECE_BYTES)
 
 
@@ -78,6 +79,6 @@
 
 
 def checksum(index: int, entry: Entry) -> int:
-    """Return a checksum over all of an entry and its place."""
+    """Return a checksum of a whole entry and its index."""
     head = f"{index} {entry.term} {entry.kind.value} ".encode()
     return zlib.crc32(entry.data, zlib.crc32(head))
--- a/src/waxwingwell/state/versions.py
+++ b/src/waxwingwell/state/versions.py
@@ -1,4 +1,4 @@
-"""Changes of the catalogue: versions registered and withdrawn."""
+"""Changes of the catalogue: registration and withdrawal of versions."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def check_registration(table: ConfigTable, change: RegisterVersion) -> list[Finding]:
-    """Return every reason against a version's entry in the catalogue."""
+    """Return all validation findings for the registration of a version."""
     spec = change.spec
     findings = _check_spec(spec)
     existing = table.versions.get(spec.version)
@@ -53,7 +53,7 @@
 
 
 def _check_spec(spec: VersionSpec) -> list[Finding]:
-    """Return findings that need no other table."""
+    """Return findings that don't depend on the catalogue."""
     findings = []
     model, separator, number = spec.version.partition("@")
     if not (model and separator and number) or model != spec.model:
@@ -71,12 +71,12 @@
 
 
 def store_version(table: ConfigTable, change: RegisterVersion) -> None:
-    """Put a version into the catalogue, or correct its prices and prior."""
+    """Add a version to the catalogue, or update its prices and quality prior."""
     table.versions[change.spec.version] = change.spec
 
 
 def check_withdrawal(table: ConfigTable, change: WithdrawVersion) -> list[Finding]:
-    """Return every reason against a withdrawal."""
+    """Return all validation findings for a withdrawal."""
     spec = table.versions.get(change.version)
     if spec is None:
         return [Finding("version", f"{change.version} is not in the catalogue")]
@@ -90,10 +90,10 @@
 
 
 def withdraw_version(table: ConfigTable, change: WithdrawVersion) -> None:
-    """Withdraw a version; a roll-out that it is the candidate of ends with it."""
+    """Withdraw a version and roll back the ongoing roll-out it is the candidate of."""
     status = VersionStatus.ENDING if change.graceful else VersionStatus.WITHDRAWN
     spec = table.versions[change.version]
-    # The revision of the version itself is raised by the caller.
+    # The caller bumps the revision of the version itself.
     table.versions[change.version] = replace(spec, status=status)
     rollout = find_ongoing_rollout(table, change.version)
     if rollout is None:
@@ -109,7 +109,7 @@
 
 
 def find_ongoing_rollout(table: ConfigTable, candidate: VersionId) -> Rollout | None:
-    """Return the roll-out of ``candidate`` that has not ended, if there is one."""
+    """Return the ongoing roll-out of ``candidate``, or None."""
     spec = table.versions[candidate]
     rollout = table.rollouts.get(spec.model)
     if rollout is None or rollout.candidate != candidate:
@@ -119,7 +119,7 @@
 
 
 def describe_version(table: ConfigTable, version: VersionId) -> str:
-    """Return what the catalogue holds on a version."""
+    """Return a textual description of a version in the catalogue."""
     spec = table.versions.get(version)
     if spec is None:
         return "not in the catalogue"
--- a/src/waxwingwell/state/workspaces.py
+++ b/src/waxwingwell/state/workspaces.py
@@ -1,4 +1,4 @@
-"""Changes of a workspace: its answers, and the configuration made from them."""
+"""Changes of a workspace: its answers and the configuration derived from them."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 
 MAX_ANSWERS = 65_536
-"""Bytes of a workspace's answers."""
+"""Maximum bytes of a workspace's answers."""
 
 
 def check_answers(table: ConfigTable, change: ApplyAnswers) -> list[Finding]:
-    """Return every reason against a workspace's new configuration."""
+    """Return all validation findings for a workspace's new configuration."""
     config = change.config
     findings = _check_allowed(table, config)
     if not config.workspace:
@@ -45,10 +45,10 @@
 
 
 def _check_allowed(table: ConfigTable, config: WorkspaceConfig) -> list[Finding]:
-    """Return findings on allowed versions.
+    """Return findings for the allowed versions.
 
-    A withdrawn version may stay in the list of a workspace that had it, since
-    routing refuses it anyway; it can't be added to another.
+    A withdrawn version may stay in the list of a workspace that already has it, because
+    routing refuses it anyway; it can't be added to another workspace.
     """
     before = table.workspaces.get(config.workspace)
     previously_allowed = before.allowed if before is not None else ()
@@ -68,14 +68,14 @@
 
 
 def store_answers(table: ConfigTable, change: ApplyAnswers) -> None:
-    """Put the answers and their configuration in place together."""
+    """Store the answers together with their configuration."""
     config = replace(change.config, revision=change.expected_revision + 1)
     table.answers[config.workspace] = change.answers
     table.workspaces[config.workspace] = config
 
 
 def describe_workspace(table: ConfigTable, change: ApplyAnswers) -> str:
-    """Return in which fields the refused configuration differs from the present."""
+    """Return the fields in which the current configuration differs from a change."""
     current = table.workspaces.get(change.config.workspace)
     if current is None:
         return "no configuration"
