--- a/tests/state/runs/test_configuration.py
+++ b/tests/state/runs/test_configuration.py
@@ -38,10 +38,10 @@
 
 
 VERSIONS = st.sampled_from((OLD, NEW, VersionId("heron@3")))
-BEHIND = st.sampled_from((0, 0, 0, 1, 2))
+LAGS = st.sampled_from((0, 0, 0, 1, 2))
 """How many revisions an operator's reading is behind."""
 FINAL = (RolloutStatus.COMPLETED, RolloutStatus.ROLLED_BACK)
-MOVES = st.sampled_from((RolloutStatus.RUNNING, *RolloutStatus))
+TARGET_STATUSES = st.sampled_from((RolloutStatus.RUNNING, *RolloutStatus))
 SHORT = RolloutPace(stages=(0.5, 1.0))
 """Few stages, so that runs get to the end of a roll-out."""
 
@@ -50,18 +50,18 @@
     """Any order of changes, each on a revision that may be old, and of resends."""
 
     @initialize()
-    def begin(self) -> None:
+    def initialise(self) -> None:
         self.state = make_state()
         self.replica = make_state()
         self.base = self.state.config.config_version
         self.sent: list[tuple[Command, Outcome]] = []
         self.pinned: dict[str, VersionId] = {}
-        self.taken: dict[tuple[str, int], str] = {}
+        self.accepted: dict[tuple[str, int], str] = {}
         self.statuses: dict[VersionId, VersionStatus] = {}
         self.ended: dict[str, tuple[VersionId, RolloutStatus]] = {}
 
-    def read_revision(self, subject: str, behind: int) -> int:
-        return max(0, self.state.config.revisions.get(subject, 0) - behind)
+    def read_revision(self, subject: str, lag: int) -> int:
+        return max(0, self.state.config.revisions.get(subject, 0) - lag)
 
     def send(self, command: Command) -> None:
         before = self.state.config.config_version
@@ -73,8 +73,8 @@
         if isinstance(command, Change) and isinstance(outcome, Accepted):
             place = (outcome.subject, outcome.revision)
             assert outcome.revision == command.expected_revision + 1, outcome
-            assert place not in self.taken, f"two ancestors of {place}"
-            self.taken[place] = command.change_id
+            assert place not in self.accepted, f"two ancestors of {place}"
+            self.accepted[place] = command.change_id
 
         if isinstance(outcome, Conflict):
             assert outcome.current
@@ -84,35 +84,33 @@
     def name_change(self) -> str:
         return f"change {len(self.sent)}"
 
-    @rule(allowed=st.lists(VERSIONS, unique=True), behind=BEHIND)
-    def revise_answers(self, allowed: list[VersionId], behind: int) -> None:
-        expected = self.read_revision("workspace:demo", behind)
+    @rule(allowed=st.lists(VERSIONS, unique=True), lag=LAGS)
+    def revise_answers(self, allowed: list[VersionId], lag: int) -> None:
+        expected = self.read_revision("workspace:demo", lag)
         self.send(answers(self.name_change(), expected, *allowed))
 
-    @rule(version=VERSIONS, behind=BEHIND, status=st.sampled_from(VersionStatus))
+    @rule(version=VERSIONS, lag=LAGS, status=st.sampled_from(VersionStatus))
     def register_version(
-        self, version: VersionId, behind: int, status: VersionStatus
+        self, version: VersionId, lag: int, status: VersionStatus
     ) -> None:
-        expected = self.read_revision(f"version:{version}", behind)
+        expected = self.read_revision(f"version:{version}", lag)
         name = self.name_change()
         self.send(register(version, change_id=name, expected=expected, status=status))
 
-    @rule(version=VERSIONS, behind=BEHIND, graceful=st.booleans())
-    def withdraw_version(self, version: VersionId, behind: int, graceful: bool) -> None:
-        expected = self.read_revision(f"version:{version}", behind)
+    @rule(version=VERSIONS, lag=LAGS, graceful=st.booleans())
+    def withdraw_version(self, version: VersionId, lag: int, graceful: bool) -> None:
+        expected = self.read_revision(f"version:{version}", lag)
         self.send(withdraw(self.name_change(), expected, version, graceful=graceful))
 
-    @rule(behind=BEHIND)
-    def start_rollout(self, behind: int) -> None:
-        self.send(
-            start(self.name_change(), self.read_revision("rollout:heron", behind))
-        )
+    @rule(lag=LAGS)
+    def start_rollout(self, lag: int) -> None:
+        self.send(start(self.name_change(), self.read_revision("rollout:heron", lag)))
 
-    @rule(behind=BEHIND, on=st.integers(-1, 1), status=MOVES)
-    def step_rollout(self, behind: int, on: int, status: RolloutStatus) -> None:
+    @rule(lag=LAGS, offset=st.integers(-1, 1), status=TARGET_STATUSES)
+    def step_rollout(self, lag: int, offset: int, status: RolloutStatus) -> None:
         rollout = self.state.config.rollouts.get("heron")
-        stage = rollout.stage + on if rollout is not None else 0
-        expected = self.read_revision("rollout:heron", behind)
+        stage = rollout.stage + offset if rollout is not None else 0
+        expected = self.read_revision("rollout:heron", lag)
         self.send(step(self.name_change(), expected, stage, status.value))
 
     @rule(version=VERSIONS, session=st.sampled_from("abc"))
--- a/tests/state/runs/test_leases.py
+++ b/tests/state/runs/test_leases.py
@@ -32,7 +32,7 @@
 
 ENTRY_NAMES = tuple(EntryId(name) for name in ("bole-1", "kazanchis-1", "cmc-1"))
 RATES = st.sampled_from((1.0 - MAX_CLOCK_DRIFT / 2, 1.0, 1.0 + MAX_CLOCK_DRIFT / 2))
-RARELY = st.integers(0, 3)
+RARE = st.integers(0, 3)
 """Zero makes it so: a new leader claims nothing for a while."""
 STEPS = st.sampled_from((0.02, 0.4, 1.0, 3.0, 3.98))
 
@@ -60,28 +60,28 @@
 
 
 @dataclass
-class Answer:
+class Response:
     """An answer on its way back."""
 
     process: Process
     number: int
-    answer: LeaseGranted | LeaseBehind
+    response: LeaseGranted | LeaseBehind
 
 
 @dataclass
-class World:
+class Simulation:
     """Real time, the leader, all entry processes and the messages between them."""
 
     time: float = 110.0
     committed: int = 1
-    claimed: int = 0
+    reported: int = 0
     """The newest version that was ever said to be in force."""
     leader_rate: float = 1.0
     leader_offset: float = 0.0
     leases: EntryLeases = field(default_factory=lambda: EntryLeases(elected_at=100.0))
     processes: list[Process] = field(default_factory=list)
     requests: list[Request] = field(default_factory=list)
-    answers: list[Answer] = field(default_factory=list)
+    responses: list[Response] = field(default_factory=list)
 
     def read_leader(self) -> float:
         return self.leader_offset + self.time * self.leader_rate
@@ -91,134 +91,142 @@
     """Only the confirmed leader grants; everything else may be late or lost."""
 
     @initialize(rates=st.tuples(RATES, RATES, RATES))
-    def begin(self, rates: tuple[float, float, float]) -> None:
-        self.world = World()
+    def initialise(self, rates: tuple[float, float, float]) -> None:
+        self.simulation = Simulation()
         for name, rate in zip(ENTRY_NAMES, rates, strict=True):
             self.add_process(name, 1, rate)
 
     def add_process(self, name: EntryId, incarnation: int, rate: float) -> None:
         lease = ConfigLease(name, incarnation)
-        self.world.processes.append(Process(lease, rate, 1000.0 * incarnation))
+        self.simulation.processes.append(Process(lease, rate, 1000.0 * incarnation))
 
     @rule(step=STEPS)
-    def pass_time(self, step: float) -> None:
-        self.world.time += step
+    def advance_time(self, step: float) -> None:
+        self.simulation.time += step
 
     @rule()
     def commit_change(self) -> None:
-        self.world.committed += 1
+        self.simulation.committed += 1
 
     @rule(data=st.data())
     def send_renewal(self, data: st.DataObject) -> None:
-        world = self.world
-        process = data.draw(st.sampled_from(world.processes))
-        renewal = begin_renewal(process.lease, process.read_clock(world.time))
-        world.requests.append(Request(process, renewal.number, renewal.message))
-
-    @precondition(lambda self: self.world.requests)
-    @rule(data=st.data(), again=st.booleans())
-    def reach_leader(self, data: st.DataObject, again: bool) -> None:
-        world = self.world
-        place = data.draw(st.integers(0, len(world.requests) - 1))
-        request = world.requests[place]
-        if not again:
-            del world.requests[place]
-
-        answer = self.ask_leader(request.message)
-        world.answers.append(Answer(request.process, request.number, answer))
-
-    @precondition(lambda self: self.world.answers)
-    @rule(data=st.data(), again=st.booleans())
-    def reach_entry(self, data: st.DataObject, again: bool) -> None:
-        world = self.world
-        place = data.draw(st.integers(0, len(world.answers) - 1))
-        item = world.answers[place]
-        if not again:
-            del world.answers[place]
+        simulation = self.simulation
+        process = data.draw(st.sampled_from(simulation.processes))
+        renewal = begin_renewal(process.lease, process.read_clock(simulation.time))
+        simulation.requests.append(Request(process, renewal.number, renewal.message))
+
+    @precondition(lambda self: self.simulation.requests)
+    @rule(data=st.data(), duplicate=st.booleans())
+    def deliver_request(self, data: st.DataObject, duplicate: bool) -> None:
+        simulation = self.simulation
+        place = data.draw(st.integers(0, len(simulation.requests) - 1))
+        request = simulation.requests[place]
+        if not duplicate:
+            del simulation.requests[place]
+
+        response = self.ask_leader(request.message)
+        simulation.responses.append(Response(request.process, request.number, response))
+
+    @precondition(lambda self: self.simulation.responses)
+    @rule(data=st.data(), duplicate=st.booleans())
+    def deliver_response(self, data: st.DataObject, duplicate: bool) -> None:
+        simulation = self.simulation
+        place = data.draw(st.integers(0, len(simulation.responses) - 1))
+        item = simulation.responses[place]
+        if not duplicate:
+            del simulation.responses[place]
 
         lease = item.process.lease
-        if isinstance(item.answer, LeaseBehind):
-            take_snapshot(lease, item.answer.snapshot)
+        if isinstance(item.response, LeaseBehind):
+            take_snapshot(lease, item.response.snapshot)
             return
 
-        now = item.process.read_clock(world.time)
-        finish_renewal(lease, item.number, item.answer, now)
+        now = item.process.read_clock(simulation.time)
+        finish_renewal(lease, item.number, item.response, now)
 
     @rule(name=st.sampled_from(ENTRY_NAMES))
-    def renew_in_time(self, name: EntryId) -> None:
+    def renew(self, name: EntryId) -> None:
         self.renew_at_once(name)
 
     def renew_at_once(self, name: EntryId) -> None:
         """Renew until granted, as an entry that is not cut off does."""
-        world = self.world
-        process = [item for item in world.processes if item.lease.entry == name][-1]
-        now = process.read_clock(world.time)
+        simulation = self.simulation
+        process = [item for item in simulation.processes if item.lease.entry == name][
+            -1
+        ]
+        now = process.read_clock(simulation.time)
         for _ in range(2):
             renewal = begin_renewal(process.lease, now)
-            answer = self.ask_leader(renewal.message)
-            if isinstance(answer, LeaseGranted):
-                finish_renewal(process.lease, renewal.number, answer, now)
+            response = self.ask_leader(renewal.message)
+            if isinstance(response, LeaseGranted):
+                finish_renewal(process.lease, renewal.number, response, now)
                 return
 
-            take_snapshot(process.lease, answer.snapshot)
+            take_snapshot(process.lease, response.snapshot)
 
     def ask_leader(self, message: RenewLease) -> LeaseGranted | LeaseBehind:
         """Let the confirmed leader answer by what is committed now."""
-        world = self.world
+        simulation = self.simulation
         snapshot = ConfigSnapshot(
-            config_version=world.committed, workspaces=(), versions=(), rollouts=()
+            config_version=simulation.committed, workspaces=(), versions=(), rollouts=()
         )
-        now = world.read_leader()
-        return renew_lease(world.leases, message, snapshot=snapshot, now=now)
+        now = simulation.read_leader()
+        return renew_lease(simulation.leases, message, snapshot=snapshot, now=now)
 
     @rule(name=st.sampled_from(ENTRY_NAMES), delay=STEPS)
-    def renew_slowly(self, name: EntryId, delay: float) -> None:
+    def renew_with_delay(self, name: EntryId, delay: float) -> None:
         """Renew with an answer that is held up on the way."""
         self.renew_at_once(name)
-        world = self.world
-        process = [item for item in world.processes if item.lease.entry == name][-1]
-        renewal = begin_renewal(process.lease, process.read_clock(world.time))
-        answer = self.ask_leader(renewal.message)
-        world.time += delay
-        if isinstance(answer, LeaseGranted):
-            now = process.read_clock(world.time)
-            finish_renewal(process.lease, renewal.number, answer, now)
-
-    @rule(rate=RATES, offset=st.sampled_from((-90.0, 0.0, 5000.0)), often=RARELY)
-    def change_leader(self, rate: float, offset: float, often: int) -> None:
+        simulation = self.simulation
+        process = [item for item in simulation.processes if item.lease.entry == name][
+            -1
+        ]
+        renewal = begin_renewal(process.lease, process.read_clock(simulation.time))
+        response = self.ask_leader(renewal.message)
+        simulation.time += delay
+        if isinstance(response, LeaseGranted):
+            now = process.read_clock(simulation.time)
+            finish_renewal(process.lease, renewal.number, response, now)
+
+    @rule(rate=RATES, offset=st.sampled_from((-90.0, 0.0, 5000.0)), skip=RARE)
+    def change_leader(self, rate: float, offset: float, skip: int) -> None:
         """Elect a leader that knows no lease and has a clock of its own."""
-        world = self.world
-        if often:
+        simulation = self.simulation
+        if skip:
             return
 
-        world.leader_rate = rate
-        world.leader_offset = offset
-        world.leases = EntryLeases(elected_at=world.read_leader())
+        simulation.leader_rate = rate
+        simulation.leader_offset = offset
+        simulation.leases = EntryLeases(elected_at=simulation.read_leader())
 
     @rule(name=st.sampled_from(ENTRY_NAMES), rate=RATES)
     def restart_entry(self, name: EntryId, rate: float) -> None:
         """Start an entry anew; the old process is frozen and may wake up."""
-        count = sum(item.lease.entry == name for item in self.world.processes)
+        count = sum(item.lease.entry == name for item in self.simulation.processes)
         self.add_process(name, count + 1, rate)
 
     @invariant()
-    def in_force_is_true_and_stays(self) -> None:
-        if not hasattr(self, "world"):
+    def in_force_is_correct_and_permanent(self) -> None:
+        if not hasattr(self, "simulation"):
             return
 
-        world = self.world
-        if is_in_force(world.leases, world.committed, world.read_leader()).in_force:
-            world.claimed = world.committed
+        simulation = self.simulation
+        if is_in_force(
+            simulation.leases, simulation.committed, simulation.read_leader()
+        ).in_force:
+            simulation.reported = simulation.committed
 
-        for process in world.processes:
-            if may_admit(process.lease, process.read_clock(world.time)):
+        for process in simulation.processes:
+            if may_admit(process.lease, process.read_clock(simulation.time)):
                 version = process.lease.config_version
                 text = f"{process.lease.entry} admits by {version}"
-                assert version >= world.claimed, f"{text}, not {world.claimed}"
+                assert version >= simulation.reported, (
+                    f"{text}, not {simulation.reported}"
+                )
 
     @invariant()
-    def no_entry_steps_back(self) -> None:
-        for process in self.world.processes if hasattr(self, "world") else ():
+    def no_entry_reverts_its_configuration(self) -> None:
+        for process in self.simulation.processes if hasattr(self, "simulation") else ():
             assert process.lease.config_version >= process.highest
             process.highest = process.lease.config_version
 
--- a/tests/state/runs/test_ledger.py
+++ b/tests/state/runs/test_ledger.py
@@ -35,7 +35,7 @@
 from .support import RunTestCase
 
 
-ENTRIES = st.sampled_from((BOLE, CMC))
+ENTRY_IDS = st.sampled_from((BOLE, CMC))
 KEYS = ("order-1", "order-2", "lookup-1")
 COST = 7
 
@@ -55,18 +55,18 @@
 
 
 @dataclass
-class World:
+class Simulation:
     """Entries, messages on the way, and what really ran."""
 
     state: ControlState = field(default_factory=ControlState)
     incarnations: dict[EntryId, int] = field(default_factory=lambda: {BOLE: 1, CMC: 1})
     attempts: dict[str, Attempt] = field(default_factory=dict)
-    on_the_way: list[Command] = field(default_factory=list)
-    ran: Counter[str] = field(default_factory=Counter)
+    in_transit: list[Command] = field(default_factory=list)
+    dispatch_counts: Counter[str] = field(default_factory=Counter)
     """Dispatches by key."""
     settled: set[str] = field(default_factory=set)
     """Requests whose settle reached the ledger, in time or not."""
-    told_not_run: set[str] = field(default_factory=set)
+    reported_not_run: set[str] = field(default_factory=set)
     """Requests whose caller was told "not run"."""
 
 
@@ -74,18 +74,18 @@
     """Attempts under few keys through two entries, over a network that loses order."""
 
     @initialize()
-    def begin(self) -> None:
-        self.world = World()
+    def initialise(self) -> None:
+        self.simulation = Simulation()
 
     def is_alive(self, attempt: Attempt) -> bool:
-        return self.world.incarnations[attempt.entry] == attempt.incarnation
-
-    @rule(key=st.sampled_from(KEYS), entry=ENTRIES, late=st.booleans())
-    def attempt(self, key: str, entry: EntryId, late: bool) -> None:
-        world = self.world
-        request = f"r{len(world.attempts)}"
-        incarnation = world.incarnations[entry]
-        world.attempts[request] = Attempt(request, key, entry, incarnation)
+        return self.simulation.incarnations[attempt.entry] == attempt.incarnation
+
+    @rule(key=st.sampled_from(KEYS), entry=ENTRY_IDS, delayed=st.booleans())
+    def attempt(self, key: str, entry: EntryId, delayed: bool) -> None:
+        simulation = self.simulation
+        request = f"r{len(simulation.attempts)}"
+        incarnation = simulation.incarnations[entry]
+        simulation.attempts[request] = Attempt(request, key, entry, incarnation)
         command = reserve(
             request,
             key=key,
@@ -93,79 +93,87 @@
             incarnation=incarnation,
             repeatable=key.startswith("lookup"),
         )
-        self.send(command, late)
+        self.send(command, delayed)
 
-    def send(self, command: Command, late: bool) -> None:
+    def send(self, command: Command, delayed: bool) -> None:
         """Leave a command on its way, and unless it is late hand it over as well."""
-        self.world.on_the_way.append(command)
-        if not late:
-            self.hand_over(command, answer_lost=False)
-
-    @precondition(lambda self: self.world.on_the_way)
-    @rule(data=st.data(), again=st.booleans(), answer_lost=st.booleans())
-    def deliver(self, data: st.DataObject, again: bool, answer_lost: bool) -> None:
-        world = self.world
-        place = data.draw(st.integers(0, len(world.on_the_way) - 1))
-        command = world.on_the_way[place]
-        if not again:
-            del world.on_the_way[place]
-
-        self.hand_over(command, answer_lost=answer_lost)
-
-    def hand_over(self, command: Command, *, answer_lost: bool) -> None:
+        self.simulation.in_transit.append(command)
+        if not delayed:
+            self.apply(command, response_lost=False)
+
+    @precondition(lambda self: self.simulation.in_transit)
+    @rule(data=st.data(), duplicate=st.booleans(), response_lost=st.booleans())
+    def deliver(
+        self, data: st.DataObject, duplicate: bool, response_lost: bool
+    ) -> None:
+        simulation = self.simulation
+        place = data.draw(st.integers(0, len(simulation.in_transit) - 1))
+        command = simulation.in_transit[place]
+        if not duplicate:
+            del simulation.in_transit[place]
+
+        self.apply(command, response_lost=response_lost)
+
+    def apply(self, command: Command, *, response_lost: bool) -> None:
         """Apply a command; its entry takes the answer unless it is lost or dead."""
-        outcome = apply_command(self.world.state, command)
+        outcome = apply_command(self.simulation.state, command)
         if isinstance(command, Settle):
-            self.world.settled.add(command.request)
+            self.simulation.settled.add(command.request)
             return
 
         assert isinstance(command, Reserve)
-        attempt = self.world.attempts[command.row.request]
-        if answer_lost or not self.is_alive(attempt) or attempt.ended:
+        attempt = self.simulation.attempts[command.row.request]
+        if response_lost or not self.is_alive(attempt) or attempt.ended:
             return
 
         if isinstance(outcome, Reserved):
             attempt.reserved = True
         elif isinstance(outcome, AlreadySettled):
-            self.check_told(outcome)
+            self.check_reported_outcome(outcome)
 
-    def check_told(self, outcome: AlreadySettled) -> None:
+    def check_reported_outcome(self, outcome: AlreadySettled) -> None:
         """Check that what a caller is told of its key on a resend is true."""
         row = outcome.row
         if row.outcome is OutcomeKind.NOT_RUN:
-            assert not self.world.attempts[row.request].dispatched, row
+            assert not self.simulation.attempts[row.request].dispatched, row
 
-    @precondition(lambda self: self.list_attempts(dispatched=False))
+    @precondition(lambda self: self.list_reserved_attempts(dispatched=False))
     @rule(data=st.data())
     def dispatch(self, data: st.DataObject) -> None:
-        attempt = data.draw(st.sampled_from(self.list_attempts(dispatched=False)))
+        attempt = data.draw(
+            st.sampled_from(self.list_reserved_attempts(dispatched=False))
+        )
         attempt.dispatched = True
-        self.world.ran[attempt.key] += 1
+        self.simulation.dispatch_counts[attempt.key] += 1
 
-    @precondition(lambda self: self.list_attempts(dispatched=True))
-    @rule(data=st.data(), late=st.booleans())
-    def finish(self, data: st.DataObject, late: bool) -> None:
-        attempt = data.draw(st.sampled_from(self.list_attempts(dispatched=True)))
+    @precondition(lambda self: self.list_reserved_attempts(dispatched=True))
+    @rule(data=st.data(), delayed=st.booleans())
+    def finish(self, data: st.DataObject, delayed: bool) -> None:
+        attempt = data.draw(
+            st.sampled_from(self.list_reserved_attempts(dispatched=True))
+        )
         attempt.ended = True
         message = settle(attempt.request, key=attempt.key, cost=COST)
-        self.send(message, late)
+        self.send(message, delayed)
 
-    @precondition(lambda self: self.list_attempts(dispatched=False))
-    @rule(data=st.data(), late=st.booleans())
-    def refuse(self, data: st.DataObject, late: bool) -> None:
-        attempt = data.draw(st.sampled_from(self.list_attempts(dispatched=False)))
+    @precondition(lambda self: self.list_reserved_attempts(dispatched=False))
+    @rule(data=st.data(), delayed=st.booleans())
+    def refuse(self, data: st.DataObject, delayed: bool) -> None:
+        attempt = data.draw(
+            st.sampled_from(self.list_reserved_attempts(dispatched=False))
+        )
         attempt.ended = True
         attempt.refused = True
-        self.world.told_not_run.add(attempt.request)
+        self.simulation.reported_not_run.add(attempt.request)
         message = settle(attempt.request, OutcomeKind.NOT_RUN, key=attempt.key)
-        self.send(message, late)
+        self.send(message, delayed)
 
-    @rule(data=st.data(), late=st.booleans())
-    def give_up(self, data: st.DataObject, late: bool) -> None:
+    @rule(data=st.data(), delayed=st.booleans())
+    def time_out(self, data: st.DataObject, delayed: bool) -> None:
         """Refuse a request whose reservation was not answered in time."""
         waiting = [
             attempt
-            for attempt in self.world.attempts.values()
+            for attempt in self.simulation.attempts.values()
             if not attempt.reserved and not attempt.ended and self.is_alive(attempt)
         ]
         if not waiting:
@@ -173,63 +181,63 @@
 
         attempt = data.draw(st.sampled_from(waiting))
         attempt.ended = True
-        self.world.told_not_run.add(attempt.request)
+        self.simulation.reported_not_run.add(attempt.request)
         message = settle(attempt.request, OutcomeKind.NOT_RUN, key=attempt.key)
-        self.send(message, late)
+        self.send(message, delayed)
 
-    def list_attempts(self, *, dispatched: bool) -> list[Attempt]:
+    def list_reserved_attempts(self, *, dispatched: bool) -> list[Attempt]:
         """Return reserved attempts of living entries that have not ended."""
         return [
             attempt
-            for attempt in self.world.attempts.values()
+            for attempt in self.simulation.attempts.values()
             if attempt.reserved
             and not attempt.ended
             and attempt.dispatched is dispatched
             and self.is_alive(attempt)
         ]
 
-    @rule(entry=ENTRIES, swept=st.booleans())
-    def kill(self, entry: EntryId, swept: bool) -> None:
-        self.world.incarnations[entry] += 1
+    @rule(entry=ENTRY_IDS, swept=st.booleans())
+    def crash(self, entry: EntryId, swept: bool) -> None:
+        self.simulation.incarnations[entry] += 1
         if swept:
             self.sweep(entry=entry, too_early=False)
 
-    @rule(entry=ENTRIES, too_early=st.booleans())
+    @rule(entry=ENTRY_IDS, too_early=st.booleans())
     def sweep(self, entry: EntryId, too_early: bool) -> None:
         """Sweep dead incarnations, or a living one that is merely cut off."""
-        below = self.world.incarnations[entry] + too_early
-        apply_command(self.world.state, abandon(below, entry=entry))
+        below = self.simulation.incarnations[entry] + too_early
+        apply_command(self.simulation.state, abandon(below, entry=entry))
 
     @rule()
     def restart_control(self) -> None:
-        world = self.world
-        loaded = load_state(save_state(world.state))
-        assert loaded == world.state
-        world.state = loaded
+        simulation = self.simulation
+        loaded = load_state(save_state(simulation.state))
+        assert loaded == simulation.state
+        simulation.state = loaded
 
     @invariant()
     def orders_run_at_most_once(self) -> None:
-        for key, count in self.get_world().ran.items():
+        for key, count in self.get_world().dispatch_counts.items():
             if key.startswith("order"):
                 assert count <= 1, f"{key} ran {count} times"
 
     @invariant()
-    def not_run_did_not_run(self) -> None:
-        world = self.get_world()
-        for request in world.told_not_run:
-            assert not world.attempts[request].dispatched
+    def requests_reported_not_run_did_not_run(self) -> None:
+        simulation = self.get_world()
+        for request in simulation.reported_not_run:
+            assert not simulation.attempts[request].dispatched
 
-        for row in world.state.ledger.rows.values():
+        for row in simulation.state.ledger.rows.values():
             if row.status is RowStatus.SETTLED and row.outcome is OutcomeKind.NOT_RUN:
-                assert not world.attempts[row.request].dispatched
+                assert not simulation.attempts[row.request].dispatched
 
     @invariant()
-    def rows_opened_by_late_attempts_have_an_owner(self) -> None:
+    def open_rows_belong_to_unsettled_attempts(self) -> None:
         """Check that no open row belongs to an attempt that was settled already."""
-        world = self.get_world()
-        for row in world.state.ledger.rows.values():
+        simulation = self.get_world()
+        for row in simulation.state.ledger.rows.values():
             if row.status is RowStatus.OPEN:
-                assert row.request not in world.settled, "nobody will settle it"
+                assert row.request not in simulation.settled, "nobody will settle it"
 
     @invariant()
     def each_key_is_billed_once(self) -> None:
@@ -245,11 +253,13 @@
         bills = list_bills(state.ledger.bills)
         assert sum(bill.requests for bill in bills) == len(final)
         assert sum(bill.cost for bill in bills) == sum(row.usage.cost for row in final)
-        ran = sum(count > 0 for count in self.get_world().ran.values())
-        assert sum(bill.completed for bill in bills) <= ran
+        dispatch_counts = sum(
+            count > 0 for count in self.get_world().dispatch_counts.values()
+        )
+        assert sum(bill.completed for bill in bills) <= dispatch_counts
 
-    def get_world(self) -> World:
-        return self.world if hasattr(self, "world") else World()
+    def get_world(self) -> Simulation:
+        return self.simulation if hasattr(self, "simulation") else Simulation()
 
 
 class LedgerRunTest(RunTestCase):
--- a/tests/state/runs/test_membership.py
+++ b/tests/state/runs/test_membership.py
@@ -29,7 +29,7 @@
 
 NAMES = tuple(UpstreamId(name) for name in ("engine-1", "orders-1"))
 LEASE = 6.0
-NUMBERS = st.integers(0, 2)
+ENTRY_NUMBERS = st.integers(0, 2)
 """Entries by number."""
 Rank = tuple[int, bool, int]
 
@@ -38,13 +38,13 @@
 class Relay:
     """Announcements on their way from one entry to another."""
 
-    to: int
+    destination: int
     sent_at: float
     message: SpreadAnnouncements
 
 
 @dataclass
-class World:
+class Simulation:
     """Upstreams, entries with their tables, and all messages on the way."""
 
     time: float = 100.0
@@ -56,7 +56,7 @@
     entries: list[Tables] = field(default_factory=lambda: [Tables() for _ in range(3)])
     direct: list[Announcement] = field(default_factory=list)
     relays: list[Relay] = field(default_factory=list)
-    heard: dict[tuple[UpstreamId, int, int], float] = field(default_factory=dict)
+    received: dict[tuple[UpstreamId, int, int], float] = field(default_factory=dict)
     """When an announcement last reached any entry from the upstream itself."""
     left: list[dict[UpstreamId, int]] = field(
         default_factory=lambda: [{} for _ in range(3)]
@@ -71,84 +71,93 @@
     """Direct and relayed announcements may be late, doubled and out of order."""
 
     @initialize()
-    def begin(self) -> None:
-        self.world = World()
+    def initialise(self) -> None:
+        self.simulation = Simulation()
 
     @rule(step=st.sampled_from((0.1, 1.0, 2.5, 6.0)))
-    def pass_time(self, step: float) -> None:
-        self.world.time += step
-        for tables in self.world.entries:
-            expire_upstreams(tables, self.world.time)
+    def advance_time(self, step: float) -> None:
+        self.simulation.time += step
+        for tables in self.simulation.entries:
+            expire_upstreams(tables, self.simulation.time)
 
     @rule(name=st.sampled_from(NAMES), leaving=st.booleans())
-    def announce_again(self, name: UpstreamId, leaving: bool) -> None:
-        world = self.world
-        last = world.last[name]
-        said = replace(
+    def announce_upstream(self, name: UpstreamId, leaving: bool) -> None:
+        simulation = self.simulation
+        last = simulation.last[name]
+        announced = replace(
             last, sequence=last.sequence + 1, leaving=leaving or last.leaving
         )
-        world.last[name] = said
-        world.direct.append(said)
+        simulation.last[name] = announced
+        simulation.direct.append(announced)
 
     @rule(name=st.sampled_from(NAMES))
-    def restart_upstream(self, name: UpstreamId) -> None:
-        world = self.world
-        last = world.last[name]
+    def restart_upstream_process(self, name: UpstreamId) -> None:
+        simulation = self.simulation
+        last = simulation.last[name]
         incarnation = last.incarnation + 1
-        said = replace(last, incarnation=incarnation, sequence=0, leaving=False)
-        world.last[name] = said
-        world.direct.append(said)
-
-    @precondition(lambda self: self.world.direct)
-    @rule(data=st.data(), number=NUMBERS, again=st.booleans())
-    def reach_entry(self, data: st.DataObject, number: int, again: bool) -> None:
-        world = self.world
-        place = data.draw(st.integers(0, len(world.direct) - 1))
-        said = world.direct[place]
-        if not again:
-            del world.direct[place]
-
-        world.heard[(said.upstream, said.incarnation, said.sequence)] = world.time
-        take_announcement(world.entries[number], said, 0.0, world.time)
-        self.note_left(number, said)
-
-    def note_left(self, number: int, said: Announcement) -> None:
+        announced = replace(last, incarnation=incarnation, sequence=0, leaving=False)
+        simulation.last[name] = announced
+        simulation.direct.append(announced)
+
+    @precondition(lambda self: self.simulation.direct)
+    @rule(data=st.data(), number=ENTRY_NUMBERS, duplicate=st.booleans())
+    def deliver_announcement(
+        self, data: st.DataObject, number: int, duplicate: bool
+    ) -> None:
+        simulation = self.simulation
+        place = data.draw(st.integers(0, len(simulation.direct) - 1))
+        announced = simulation.direct[place]
+        if not duplicate:
+            del simulation.direct[place]
+
+        simulation.received[
+            (announced.upstream, announced.incarnation, announced.sequence)
+        ] = simulation.time
+        take_announcement(simulation.entries[number], announced, 0.0, simulation.time)
+        self.record_left(number, announced)
+
+    def record_left(self, number: int, announced: Announcement) -> None:
         """Note what an entry was told, whether or not it took it in."""
-        if said.leaving:
-            left = self.world.left[number]
-            before = left.get(said.upstream, 0)
-            left[said.upstream] = max(before, said.incarnation)
-
-    @rule(source=NUMBERS, to=NUMBERS)
-    def send_relay(self, source: int, to: int) -> None:
-        world = self.world
-        spread = list_spread(world.entries[source], 0.0, world.time)
-        if source != to and spread.announcements:
-            world.relays.append(Relay(to, world.time, spread))
-
-    @precondition(lambda self: self.world.relays)
-    @rule(data=st.data(), again=st.booleans())
-    def deliver_relay(self, data: st.DataObject, again: bool) -> None:
-        world = self.world
-        place = data.draw(st.integers(0, len(world.relays) - 1))
-        relay = world.relays[place]
-        if not again:
-            del world.relays[place]
-
-        delay = world.time - relay.sent_at
-        take_spread(world.entries[relay.to], relay.message, delay, world.time)
-        for said in relay.message.announcements:
-            self.note_left(relay.to, said)
-
-    @rule(name=st.sampled_from(NAMES), number=NUMBERS)
+        if announced.leaving:
+            left = self.simulation.left[number]
+            before = left.get(announced.upstream, 0)
+            left[announced.upstream] = max(before, announced.incarnation)
+
+    @rule(source=ENTRY_NUMBERS, destination=ENTRY_NUMBERS)
+    def send_relay(self, source: int, destination: int) -> None:
+        simulation = self.simulation
+        spread = list_spread(simulation.entries[source], 0.0, simulation.time)
+        if source != destination and spread.announcements:
+            simulation.relays.append(Relay(destination, simulation.time, spread))
+
+    @precondition(lambda self: self.simulation.relays)
+    @rule(data=st.data(), duplicate=st.booleans())
+    def deliver_relay(self, data: st.DataObject, duplicate: bool) -> None:
+        simulation = self.simulation
+        place = data.draw(st.integers(0, len(simulation.relays) - 1))
+        relay = simulation.relays[place]
+        if not duplicate:
+            del simulation.relays[place]
+
+        delay = simulation.time - relay.sent_at
+        take_spread(
+            simulation.entries[relay.destination], relay.message, delay, simulation.time
+        )
+        for announced in relay.message.announcements:
+            self.record_left(relay.destination, announced)
+
+    @rule(name=st.sampled_from(NAMES), number=ENTRY_NUMBERS)
     def mark_upstream_left(self, name: UpstreamId, number: int) -> None:
-        world = self.world
-        row = world.entries[number].upstreams.get(name)
-        if mark_left(world.entries[number], name, world.time) and row is not None:
-            self.note_left(number, row.announcement)
+        simulation = self.simulation
+        row = simulation.entries[number].upstreams.get(name)
+        if (
+            mark_left(simulation.entries[number], name, simulation.time)
+            and row is not None
+        ):
+            self.record_left(number, row.announcement)
 
     @invariant()
-    def one_that_left_stays_away(self) -> None:
+    def upstreams_that_left_do_not_return(self) -> None:
         for tables, left in zip(*self.get_views(), strict=True):
             for name, incarnation in left.items():
                 row = tables.upstreams.get(name)
@@ -156,30 +165,32 @@
                     assert row.announcement.incarnation > incarnation, name
 
     @invariant()
-    def leases_count_from_the_upstream_itself(self) -> None:
-        world = self.get_world()
-        for tables in world.entries:
+    def leases_count_from_the_announcement(self) -> None:
+        simulation = self.get_world()
+        for tables in simulation.entries:
             for name, row in tables.upstreams.items():
-                said = row.announcement
+                announced = row.announcement
                 if row.left:
                     continue
 
-                heard = world.heard[(name, said.incarnation, said.sequence)]
-                assert row.expires_at <= heard + LEASE + 1e-6, "a relay extended it"
-                assert row.expires_at > world.time, "expired and still in use"
+                received = simulation.received[
+                    (name, announced.incarnation, announced.sequence)
+                ]
+                assert row.expires_at <= received + LEASE + 1e-6, "a relay extended it"
+                assert row.expires_at > simulation.time, "expired and still in use"
 
     @invariant()
-    def ranks_only_rise(self) -> None:
-        world = self.get_world()
-        for tables, ranks in zip(world.entries, world.ranks, strict=True):
+    def ranks_never_decrease(self) -> None:
+        simulation = self.get_world()
+        for tables, ranks in zip(simulation.entries, simulation.ranks, strict=True):
             for name, row in tables.upstreams.items():
-                said = row.announcement
-                rank = (said.incarnation, said.leaving, said.sequence)
+                announced = row.announcement
+                rank = (announced.incarnation, announced.leaving, announced.sequence)
                 assert rank >= ranks.get(name, rank), "an older one was taken in"
                 ranks[name] = rank
 
-    def get_world(self) -> World:
-        return self.world if hasattr(self, "world") else World()
+    def get_world(self) -> Simulation:
+        return self.simulation if hasattr(self, "simulation") else Simulation()
 
     def get_views(self) -> tuple[list[Tables], list[dict[UpstreamId, int]]]:
         """Return the entries' tables and what each entry heard leaving."""
--- a/tests/state/test_catalogue.py
+++ b/tests/state/test_catalogue.py
@@ -47,16 +47,18 @@
     return withdraw(name, revisions.get(f"version:{NEW}", 0), NEW)
 
 
-def merge(held: ConfigSnapshot, news: ConfigSnapshot) -> ConfigSnapshot:
+def merge(current: ConfigSnapshot, update: ConfigSnapshot) -> ConfigSnapshot:
     """Take news in as an entry does, sorted for comparison."""
-    if not news.since:
-        held = ConfigSnapshot(config_version=0)
-
-    workspaces = {item.workspace: item for item in held.workspaces + news.workspaces}
-    versions = {item.version: item for item in held.versions + news.versions}
-    rollouts = {item.model: item for item in held.rollouts + news.rollouts}
+    if not update.since:
+        current = ConfigSnapshot(config_version=0)
+
+    workspaces = {
+        item.workspace: item for item in current.workspaces + update.workspaces
+    }
+    versions = {item.version: item for item in current.versions + update.versions}
+    rollouts = {item.model: item for item in current.rollouts + update.rollouts}
     return ConfigSnapshot(
-        config_version=news.config_version,
+        config_version=update.config_version,
         workspaces=tuple(workspaces[name] for name in sorted(workspaces)),
         versions=tuple(versions[name] for name in sorted(versions)),
         rollouts=tuple(rollouts[name] for name in sorted(rollouts)),
@@ -67,7 +69,7 @@
     """An entry that merges deltas has what one has that was sent everything."""
 
     @given(steps=st.lists(st.tuples(st.integers(0, 5), st.booleans()), max_size=25))
-    def test_merged_deltas_equal_everything(
+    def test_merged_deltas_equal_the_full_snapshot(
         self, steps: list[tuple[int, bool]]
     ) -> None:
         # An entry that missed some changes must not keep an old piece of the
@@ -76,20 +78,22 @@
         for version in (OLD, NEW):
             apply_command(state, register(version))
 
-        held = merge(ConfigSnapshot(config_version=0), make_delta(state.config, 0))
+        current = merge(ConfigSnapshot(config_version=0), make_delta(state.config, 0))
         for number, (choice, fetch) in enumerate(steps):
             apply_command(state, make_change(state, number, choice))
             if choice == 3:
                 state = load_state(save_state(state))
 
             if fetch:
-                held = merge(held, make_delta(state.config, held.config_version))
+                current = merge(
+                    current, make_delta(state.config, current.config_version)
+                )
 
-        held = merge(held, make_delta(state.config, held.config_version))
-        everything = merge(ConfigSnapshot(config_version=0), make_snapshot(state))
-        self.assertEqual(held, everything)
+        current = merge(current, make_delta(state.config, current.config_version))
+        full = merge(ConfigSnapshot(config_version=0), make_snapshot(state))
+        self.assertEqual(current, full)
 
-    def test_unknown_version_gets_everything(self) -> None:
+    def test_unknown_version_gets_the_full_snapshot(self) -> None:
         state = ControlState()
         apply_command(state, register(OLD))
         for since in (-1, 0, 99):
--- a/tests/state/test_configuration.py
+++ b/tests/state/test_configuration.py
@@ -193,13 +193,13 @@
 
 
 class RolloutTest(StateTestCase):
-    def test_moves(self) -> None:
+    def test_transitions(self) -> None:
         """Each move from each standing: on or back, never sideways, ends once."""
         running = (("on", 1, "running"),)
-        last = tuple(("on", number, "running") for number in range(1, 5))
+        to_last_stage = tuple(("on", number, "running") for number in range(1, 5))
         paused = (*running, ("pause", 1, "paused"))
-        done = (*last, ("done", 4, "completed"))
-        back = (*running, ("back", 0, "rolled_back"))
+        completed = (*to_last_stage, ("done", 4, "completed"))
+        rolled_back = (*running, ("back", 0, "rolled_back"))
         cases = (
             (running, 2, "running", None),
             (running, 0, "running", None),
@@ -213,26 +213,26 @@
             (running, 5, "running", "stage"),
             (running, -1, "running", "stage"),
             (running, 1, "sideways", "status"),
-            (last, 4, "completed", None),
+            (to_last_stage, 4, "completed", None),
             (paused, 1, "running", None),
             (paused, 0, "running", None),
             (paused, 2, "running", "stage"),
             (paused, 1, "paused", "status"),
             (paused, 1, "completed", "status"),
             (paused, 1, "rolled_back", None),
-            (done, 4, "running", "status"),
-            (done, 4, "rolled_back", "status"),
-            (back, 1, "running", "status"),
-            (back, 4, "completed", "status"),
+            (completed, 4, "running", "status"),
+            (completed, 4, "rolled_back", "status"),
+            (rolled_back, 1, "running", "status"),
+            (rolled_back, 4, "completed", "status"),
         )
-        for before, stage, status, place in cases:
-            with self.subTest(before=before[-1:], stage=stage, status=status):
+        for steps, stage, status, place in cases:
+            with self.subTest(steps=steps[-1:], stage=stage, status=status):
                 state = make_rollout_state()
-                for number, (name, to_stage, to_status) in enumerate(before):
+                for number, (name, to_stage, to_status) in enumerate(steps):
                     change = step(f"{name} {number}", number + 1, to_stage, to_status)
                     self.assertIsInstance(apply_command(state, change), Accepted)
 
-                change = step("last", len(before) + 1, stage, status)
+                change = step("last", len(steps) + 1, stage, status)
                 outcome = apply_command(state, change)
                 if place is None:
                     self.assertIsInstance(outcome, Accepted)
@@ -257,7 +257,7 @@
                 self.assertIs(state.config.versions[OLD].status, incumbent)
 
     def test_start_findings(self) -> None:
-        def alter(**changes: object) -> Outcome:
+        def start_with(**changes: object) -> Outcome:
             change = msgspec.structs.replace(start("s", 0), **changes)
             return apply_command(make_state(), change)
 
@@ -272,7 +272,7 @@
         )
         for changes, places in cases:
             with self.subTest(changes):
-                self.assertEqual(list_places(alter(**changes)), places)
+                self.assertEqual(list_places(start_with(**changes)), places)
 
         state = make_rollout_state()
         second = apply_command(state, start("again", 1))
@@ -320,7 +320,7 @@
             apply_command(state, step(f"on {number}", number, number, "running"))
 
         apply_command(state, withdraw("bad", 1, OLD))
-        done = apply_command(state, step("done", 5, 4, "completed"))
-        self.assertIsInstance(done, Accepted)
+        completed = apply_command(state, step("done", 5, 4, "completed"))
+        self.assertIsInstance(completed, Accepted)
         self.assertIs(state.config.versions[OLD].status, VersionStatus.WITHDRAWN)
         self.assertIs(state.config.versions[NEW].status, VersionStatus.ACTIVE)
--- a/tests/state/test_demand.py
+++ b/tests/state/test_demand.py
@@ -30,7 +30,7 @@
 
 
 class DemandTest(unittest.TestCase):
-    def test_newest_word_of_each_entry_counts(self) -> None:
+    def test_newest_message_of_each_entry_counts(self) -> None:
         memory, tables = DemandMemory(), Tables()
         messages = (
             make_message(5, 2),
@@ -38,12 +38,12 @@
             make_message(1, 1, incarnation=2),
             make_message(8, 3),
         )
-        taken = [take_demand(memory, tables, message, 1.0) for message in messages]
-        self.assertEqual(taken, [True, False, True, False])
+        accepted = [take_demand(memory, tables, message, 1.0) for message in messages]
+        self.assertEqual(accepted, [True, False, True, False])
         demand = tables.demand[DEMO]
         self.assertEqual((demand.elsewhere_in_flight, demand.elsewhere_rate), (1, 2.0))
 
-    def test_silent_entry_stops_counting(self) -> None:
+    def test_idle_entry_stops_counting(self) -> None:
         memory, tables = DemandMemory(), Tables()
         take_demand(memory, tables, make_message(5, 1), 1.0)
         sum_demand(memory, tables, 1.0 + DEMAND_TIMEOUT)
--- a/tests/state/test_fencing.py
+++ b/tests/state/test_fencing.py
@@ -22,9 +22,9 @@
         orders. Cause: the engine ignores fencing numbers.
         """
         memory = FencingMemory()
-        numbers = (3, 4, 3, 4, 5, 4)
-        taken = [accept_order(memory, ENGINE, number) for number in numbers]
-        self.assertEqual(taken, [True, True, False, True, True, False])
+        fencing_numbers = (3, 4, 3, 4, 5, 4)
+        accepted = [accept_order(memory, ENGINE, number) for number in fencing_numbers]
+        self.assertEqual(accepted, [True, True, False, True, True, False])
         self.assertTrue(accept_order(memory, UpstreamId("other"), 1))
 
     def test_forgotten_upstream_keeps_the_highest_number(self) -> None:
--- a/tests/state/test_group.py
+++ b/tests/state/test_group.py
@@ -70,9 +70,9 @@
                 run_for(cluster, 0.02)
 
         run_for(cluster, 1.0)
-        wanted = [b"%d" % number for number in range(300)]
+        expected = [b"%d" % number for number in range(300)]
         for name in cluster.names:
-            self.assertEqual(commands(cluster, name), wanted)
+            self.assertEqual(commands(cluster, name), expected)
             self.assertIsNotNone(cluster.nodes[name].disk.loaded.snapshot)
             crash(cluster, name)
 
@@ -82,7 +82,7 @@
         await_leader(cluster)
         run_for(cluster, 0.5)
         for name in cluster.names:
-            self.assertEqual(commands(cluster, name), wanted)
+            self.assertEqual(commands(cluster, name), expected)
 
     def test_transfer_moves_leadership_without_an_election_timeout(self) -> None:
         cluster = make_cluster(3)
@@ -92,10 +92,10 @@
         target = next(name for name in cluster.names if name != leader)
         group = group_of(cluster, leader)
         self.assertTrue(transfer_leadership(group, target, cluster.now))
-        taken = run_until(
+        elapsed = run_until(
             cluster, lambda: leads(group_of(cluster, target), cluster.now)
         )
-        self.assertLess(taken, cluster.timing.election_min)
+        self.assertLess(elapsed, cluster.timing.election_min)
 
 
 def measure_fail_over(seed: int) -> float:
--- a/tests/state/test_leases.py
+++ b/tests/state/test_leases.py
@@ -38,20 +38,20 @@
     )
 
 
-def renew(
+def renew_at_once(
     leases: EntryLeases, lease: ConfigLease, version: int, now: float
 ) -> LeaseGranted | LeaseBehind:
     """Renew without delay at a leader that has ``version``."""
     renewal = begin_renewal(lease, now)
-    answer = renew_lease(
+    response = renew_lease(
         leases, renewal.message, snapshot=make_snapshot(version), now=now
     )
-    if isinstance(answer, LeaseGranted):
-        finish_renewal(lease, renewal.number, answer, now)
+    if isinstance(response, LeaseGranted):
+        finish_renewal(lease, renewal.number, response, now)
     else:
-        take_snapshot(lease, answer.snapshot)
+        take_snapshot(lease, response.snapshot)
 
-    return answer
+    return response
 
 
 class EntrySideTest(StateTestCase):
@@ -59,13 +59,13 @@
         lease = ConfigLease(BOLE, 1)
         self.assertFalse(may_admit(lease, 0.0))
         leases = EntryLeases(elected_at=0.0)
-        self.assertIsInstance(renew(leases, lease, 3, 10.0), LeaseBehind)
+        self.assertIsInstance(renew_at_once(leases, lease, 3, 10.0), LeaseBehind)
         self.assertFalse(may_admit(lease, 10.0))
-        self.assertIsInstance(renew(leases, lease, 3, 10.1), LeaseGranted)
+        self.assertIsInstance(renew_at_once(leases, lease, 3, 10.1), LeaseGranted)
         self.assertTrue(may_admit(lease, 10.1))
         self.assertFalse(may_admit(lease, 10.1 + leases.duration))
 
-    def test_lease_counts_from_the_sending(self) -> None:
+    def test_lease_counts_from_sending_the_renewal(self) -> None:
         """An entry admits work by a configuration that was replaced long ago.
 
         Order: the entry sends a renewal, the answer is held up on the way for 3 s,
@@ -79,7 +79,7 @@
         self.assertTrue(may_admit(lease, 3.9))
         self.assertFalse(may_admit(lease, 4.0))
 
-    def test_answers_in_any_order(self) -> None:
+    def test_responses_in_any_order(self) -> None:
         lease = ConfigLease(BOLE, 1, config_version=3)
         first = begin_renewal(lease, 0.0)
         second = begin_renewal(lease, 1.0)
@@ -96,7 +96,7 @@
         self.assertFalse(finish_renewal(lease, renewal.number, granted, 0.1))
         self.assertFalse(may_admit(lease, 0.1))
 
-    def test_no_step_back(self) -> None:
+    def test_configuration_is_never_reverted(self) -> None:
         lease = ConfigLease(BOLE, 1, config_version=5)
         for version in (4, 5):
             with self.subTest(version):
@@ -107,7 +107,7 @@
 
 
 class LeaderSideTest(StateTestCase):
-    def test_in_force_waits_for_a_lease_that_may_hold(self) -> None:
+    def test_in_force_waits_for_possibly_valid_leases(self) -> None:
         """An entry is cut off just after it renewed, then a version is withdrawn.
 
         Order: grant at 10, change accepted at 10.5, all others acknowledge. Cause of
@@ -116,10 +116,10 @@
         leases = EntryLeases(elected_at=0.0)
         bole = ConfigLease(BOLE, 1, config_version=3)
         cmc = ConfigLease(CMC, 1, config_version=3)
-        renew(leases, bole, 3, 10.0)
-        renew(leases, cmc, 3, 10.0)
-        renew(leases, cmc, 4, 10.6)
-        renew(leases, cmc, 4, 10.7)
+        renew_at_once(leases, bole, 3, 10.0)
+        renew_at_once(leases, cmc, 3, 10.0)
+        renew_at_once(leases, cmc, 4, 10.6)
+        renew_at_once(leases, cmc, 4, 10.7)
         expected = InForce(in_force=False, waiting=(BOLE,))
         self.assertEqual(is_in_force(leases, 4, 10.8), expected)
         last = 10.0 + LEASE_DURATION - 0.01
@@ -129,7 +129,7 @@
         self.assertFalse(may_admit(bole, after))
         self.assertTrue(is_in_force(leases, 4, after).in_force)
 
-    def test_clocks_that_run_apart(self) -> None:
+    def test_clock_drift(self) -> None:
         """A withdrawal is said to be in force 40 ms before an entry stops admitting.
 
         Order: an entry whose clock runs slow renews, is cut off, and a leader whose
@@ -151,11 +151,11 @@
                 finish_renewal(lease, renewal.number, granted, 100.0 * entry_rate)
                 for step in range(500):
                     time = 100.0 + step / 100
-                    claimed = is_in_force(leases, 2, time * leader_rate).in_force
+                    reported = is_in_force(leases, 2, time * leader_rate).in_force
                     admits = may_admit(lease, time * entry_rate)
-                    self.assertFalse(claimed and admits, time)
+                    self.assertFalse(reported and admits, time)
 
-    def test_new_leader_claims_nothing_at_first(self) -> None:
+    def test_new_leader_reports_nothing_in_force_at_first(self) -> None:
         leases = EntryLeases(elected_at=100.0)
         last = 100.0 + LEASE_DURATION - 0.01
         self.assertFalse(is_in_force(leases, 1, last).in_force)
@@ -172,23 +172,23 @@
         leases = EntryLeases(elected_at=0.0)
         old = ConfigLease(BOLE, 1, config_version=3)
         new = ConfigLease(BOLE, 2, config_version=4)
-        renew(leases, old, 3, 10.0)
-        renew(leases, new, 4, 11.0)
+        renew_at_once(leases, old, 3, 10.0)
+        renew_at_once(leases, new, 4, 11.0)
         self.assertTrue(may_admit(old, 12.0))
         self.assertFalse(is_in_force(leases, 4, 12.0).in_force)
-        self.assertIsInstance(renew(leases, old, 4, 12.0), LeaseBehind)
+        self.assertIsInstance(renew_at_once(leases, old, 4, 12.0), LeaseBehind)
 
     def test_entry_ahead_of_the_leader_gets_no_lease(self) -> None:
         leases = EntryLeases(elected_at=0.0)
         lease = ConfigLease(BOLE, 1, config_version=9)
-        self.assertIsInstance(renew(leases, lease, 8, 10.0), LeaseBehind)
+        self.assertIsInstance(renew_at_once(leases, lease, 8, 10.0), LeaseBehind)
         self.assertEqual(lease.config_version, 9)
         self.assertFalse(may_admit(lease, 10.0))
 
     def test_expired_entries_are_swept(self) -> None:
         leases = EntryLeases(elected_at=0.0)
-        renew(leases, ConfigLease(BOLE, 3, config_version=1), 1, 10.0)
-        renew(leases, ConfigLease(CMC, 5, config_version=1), 1, 13.0)
+        renew_at_once(leases, ConfigLease(BOLE, 3, config_version=1), 1, 10.0)
+        renew_at_once(leases, ConfigLease(CMC, 5, config_version=1), 1, 13.0)
         self.assertEqual(list_expired_entries(leases, 15.0), (ExpiredEntry(BOLE, 3),))
         open_entries = {BOLE: OpenIncarnations(3, 3), CMC: OpenIncarnations(4, 5)}
         swept = {
@@ -207,28 +207,28 @@
         (sweep,) = list_abandoned(leases, open_entries, later, at=1.0)
         self.assertEqual(sweep.below_incarnation, 4)
 
-    def test_evidence_goes_along_now_and_then(self) -> None:
+    def test_evidence_is_sent_at_intervals(self) -> None:
         leases = EntryLeases(elected_at=0.0)
         message = RenewLease(entry=BOLE, incarnation=1, config_version=1)
         row = Evidence(OLD, DEMO, "question", rated=1)
         carried = []
         for second in range(12):
-            answer = renew_lease(
+            response = renew_lease(
                 leases,
                 message,
                 snapshot=make_snapshot(1),
                 now=10.0 + second,
                 list_evidence=lambda: (row,),
             )
-            assert isinstance(answer, LeaseGranted)
-            carried.append(len(answer.evidence))
+            assert isinstance(response, LeaseGranted)
+            carried.append(len(response.evidence))
 
         self.assertEqual(carried, [1, 0, 0, 0, 0] * 2 + [1, 0])
 
-    def test_old_records_are_dropped(self) -> None:
+    def test_expired_leases_are_dropped(self) -> None:
         leases = EntryLeases(elected_at=0.0)
         for number in range(50):
             lease = ConfigLease(BOLE, number, config_version=1)
-            renew(leases, lease, 1, number * 1000.0)
+            renew_at_once(leases, lease, 1, number * 1000.0)
 
         self.assertLess(len(leases.rows), 6)
--- a/tests/state/test_ledger.py
+++ b/tests/state/test_ledger.py
@@ -38,7 +38,7 @@
 NOT_RUN = OutcomeKind.NOT_RUN
 FAILED = OutcomeKind.FAILED
 MAY_HAVE_RUN = OutcomeKind.MAY_HAVE_RUN
-PLACE = (DEMO, "order-1")
+ROW_KEY = (DEMO, "order-1")
 
 
 def sum_bills(state: ControlState) -> tuple[int, int]:
@@ -48,21 +48,21 @@
 
 
 @dataclass(frozen=True)
-class Death:
+class Crash:
     """An entry dies at one step of a request, and the caller resends elsewhere."""
 
     step: str
     log: tuple[Command, ...]
     """What reached the log before the death and the sweep."""
     repeatable: bool
-    resend: type
+    expected: type
     """How a resend under the same key is answered."""
     status: RowStatus | None
     outcome: OutcomeKind | None = None
     billed: tuple[int, int] = (0, 0)
 
 
-def list_deaths() -> tuple[Death, ...]:
+def list_crashes() -> tuple[Crash, ...]:
     """Return the death of an entry at each step, for both kinds of request."""
     order = reserve("r1")
     lookup = reserve("r1", repeatable=True)
@@ -70,83 +70,83 @@
     unknown = RowStatus.UNKNOWN
     opened = RowStatus.OPEN
     return (
-        Death("before the reservation", (), False, Reserved, opened, None),
-        Death("before the reservation", (), True, Reserved, opened, None),
-        Death("reserved, answer lost", (order,), False, AlreadySettled, unknown,
+        Crash("before the reservation", (), False, Reserved, opened, None),
+        Crash("before the reservation", (), True, Reserved, opened, None),
+        Crash("reserved, answer lost", (order,), False, AlreadySettled, unknown,
               MAY_HAVE_RUN),
-        Death("reserved twice", (order, order), False, AlreadySettled, unknown,
+        Crash("reserved twice", (order, order), False, AlreadySettled, unknown,
               MAY_HAVE_RUN),
-        Death("dispatched", (order,), False, AlreadySettled, unknown, MAY_HAVE_RUN),
-        Death("dispatched", (lookup,), True, AlreadySettled, settled, FAILED),
-        Death("answered, not settled", (order,), False, AlreadySettled, unknown,
+        Crash("dispatched", (order,), False, AlreadySettled, unknown, MAY_HAVE_RUN),
+        Crash("dispatched", (lookup,), True, AlreadySettled, settled, FAILED),
+        Crash("answered, not settled", (order,), False, AlreadySettled, unknown,
               MAY_HAVE_RUN),
-        Death("answered, not settled", (lookup,), True, AlreadySettled, settled,
+        Crash("answered, not settled", (lookup,), True, AlreadySettled, settled,
               FAILED),
-        Death("settled", (order, settle("r1")), False, AlreadySettled, settled,
+        Crash("settled", (order, settle("r1")), False, AlreadySettled, settled,
               COMPLETED, (1, 7)),
-        Death("settled", (lookup, settle("r1")), True, AlreadySettled, settled,
+        Crash("settled", (lookup, settle("r1")), True, AlreadySettled, settled,
               COMPLETED, (1, 7)),
-        Death("settled twice", (order, settle("r1"), settle("r1")), False,
+        Crash("settled twice", (order, settle("r1"), settle("r1")), False,
               AlreadySettled, settled, COMPLETED, (1, 7)),
-        Death("settled as not run", (order, settle("r1", NOT_RUN)), False, Reserved,
+        Crash("settled as not run", (order, settle("r1", NOT_RUN)), False, Reserved,
               opened),
-        Death("settled as not run", (lookup, settle("r1", NOT_RUN)), True, Reserved,
+        Crash("settled as not run", (lookup, settle("r1", NOT_RUN)), True, Reserved,
               opened),
-        Death("settled as failed", (order, settle("r1", FAILED, cost=0)), False,
+        Crash("settled as failed", (order, settle("r1", FAILED, cost=0)), False,
               AlreadySettled, settled, FAILED, (1, 0)),
-        Death("settled as unknown", (order, settle("r1", MAY_HAVE_RUN, cost=0)), False,
+        Crash("settled as unknown", (order, settle("r1", MAY_HAVE_RUN, cost=0)), False,
               AlreadySettled, unknown, MAY_HAVE_RUN, (1, 0)),
-        Death("settled after the sweep", (order, abandon(2), settle("r1")), False,
+        Crash("settled after the sweep", (order, abandon(2), settle("r1")), False,
               AlreadySettled, settled, COMPLETED, (1, 7)),
-        Death("settled after the sweep", (lookup, abandon(2), settle("r1")), True,
+        Crash("settled after the sweep", (lookup, abandon(2), settle("r1")), True,
               AlreadySettled, settled, COMPLETED, (1, 7)),
-        Death("settled twice after the sweep",
+        Crash("settled twice after the sweep",
               (order, abandon(2), settle("r1"), settle("r1", cost=9)), False,
               AlreadySettled, settled, COMPLETED, (1, 7)),
-        Death("settled after the sweep as not run",
+        Crash("settled after the sweep as not run",
               (order, abandon(2), settle("r1", NOT_RUN)), False, Reserved, opened),
-        Death("late doubled reservation",
+        Crash("late doubled reservation",
               (order, settle("r1", NOT_RUN), order), False, Reserved, opened),
     )  # fmt: skip
 
 
-class DeathTest(StateTestCase):
-    def test_entry_dies_at_each_step(self) -> None:
+class EntryCrashTest(StateTestCase):
+    def test_entry_crashes_at_each_step(self) -> None:
         """A golfer's club order is resent after the entry that carried it died.
 
         Order: the entry dies at a step, its lease runs out, control sweeps its rows,
         the caller resends the order to another entry. Cause of the fault guarded
         against: without the row the order would run twice, or be billed twice or not.
         """
-        for death in list_deaths():
+        for crash in list_crashes():
             for reload in (False, True):
                 with self.subTest(
-                    death.step, repeatable=death.repeatable, reload=reload
+                    crash.step, repeatable=crash.repeatable, reload=reload
                 ):
-                    self.check_death(death, reload)
+                    self.check_crash(crash, reload)
 
-    def check_death(self, death: Death, reload: bool) -> None:
+    def check_crash(self, crash: Crash, reload: bool) -> None:
         state = ControlState()
-        for command in death.log:
+        for command in crash.log:
             apply_command(state, command)
 
         if reload:
             state = load_state(save_state(state))
 
         apply_command(state, abandon(2))
-        again = reserve("r2", entry=CMC, repeatable=death.repeatable, at=13.0)
-        outcome = apply_command(state, again)
-        self.assertIsInstance(outcome, death.resend)
-        row = state.ledger.rows[PLACE]
-        self.assertIs(row.status, death.status)
-        if death.outcome is not None:
-            self.assertIs(row.outcome, death.outcome)
+        resent = reserve("r2", entry=CMC, repeatable=crash.repeatable, at=13.0)
+        outcome = apply_command(state, resent)
+        self.assertIsInstance(outcome, crash.expected)
+        row = state.ledger.rows[ROW_KEY]
+        self.assertIs(row.status, crash.status)
+        if crash.outcome is not None:
+            self.assertIs(row.outcome, crash.outcome)
 
-        self.assertEqual(sum_bills(state), death.billed)
+        self.assertEqual(sum_bills(state), crash.billed)
 
 
 class LedgerTest(StateTestCase):
-    def test_two_entries_at_once(self) -> None:
+    def test_two_entries_reserve_the_same_key(self) -> None:
         """A caller's phone sends one order twice, and the balancer splits the two.
 
         Order: both entries reserve the key, one after the other in the log; the first
@@ -158,10 +158,10 @@
         second = apply_command(state, reserve("r2", entry=CMC))
         assert isinstance(second, AlreadyOpen)
         self.assertEqual(second.row.request, "r1")
-        wrong = apply_command(state, settle("r2"))
-        assert isinstance(wrong, Settled)
-        self.assertFalse(wrong.changed)
-        self.assertIs(state.ledger.rows[PLACE].status, RowStatus.OPEN)
+        not_owner = apply_command(state, settle("r2"))
+        assert isinstance(not_owner, Settled)
+        self.assertFalse(not_owner.changed)
+        self.assertIs(state.ledger.rows[ROW_KEY].status, RowStatus.OPEN)
         apply_command(state, settle("r1"))
         third = apply_command(state, reserve("r2", entry=CMC))
         assert isinstance(third, AlreadySettled)
@@ -224,7 +224,7 @@
                 assert isinstance(outcome, Rejected)
                 self.assertEqual(outcome.findings[0].place, place)
 
-    def test_sweep_spares_the_living(self) -> None:
+    def test_sweep_keeps_rows_of_newer_incarnations(self) -> None:
         state = ControlState()
         apply_command(state, reserve("r1", key="a", incarnation=1))
         apply_command(state, reserve("r2", key="b", incarnation=2))
@@ -234,26 +234,26 @@
         statuses = [row.status for row in state.ledger.rows.values()]
         self.assertEqual(statuses, [RowStatus.UNKNOWN, RowStatus.OPEN, RowStatus.OPEN])
 
-    def test_full_ledger_refuses(self) -> None:
+    def test_ledger_at_capacity_rejects_new_keys(self) -> None:
         state = ControlState()
         with mock.patch.object(ledger, "MAX_ROWS", 2):
             apply_command(state, reserve("r1", key="a"))
             apply_command(state, reserve("r2", key="b"))
             outcome = apply_command(state, reserve("r3", key="c"))
-            again = apply_command(state, reserve("r1", key="a"))
+            resent = apply_command(state, reserve("r1", key="a"))
 
         assert isinstance(outcome, Rejected)
         self.assertEqual(outcome.findings[0].place, "ledger")
-        self.assertEqual(again, Reserved())
+        self.assertEqual(resent, Reserved())
 
 
 class RetentionTest(StateTestCase):
-    def run_until(self, state: ControlState, at: float) -> None:
+    def advance_clock(self, state: ControlState, at: float) -> None:
         """Bring the ledger's clock to ``at`` by commands that change no row."""
         while state.ledger.clock < at:
             apply_command(state, abandon(0, at=at))
 
-    def test_rows_are_dropped_after_their_time(self) -> None:
+    def test_rows_are_dropped_after_their_retention(self) -> None:
         cases = (
             ("repeatable", True, retention.REPEATABLE_RETENTION),
             ("other", False, retention.REPLAY_WINDOW),
@@ -263,10 +263,10 @@
                 state = ControlState()
                 apply_command(state, reserve("r1", repeatable=repeatable))
                 apply_command(state, settle("r1", at=11.0))
-                self.run_until(state, 11.0 + kept - 1)
-                self.assertIn(PLACE, state.ledger.rows)
-                self.run_until(state, 11.0 + kept)
-                self.assertNotIn(PLACE, state.ledger.rows)
+                self.advance_clock(state, 11.0 + kept - 1)
+                self.assertIn(ROW_KEY, state.ledger.rows)
+                self.advance_clock(state, 11.0 + kept)
+                self.assertNotIn(ROW_KEY, state.ledger.rows)
                 self.assertEqual(sum_bills(state), (1, 7))
                 self.assertEqual(state.ledger.answer_bytes, 0)
                 self.assertFalse(state.ledger.answers_kept)
@@ -282,8 +282,8 @@
         row = reserve("r1", repeatable=True).row
         command = msgspec.structs.replace(settle("r1"), row=row)
         apply_command(state, command)
-        self.run_until(state, 11.0 + retention.REPEATABLE_RETENTION)
-        self.assertNotIn(PLACE, state.ledger.rows)
+        self.advance_clock(state, 11.0 + retention.REPEATABLE_RETENTION)
+        self.assertNotIn(ROW_KEY, state.ledger.rows)
         state = load_state(save_state(state))
         outcome = apply_command(state, command)
         assert isinstance(outcome, Settled)
@@ -291,7 +291,7 @@
         self.assertEqual(sum_bills(state), (1, 7))
         self.assertFalse(state.ledger.rows)
 
-    def test_settle_that_brings_a_row_and_a_fault(self) -> None:
+    def test_rejected_settle_does_not_open_its_row(self) -> None:
         row = reserve("r1", repeatable=True).row
         command = msgspec.structs.replace(
             settle("r1", NOT_RUN), row=row, usage=Usage(1, 1, 1)
@@ -300,10 +300,10 @@
         self.assertIsInstance(apply_command(state, command), Rejected)
         self.assertFalse(state.ledger.rows)
 
-    def test_ended_attempts_are_forgotten_in_time(self) -> None:
+    def test_ended_attempts_are_dropped(self) -> None:
         state = ControlState()
         apply_command(state, settle("r1", NOT_RUN))
-        self.run_until(state, 11.0 + 3 * attempts.ENDED_RETENTION)
+        self.advance_clock(state, 11.0 + 3 * attempts.ENDED_RETENTION)
         self.assertFalse(state.ledger.ended)
         self.assertFalse(state.ledger.ended_before)
 
@@ -312,18 +312,18 @@
         apply_command(state, reserve("r1"))
         apply_command(state, abandon(2))
         self.assertEqual(sum_bills(state), (0, 0))
-        self.run_until(state, 12.0 + retention.REPLAY_WINDOW)
+        self.advance_clock(state, 12.0 + retention.REPLAY_WINDOW)
         self.assertEqual(sum_bills(state), (1, 0))
         self.assertEqual(list_bills(state.ledger.bills)[0].unknown, 1)
         self.assertFalse(state.ledger.swept)
 
-    def test_open_rows_stay(self) -> None:
+    def test_open_rows_are_kept(self) -> None:
         state = ControlState()
         apply_command(state, reserve("r1"))
-        self.run_until(state, 3 * retention.REPLAY_WINDOW)
-        self.assertIn(PLACE, state.ledger.rows)
+        self.advance_clock(state, 3 * retention.REPLAY_WINDOW)
+        self.assertIn(ROW_KEY, state.ledger.rows)
 
-    def test_one_wrong_clock_does_not_end_the_window(self) -> None:
+    def test_clock_jump_does_not_end_the_replay_window(self) -> None:
         """A club order is built twice after a VM's clock jumped by a year.
 
         Order: order settled; a command stamped a year ahead; the order is resent.
@@ -335,7 +335,7 @@
         apply_command(state, settle("r1", at=365 * 86_400.0))
         self.assertIsInstance(apply_command(state, reserve("r2")), AlreadySettled)
 
-    def test_answers_keep_to_their_budget(self) -> None:
+    def test_stored_answers_stay_within_budget(self) -> None:
         state = ControlState()
         with mock.patch.object(retention, "ANSWER_BUDGET", 250):
             for number in range(5):
--- a/tests/state/test_machine.py
+++ b/tests/state/test_machine.py
@@ -40,7 +40,7 @@
 
 
 class MachineTest(StateTestCase):
-    def test_image_gives_an_equal_state(self) -> None:
+    def test_image_round_trip(self) -> None:
         state = make_state()
         for command in (
             pin("bay-3", OLD),
@@ -55,7 +55,7 @@
         self.assertEqual(loaded, state)
         self.assertEqual(save_state(loaded), save_state(state))
 
-    def test_damaged_image_is_refused(self) -> None:
+    def test_damaged_image_is_rejected(self) -> None:
         image = save_state(make_state())
         for name, data in (
             ("empty", b""),
@@ -76,7 +76,7 @@
         self.assertEqual(second.workspaces[0].revision, 2)
         self.assertEqual(second.workspaces[0].allowed, (OLD,))
 
-    def test_evidence_is_taken_in_once(self) -> None:
+    def test_evidence_is_counted_once(self) -> None:
         state = ControlState()
         changed = [
             apply_command(state, command)
@@ -92,14 +92,14 @@
         self.assertEqual(
             changed,
             [
-                Recorded(changed=taken)
-                for taken in (True, False, True, False, True, False)
+                Recorded(changed=is_new)
+                for is_new in (True, False, True, False, True, False)
             ],
         )
         (row,) = state.evidence.totals.values()
         self.assertEqual((row.rated, row.sent, row.total), (3, 6, 1.5))
 
-    def test_stage_begins_with_the_evidence_of_its_versions(self) -> None:
+    def test_stage_starts_with_the_evidence_of_its_versions(self) -> None:
         state = make_state()
         apply_command(state, make_evidence(1))
         apply_command(state, start("s", 0))
@@ -125,7 +125,7 @@
         stamped = stamp_command(reserve("r"), 99.0)
         self.assertEqual(stamped.row.reserved_at, 99.0)  # type: ignore[union-attr]
 
-    def test_reservation_is_answered(self) -> None:
+    def test_reservation_outcomes(self) -> None:
         state = make_state()
         self.assertEqual(apply_command(state, reserve("r1")), Reserved())
         outcome = apply_command(state, reserve("r2", digest="other"))
--- a/tests/state/test_membership.py
+++ b/tests/state/test_membership.py
@@ -49,7 +49,7 @@
 
 
 class MembershipTest(StateTestCase):
-    def test_any_order_ends_alike(self) -> None:
+    def test_result_does_not_depend_on_arrival_order(self) -> None:
         """An engine that left keeps getting work at one entry out of nine.
 
         Order: it announces, leaves, starts anew; relays deliver the announcements in
@@ -72,7 +72,7 @@
                     self.assertEqual(not row.left, alive)
                     self.assertEqual(row.announcement, sent[count - 1])
 
-    def test_same_incarnation_never_comes_back_after_leaving(self) -> None:
+    def test_same_incarnation_never_returns_after_leaving(self) -> None:
         tables = Tables()
         take_announcement(tables, announce(1, 5, leaving=True), 0.0, 10.0)
         self.assertFalse(take_announcement(tables, announce(1, 9), 0.0, 11.0))
@@ -88,10 +88,10 @@
         take_announcement(first, announce(lease=6.0), 0.0, 100.0)
         for tick in range(60):
             now = 100.0 + tick
-            for here, there in ((first, second), (second, first)):
-                expire_upstreams(here, now)
-                spread = list_spread(here, now - 1000.0, now)
-                take_spread(there, spread, 0.0, now)
+            for sender, receiver in ((first, second), (second, first)):
+                expire_upstreams(sender, now)
+                spread = list_spread(sender, now - 1000.0, now)
+                take_spread(receiver, spread, 0.0, now)
 
             for tables in (first, second):
                 row = tables.upstreams.get(ENGINE)
@@ -99,12 +99,12 @@
 
         self.assertTrue(first.upstreams[ENGINE].left)
 
-    def test_expired_on_the_way(self) -> None:
+    def test_announcement_that_expired_in_transit(self) -> None:
         tables = Tables()
         self.assertFalse(take_announcement(tables, announce(), 6.0, 100.0))
         self.assertFalse(tables.upstreams)
 
-    def test_silent_upstream_comes_back_when_it_speaks(self) -> None:
+    def test_expired_upstream_returns_with_a_newer_announcement(self) -> None:
         tables = Tables()
         take_announcement(tables, announce(1, 1), 0.0, 0.0)
         self.assertEqual(expire_upstreams(tables, 5.9), ())
@@ -120,18 +120,18 @@
         self.assertEqual(expire_upstreams(tables, membership.MAX_LEASE), (ENGINE,))
 
     def test_mark_left_is_spread(self) -> None:
-        here, there = Tables(), Tables()
-        for tables in (here, there):
+        sender, receiver = Tables(), Tables()
+        for tables in (sender, receiver):
             take_announcement(tables, announce(1, 4), 0.0, 10.0)
 
-        self.assertTrue(mark_left(here, ENGINE, 11.0))
-        self.assertFalse(mark_left(here, ENGINE, 11.0))
-        self.assertFalse(mark_left(here, UpstreamId("nobody"), 11.0))
-        spread = list_spread(here, 10.5, 11.2)
-        self.assertEqual(take_spread(there, spread, 0.05, 11.3), 1)
-        self.assertTrue(there.upstreams[ENGINE].left)
+        self.assertTrue(mark_left(sender, ENGINE, 11.0))
+        self.assertFalse(mark_left(sender, ENGINE, 11.0))
+        self.assertFalse(mark_left(sender, UpstreamId("nobody"), 11.0))
+        spread = list_spread(sender, 10.5, 11.2)
+        self.assertEqual(take_spread(receiver, spread, 0.05, 11.3), 1)
+        self.assertTrue(receiver.upstreams[ENGINE].left)
 
-    def test_spread_carries_ages_and_only_news(self) -> None:
+    def test_spread_has_ages_and_only_recent_announcements(self) -> None:
         tables = Tables()
         take_announcement(tables, announce(), 1.5, 10.0)
         spread = list_spread(tables, 9.0, 12.0)
@@ -148,7 +148,7 @@
         self.assertAlmostEqual(row.heard_at, 10.8)
         self.assertEqual(row.dispatched, [11.4])
 
-    def test_new_incarnation_forgets_the_old_process(self) -> None:
+    def test_new_incarnation_resets_process_state(self) -> None:
         tables = Tables()
         take_announcement(tables, announce(1, 9), 0.0, 10.0)
         row = tables.upstreams[ENGINE]
@@ -175,9 +175,9 @@
         expire_upstreams(tables, 36.0 + membership.TOMBSTONE_RETENTION)
         self.assertFalse(tables.upstreams)
 
-    def test_moved_upstream(self) -> None:
+    def test_upstream_changes_its_port(self) -> None:
         tables = Tables()
         take_announcement(tables, announce(1, 1), 0.0, 1.0)
-        moved = replace(announce(1, 2), port=9001)
-        take_announcement(tables, moved, 0.0, 2.0)
+        updated = replace(announce(1, 2), port=9001)
+        take_announcement(tables, updated, 0.0, 2.0)
         self.assertEqual(tables.upstreams[ENGINE].announcement.port, 9001)
--- a/tests/state/test_pins.py
+++ b/tests/state/test_pins.py
@@ -22,7 +22,7 @@
 
 
 class PinsTest(StateTestCase):
-    def test_pin_against_withdrawal(self) -> None:
+    def test_pin_after_withdrawal(self) -> None:
         """A fitting session starts on a version that was withdrawn a moment ago.
 
         Order: the entry chooses by its configuration, the withdrawal is committed,
@@ -46,7 +46,7 @@
         places = [finding.place for finding in outcome.findings]
         self.assertEqual(places, ["session", "version", "version"])
 
-    def test_full_table_refuses_new_sessions_only(self) -> None:
+    def test_table_at_capacity_rejects_new_sessions_only(self) -> None:
         state = make_state()
         with mock.patch.object(pins, "MAX_PINS", 1):
             apply_command(state, pin("a", OLD))
--- a/tests/state/test_recovery.py
+++ b/tests/state/test_recovery.py
@@ -26,7 +26,7 @@
 class RecoveryTest(unittest.TestCase):
     """Two disks of three are lost at once."""
 
-    def test_the_member_that_is_left_goes_on_with_all_it_holds(self) -> None:
+    def test_remaining_member_continues_with_its_whole_log(self) -> None:
         """Two VMs lose their disks in one night; the third holds every change.
 
         Nothing is accepted, as one of three is no majority. The person on call lets
@@ -58,10 +58,10 @@
         self.assertGreater(term_of(group_of(cluster, leader)), term + 100)
         await_voters(cluster)
         run_for(cluster, 0.5)
-        wanted = [b"%d" % number for number in range(100)]
+        expected = [b"%d" % number for number in range(100)]
         for name in cluster.names:
-            self.assertEqual(commands(cluster, name), wanted)
+            self.assertEqual(commands(cluster, name), expected)
 
-    def test_an_empty_disk_has_nothing_to_go_on_with(self) -> None:
+    def test_empty_disk_is_rejected(self) -> None:
         with self.assertRaisesRegex(InvalidMemberError, "holds no group"):
             keep_alone(open_fake_store(Disk()))
--- a/tests/state/test_routing.py
+++ b/tests/state/test_routing.py
@@ -22,7 +22,7 @@
     return Publish(document=make_document(version=version), source=source)
 
 
-def begin(target: str = "v2", at: float = 100.0) -> BeginRollout:
+def start(target: str = "v2", at: float = 100.0) -> BeginRollout:
     """Return an order to move."""
     return BeginRollout(service="chat", target=target, duration=20.0, ordered_at=at)
 
@@ -48,9 +48,9 @@
 
                 self.assertEqual((version_of(state), state.source), expected)
 
-    def test_a_saved_state_is_whole(self) -> None:
+    def test_saved_state_round_trip(self) -> None:
         state = RoutingState()
-        both: tuple[RoutingCommand, ...] = (publish(3, b"x"), begin())
+        both: tuple[RoutingCommand, ...] = (publish(3, b"x"), start())
         for command in both:
             apply_routing(state, command)
 
@@ -65,31 +65,37 @@
     def test_commands(self) -> None:
         grow = GrowRollout(service="chat", target="v2", ordered_at=100.0, share=0.3)
         shrink = GrowRollout(service="chat", target="v2", ordered_at=100.0, share=0.1)
-        done = EndRollout(service="chat", target="v2", ordered_at=100.0, completed=True)
-        back = EndRollout(
+        complete = EndRollout(
+            service="chat", target="v2", ordered_at=100.0, completed=True
+        )
+        revert = EndRollout(
             service="chat", target="v2", ordered_at=100.0, completed=False
         )
         stale = EndRollout(
             service="chat", target="v2", ordered_at=50.0, completed=False
         )
         cases: tuple[tuple[str, list[RoutingCommand], tuple[str, str, float]], ...] = (
-            ("ordered", [begin()], ("v2", "in_progress", 0.0)),
-            ("grown", [begin(), grow], ("v2", "in_progress", 0.3)),
-            ("never shrinks", [begin(), grow, shrink], ("v2", "in_progress", 0.3)),
-            ("completed", [begin(), done], ("v2", "completed", 1.0)),
-            ("reverted", [begin(), grow, back], ("v2", "reverted", 0.0)),
-            ("ends once", [begin(), done, back], ("v2", "completed", 1.0)),
-            ("an older order's end", [begin(), stale], ("v2", "in_progress", 0.0)),
-            ("a resend", [begin(), grow, begin(at=102.0)], ("v2", "in_progress", 0.3)),
+            ("ordered", [start()], ("v2", "in_progress", 0.0)),
+            ("grown", [start(), grow], ("v2", "in_progress", 0.3)),
+            ("never shrinks", [start(), grow, shrink], ("v2", "in_progress", 0.3)),
+            ("completed", [start(), complete], ("v2", "completed", 1.0)),
+            ("reverted", [start(), grow, revert], ("v2", "reverted", 0.0)),
+            ("ends once", [start(), complete, revert], ("v2", "completed", 1.0)),
+            ("an older order's end", [start(), stale], ("v2", "in_progress", 0.0)),
+            ("a resend", [start(), grow, start(at=102.0)], ("v2", "in_progress", 0.3)),
             (
                 "a resend when done",
-                [begin(), done, begin(at=102.0)],
+                [start(), complete, start(at=102.0)],
                 ("v2", "completed", 1.0),
             ),
-            ("a new try", [begin(), back, begin(at=200.0)], ("v2", "in_progress", 0.0)),
+            (
+                "a new try",
+                [start(), revert, start(at=200.0)],
+                ("v2", "in_progress", 0.0),
+            ),
             (
                 "the next version",
-                [begin(), done, begin("v3", 200.0)],
+                [start(), complete, start("v3", 200.0)],
                 ("v3", "in_progress", 0.0),
             ),
         )
@@ -99,15 +105,17 @@
                 for command in commands:
                     apply_routing(state, command)
 
-                held = state.rollouts["chat"]
-                self.assertEqual((held.target, held.state, held.share), expected)
+                rollout = state.rollouts["chat"]
+                self.assertEqual(
+                    (rollout.target, rollout.state, rollout.share), expected
+                )
 
-    def test_the_version_before_is_remembered(self) -> None:
+    def test_previous_version_is_remembered(self) -> None:
         state = RoutingState()
         commands: tuple[RoutingCommand, ...] = (
-            begin(),
+            start(),
             EndRollout(service="chat", target="v2", ordered_at=100.0, completed=True),
-            begin("v3", 200.0),
+            start("v3", 200.0),
         )
         for command in commands:
             apply_routing(state, command)
--- a/tests/state/test_storage.py
+++ b/tests/state/test_storage.py
@@ -69,7 +69,7 @@
         self.store.write(Batch(member="a~1", hard_state=state))
         self.store.write(Batch(first=1, entries=ENTRIES))
 
-    def test_batches_come_back(self) -> None:
+    def test_batches_are_loaded_again(self) -> None:
         self.write_all()
         other = Entry(2, EntryKind.NO_OP, b"")
         self.store.write(Batch(hard_state=HardState(2, "b"), first=5, entries=(other,)))
@@ -78,7 +78,7 @@
         self.assertEqual(loaded.hard_state, HardState(2, "b"))
         self.assertEqual(loaded.entries, (*ENTRIES[:4], other))
 
-    def test_a_snapshot_drops_what_it_covers(self) -> None:
+    def test_a_snapshot_drops_the_entries_it_covers(self) -> None:
         self.write_all()
         self.store.write(Batch(snapshot=SNAPSHOT, base_index=2, base_term=1))
         loaded = self.reopen()
@@ -86,7 +86,7 @@
         self.assertEqual((loaded.base_index, loaded.base_term), (2, 1))
         self.assertEqual(loaded.entries, ENTRIES[2:])
 
-    def test_a_snapshot_in_pieces_counts_once_it_is_used(self) -> None:
+    def test_a_snapshot_in_pieces_is_used_once_complete(self) -> None:
         """The process ends between two pieces of a snapshot.
 
         The former snapshot and the entries after it must still be there; a restart
@@ -103,7 +103,7 @@
         self.assertEqual(self.reopen().snapshot, big)
         self.assertEqual(self.store.load().entries, ENTRIES[4:])
 
-    def test_damage_is_found_at_the_start(self) -> None:
+    def test_damage_is_detected_at_startup(self) -> None:
         cases = (
             ("gap", "DELETE FROM entry WHERE place = 3", "entry 3 is missing"),
             ("entry", "UPDATE entry SET data = x'00' WHERE place = 2", "of entry 2"),
@@ -160,7 +160,7 @@
                     self.assertIn(loaded, (before, after))
                     self.assertEqual(loaded == after, cut == end)
 
-    def test_a_full_disk_is_an_error_and_leaves_what_was_there(self) -> None:
+    def test_a_full_disk_raises_an_error_and_keeps_the_contents(self) -> None:
         """The folder's disk is full amid a batch; later there is room again.
 
         The batch must fail with our error, so that nothing is promised on it, and a
@@ -188,31 +188,31 @@
         """
         synced: list[bool] = []
 
-        def note(descriptor: int) -> None:
+        def record(descriptor: int) -> None:
             synced.append(stat.S_ISDIR(os.fstat(descriptor).st_mode))
 
-        with mock.patch("waxwingwell.state.storage.os.fsync", note):
+        with mock.patch("waxwingwell.state.storage.os.fsync", record):
             open_store(self.folder, "third").close()
 
         self.assertEqual(synced, [True, True])
         database = connect(self.folder / "fourth.sqlite")
         self.addCleanup(database.close)
-        (level,) = database.execute("PRAGMA synchronous").fetchone()
-        self.assertEqual(level, FULL)
+        (synchronous,) = database.execute("PRAGMA synchronous").fetchone()
+        self.assertEqual(synchronous, FULL)
         self.assertFalse((self.folder / "fourth.sqlite-shm").exists())
 
-    def test_a_second_process_is_turned_away(self) -> None:
+    def test_a_second_process_is_rejected(self) -> None:
         self.write_all()
         with self.assertRaisesRegex(StorageError, "locked"):
             open_store(self.folder, "main")
 
-    def test_several_groups_lie_side_by_side(self) -> None:
+    def test_several_groups_share_a_folder(self) -> None:
         self.write_all()
         other = open_store(self.folder, "ledger-1")
         self.addCleanup(other.close)
         self.assertEqual(other.load(), Loaded())
 
-    def test_a_group_of_one_restarts_with_all_it_accepted(self) -> None:
+    def test_a_group_of_one_restarts_with_all_accepted_changes(self) -> None:
         """Hundreds of changes are accepted, one a flush; the process ends.
 
         It starts again from its folder and must hold every change, in order.
@@ -228,12 +228,12 @@
         applied = list(node.applied)
         self.reopen()
         node.applied = []
-        again = self.open_solo(node)
-        self.assertTrue(leads(again, 1.0))
-        self.assertEqual(again.replica.member, group.replica.member)
+        reopened = self.open_solo(node)
+        self.assertTrue(leads(reopened, 1.0))
+        self.assertEqual(reopened.replica.member, group.replica.member)
         self.assertEqual([c for _, c in node.applied], [c for _, c in applied])
 
-    def test_a_process_that_ends_amid_a_snapshot_has_lost_nothing(self) -> None:
+    def test_a_crash_during_a_snapshot_loses_nothing(self) -> None:
         """A large state is written in pieces, and the process ends after any of them.
 
         It must start on the former snapshot and the log since; the entries before
--- a/tests/state/test_storage_model.py
+++ b/tests/state/test_storage_model.py
@@ -36,23 +36,27 @@
     max_size=25,
 )
 
-MADE_ANEW = [("append", 0, 0), ("install", 0, 100), ("compact", 0, 2 * PIECE_BYTES)]
+REPEATED_SNAPSHOT = [
+    ("append", 0, 0),
+    ("install", 0, 100),
+    ("compact", 0, 2 * PIECE_BYTES),
+]
 """A snapshot is in use, and one of the same index is half written when all stops. The
 file was unreadable afterwards: the new piece had taken the place of the old one."""
 
 
-def make_batches(held: Loaded, kind: str, count: int, size: int) -> list[Batch]:
+def make_batches(stored: Loaded, kind: str, count: int, size: int) -> list[Batch]:
     """Return the batches that a member would write in this state."""
-    term = held.hard_state.term + 1
+    term = stored.hard_state.term + 1
     state = HardState(term, f"candidate {count}")
-    last = held.base_index + len(held.entries)
+    last = stored.base_index + len(stored.entries)
     entries = tuple(Entry(term, EntryKind.COMMAND, b"%d" % n) for n in range(count))
-    settled = held.snapshot.index if held.snapshot else 0
+    snapshot_index = stored.snapshot.index if stored.snapshot else 0
     if kind == "append":
         return [Batch(hard_state=state, first=last + 1, entries=entries)]
 
     if kind == "replace":
-        first = max(settled, last - count // 2) + 1
+        first = max(snapshot_index, last - count // 2) + 1
         return [Batch(hard_state=state, first=first, entries=entries)]
 
     if kind == "vote":
@@ -70,12 +74,12 @@
     pieces = [
         Batch(piece=cut_piece(snapshot, n)) for n in range(count_pieces(snapshot))
     ]
-    if kind == "abandon" or index <= settled:
+    if kind == "abandon" or index <= snapshot_index:
         return pieces[:-1]
 
-    base = max(held.base_index, index - count)
-    place = base - held.base_index
-    base_term = held.entries[place - 1].term if place else held.base_term
+    base = max(stored.base_index, index - count)
+    place = base - stored.base_index
+    base_term = stored.entries[place - 1].term if place else stored.base_term
     use = Batch(snapshot=snapshot, staged=True, base_index=base, base_term=base_term)
     return [*pieces, use]
 
@@ -85,7 +89,7 @@
 
     @settings(max_examples=25)
     @given(draws=DRAWS)
-    @example(draws=MADE_ANEW)
+    @example(draws=REPEATED_SNAPSHOT)
     def test_files_hold_what_memory_holds(
         self, draws: list[tuple[str, int, int]]
     ) -> None:
@@ -93,8 +97,8 @@
         model = open_fake_store(disk)
         with tempfile.TemporaryDirectory() as folder:
             store = open_store(Path(folder), "main")
-            for each in (model, store):
-                each.write(Batch(member="a~1"))
+            for target in (model, store):
+                target.write(Batch(member="a~1"))
 
             for kind, count, size in draws:
                 for batch in make_batches(disk.loaded, kind, count, size):
