--- a/tests/state/commands.py
+++ b/tests/state/commands.py
@@ -1,4 +1,4 @@
-"""Short factories for the commands and records that state tests use."""
+"""Factories for the commands and records used by the state tests."""
 
 from __future__ import annotations
 
@@ -39,24 +39,24 @@
 
 
 class StateTestCase(unittest.TestCase):
-    """A test in which a breach of a promise is an error."""
+    """A test case in which a breached invariant raises an error."""
 
     def setUp(self) -> None:
-        """Raise on a breach until the test ends."""
+        """Enable errors on breaches for the duration of the test."""
         before = BREACHES.raise_on_breach
         BREACHES.raise_on_breach = True
         self.addCleanup(setattr, BREACHES, "raise_on_breach", before)
 
 
 def make_config(*allowed: VersionId, workspace: WorkspaceId = DEMO) -> WorkspaceConfig:
-    """Return a small configuration."""
+    """Return a minimal workspace configuration."""
     return WorkspaceConfig(workspace, 0, allowed, (QUESTION,))
 
 
 def answers(
     change_id: str, expected: int, *allowed: VersionId, workspace: WorkspaceId = DEMO
 ) -> ApplyAnswers:
-    """Return new answers of a workspace."""
+    """Return a change that applies a workspace's answers."""
     return ApplyAnswers(
         change_id=change_id,
         operator="almaz",
@@ -75,7 +75,7 @@
     status: VersionStatus = VersionStatus.ACTIVE,
     price: float = 1.0,
 ) -> RegisterVersion:
-    """Return a version's registration."""
+    """Return a change that registers a version."""
     model = version.partition("@")[0]
     return RegisterVersion(
         change_id=change_id or f"register {version} {expected}",
@@ -89,7 +89,7 @@
 def withdraw(
     change_id: str, expected: int, version: VersionId, *, graceful: bool = False
 ) -> WithdrawVersion:
-    """Return a withdrawal."""
+    """Return a change that withdraws a version."""
     return WithdrawVersion(
         change_id=change_id,
         operator="mariela",
@@ -101,7 +101,7 @@
 
 
 def start(change_id: str, expected: int) -> StartRollout:
-    """Return the start of a roll-out of heron@2."""
+    """Return a change that starts the roll-out of heron@2."""
     return StartRollout(
         change_id=change_id,
         operator="almaz",
@@ -114,7 +114,7 @@
 
 
 def step(change_id: str, expected: int, stage: int, status: str) -> StepRollout:
-    """Return a move of heron's roll-out."""
+    """Return a step of heron's roll-out."""
     return StepRollout(
         change_id=change_id,
         operator="rollouts",
@@ -136,7 +136,7 @@
     digest: str = "d",
     at: float = 10.0,
 ) -> Reserve:
-    """Return the reservation of a request."""
+    """Return the reservation of a request's ledger row."""
     return Reserve(
         row=LedgerRow(
             workspace=DEMO,
@@ -160,7 +160,7 @@
     body: bytes = b"clubs ordered",
     at: float = 11.0,
 ) -> Settle:
-    """Return the settling of a request."""
+    """Return the settlement of a request."""
     ran = outcome is not OutcomeKind.NOT_RUN
     return Settle(
         workspace=DEMO,
@@ -179,12 +179,12 @@
 
 
 def pin(session: str, version: VersionId, at: float = 5.0) -> PinSession:
-    """Return the pinning of a session."""
+    """Return the command that pins a session."""
     return PinSession(workspace=DEMO, session=session, version=version, at=at)
 
 
 def make_state() -> ControlState:
-    """Return a state with heron@1, heron@2 and the workspace that allows both."""
+    """Return a state with heron@1, heron@2 and a workspace that allows both."""
     state = ControlState()
     apply_command(state, register(OLD))
     apply_command(state, register(NEW, status=VersionStatus.CANDIDATE))
--- a/tests/state/runs/__init__.py
+++ b/tests/state/runs/__init__.py
@@ -1,3 +1,3 @@
-"""Randomised runs over the real state code, with promises checked at each step."""
+"""Randomised runs of the real state code that check invariants after each step."""
 
 from __future__ import annotations
--- a/tests/state/runs/support.py
+++ b/tests/state/runs/support.py
@@ -1,4 +1,4 @@
-"""What the randomised runs share."""
+"""Base classes of the randomised runs."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 
 
 RUN = settings(max_examples=120, stateful_step_count=50, deadline=None)
-"""Budget of one run in CI; other settings come from the loaded profile."""
+"""Settings of a run in CI; all others come from the loaded profile."""
 
 
 class Run(RuleBasedStateMachine):
-    """A run in which a breach of a promise ends the run."""
+    """A state machine test that fails on a breached invariant."""
 
     def __init__(self) -> None:
-        """Raise on a breach until the run ends."""
+        """Enable errors on breaches for the duration of the run."""
         super().__init__()
         self.raised_before = BREACHES.raise_on_breach
         BREACHES.raise_on_breach = True
 
     def teardown(self) -> None:
-        """Put the switch back."""
+        """Restore the former setting."""
         BREACHES.raise_on_breach = self.raised_before
 
 
 class RunTestCase(unittest.TestCase):
-    """A test that carries out one run with the budget of CI."""
+    """A test case for one run with the settings of CI."""
 
     def run_machine(self, machine: type[Run]) -> None:
-        """Run ``machine`` with many random sequences of its rules."""
+        """Run ``machine`` with random sequences of its rules."""
         run_state_machine_as_test(machine, settings=settings(RUN))
--- a/tests/state/runs/test_configuration.py
+++ b/tests/state/runs/test_configuration.py
@@ -1,4 +1,4 @@
-"""Randomised run: operators race, resend and lose answers; replicas stay equal."""
+"""Randomised run: concurrent and resent changes of operators; equal replicas."""
 
 from __future__ import annotations
 
@@ -39,15 +39,15 @@
 
 VERSIONS = st.sampled_from((OLD, NEW, VersionId("heron@3")))
 LAGS = st.sampled_from((0, 0, 0, 1, 2))
-"""How many revisions an operator's reading is behind."""
+"""Number of revisions by which an operator's view is outdated."""
 FINAL = (RolloutStatus.COMPLETED, RolloutStatus.ROLLED_BACK)
 TARGET_STATUSES = st.sampled_from((RolloutStatus.RUNNING, *RolloutStatus))
 SHORT = RolloutPace(stages=(0.5, 1.0))
-"""Few stages, so that runs get to the end of a roll-out."""
+"""Few stages, so that runs reach the end of a roll-out."""
 
 
 class ConfigurationRun(Run):
-    """Any order of changes, each on a revision that may be old, and of resends."""
+    """Changes based on possibly outdated revisions, and resends, in any order."""
 
     @initialize()
     def initialise(self) -> None:
@@ -73,7 +73,7 @@
         if isinstance(command, Change) and isinstance(outcome, Accepted):
             place = (outcome.subject, outcome.revision)
             assert outcome.revision == command.expected_revision + 1, outcome
-            assert place not in self.accepted, f"two ancestors of {place}"
+            assert place not in self.accepted, f"two predecessors of {place}"
             self.accepted[place] = command.change_id
 
         if isinstance(outcome, Conflict):
@@ -122,10 +122,12 @@
 
         if session not in self.pinned:
             status = self.state.config.versions[version].status
-            assert status not in WITHDRAWN_STATUSES, "started on a withdrawn version"
+            assert status not in WITHDRAWN_STATUSES, (
+                "the session started on a withdrawn version"
+            )
 
         first = self.pinned.setdefault(session, outcome.version)
-        assert outcome.version == first, f"{session} was moved"
+        assert outcome.version == first, f"{session} changed its version"
 
     @precondition(lambda self: self.sent)
     @rule(data=st.data())
@@ -153,10 +155,10 @@
         for version, spec in self.get_state().config.versions.items():
             before = self.statuses.get(version)
             if before in WITHDRAWN_STATUSES:
-                assert spec.status in WITHDRAWN_STATUSES, f"{version} came back"
+                assert spec.status in WITHDRAWN_STATUSES, f"{version} is active again"
 
             if before is VersionStatus.WITHDRAWN:
-                assert spec.status is before, f"{version} came back"
+                assert spec.status is before, f"{version} is no longer withdrawn"
 
             self.statuses[version] = spec.status
 
@@ -172,7 +174,9 @@
 
         status = self.get_state().config.versions[rollout.candidate].status
         if status in WITHDRAWN_STATUSES:
-            assert rollout.status in FINAL, "a withdrawn candidate is rolled out"
+            assert rollout.status in FINAL, (
+                "the candidate of an ongoing roll-out is withdrawn"
+            )
 
         if rollout.status in FINAL:
             self.ended["heron"] = (rollout.candidate, rollout.status)
@@ -185,9 +189,9 @@
 
 class ConfigurationRunTest(RunTestCase):
     def test_run(self) -> None:
-        """An operator's change is lost, applied twice, or undoes a withdrawal.
+        """No change may be lost, be applied twice or undo a withdrawal.
 
-        Order: any. Cause: operators read equal revisions, resend after lost answers,
-        and the roll-out steps by itself at the same time.
+        Operators base changes on the same revision and resend them after lost responses
+        while the roll-out advances automatically, in any order.
         """
         self.run_machine(ConfigurationRun)
--- a/tests/state/runs/test_leases.py
+++ b/tests/state/runs/test_leases.py
@@ -1,4 +1,4 @@
-"""Randomised run: entries cut off and frozen, leaders that change, unlike clocks."""
+"""Randomised run of leases: partitions, frozen entries, new leaders, clock drift."""
 
 from __future__ import annotations
 
@@ -33,13 +33,14 @@
 ENTRY_NAMES = tuple(EntryId(name) for name in ("bole-1", "kazanchis-1", "cmc-1"))
 RATES = st.sampled_from((1.0 - MAX_CLOCK_DRIFT / 2, 1.0, 1.0 + MAX_CLOCK_DRIFT / 2))
 RARE = st.integers(0, 3)
-"""Zero makes it so: a new leader claims nothing for a while."""
+"""Zero elects a leader; it is rare because a new one reports nothing as in force for a
+while."""
 STEPS = st.sampled_from((0.02, 0.4, 1.0, 3.0, 3.98))
 
 
 @dataclass
 class Process:
-    """An entry process with its own clock; an old one may live beside a new one."""
+    """An entry process with its own clock; an old one may run beside a new one."""
 
     lease: ConfigLease
     rate: float
@@ -52,7 +53,7 @@
 
 @dataclass
 class Request:
-    """A renewal on its way to a leader."""
+    """A renewal in transit to a leader."""
 
     process: Process
     number: int
@@ -61,7 +62,7 @@
 
 @dataclass
 class Response:
-    """An answer on its way back."""
+    """A response in transit to an entry."""
 
     process: Process
     number: int
@@ -70,12 +71,12 @@
 
 @dataclass
 class Simulation:
-    """Real time, the leader, all entry processes and the messages between them."""
+    """Real time, the leader, all entry processes and messages in transit."""
 
     time: float = 110.0
     committed: int = 1
     reported: int = 0
-    """The newest version that was ever said to be in force."""
+    """Newest configuration version that was reported as in force."""
     leader_rate: float = 1.0
     leader_offset: float = 0.0
     leases: EntryLeases = field(default_factory=lambda: EntryLeases(elected_at=100.0))
@@ -88,7 +89,7 @@
 
 
 class LeaseRun(Run):
-    """Only the confirmed leader grants; everything else may be late or lost."""
+    """The confirmed leader grants leases; messages may be late, lost or duplicated."""
 
     @initialize(rates=st.tuples(RATES, RATES, RATES))
     def initialise(self, rates: tuple[float, float, float]) -> None:
@@ -149,7 +150,7 @@
         self.renew_at_once(name)
 
     def renew_at_once(self, name: EntryId) -> None:
-        """Renew until granted, as an entry that is not cut off does."""
+        """Renew until granted, as a connected entry does."""
         simulation = self.simulation
         process = [item for item in simulation.processes if item.lease.entry == name][
             -1
@@ -165,7 +166,7 @@
             take_snapshot(process.lease, response.snapshot)
 
     def ask_leader(self, message: RenewLease) -> LeaseGranted | LeaseBehind:
-        """Let the confirmed leader answer by what is committed now."""
+        """Return the confirmed leader's response for the committed configuration."""
         simulation = self.simulation
         snapshot = ConfigSnapshot(
             config_version=simulation.committed, workspaces=(), versions=(), rollouts=()
@@ -175,7 +176,7 @@
 
     @rule(name=st.sampled_from(ENTRY_NAMES), delay=STEPS)
     def renew_with_delay(self, name: EntryId, delay: float) -> None:
-        """Renew with an answer that is held up on the way."""
+        """Renew with a delayed response."""
         self.renew_at_once(name)
         simulation = self.simulation
         process = [item for item in simulation.processes if item.lease.entry == name][
@@ -190,7 +191,7 @@
 
     @rule(rate=RATES, offset=st.sampled_from((-90.0, 0.0, 5000.0)), skip=RARE)
     def change_leader(self, rate: float, offset: float, skip: int) -> None:
-        """Elect a leader that knows no lease and has a clock of its own."""
+        """Elect a leader that has no lease records and a clock of its own."""
         simulation = self.simulation
         if skip:
             return
@@ -201,7 +202,7 @@
 
     @rule(name=st.sampled_from(ENTRY_NAMES), rate=RATES)
     def restart_entry(self, name: EntryId, rate: float) -> None:
-        """Start an entry anew; the old process is frozen and may wake up."""
+        """Restart an entry; its old process is frozen and may resume."""
         count = sum(item.lease.entry == name for item in self.simulation.processes)
         self.add_process(name, count + 1, rate)
 
@@ -219,7 +220,7 @@
         for process in simulation.processes:
             if may_admit(process.lease, process.read_clock(simulation.time)):
                 version = process.lease.config_version
-                text = f"{process.lease.entry} admits by {version}"
+                text = f"{process.lease.entry} admits under {version}"
                 assert version >= simulation.reported, (
                     f"{text}, not {simulation.reported}"
                 )
@@ -233,9 +234,9 @@
 
 class LeaseRunTest(RunTestCase):
     def test_run(self) -> None:
-        """An operator is told that a withdrawal is in force while an entry goes on.
+        """No change is reported as in force while an entry admits work without it.
 
-        Order: any. Cause: an entry cut off or frozen with a lease that still holds,
-        held up answers, a new leader that knows no lease, clocks that drift apart.
+        Entries may be partitioned off or frozen with a valid lease, responses delayed,
+        new leaders without lease records elected, and clocks may drift, in any order.
         """
         self.run_machine(LeaseRun)
--- a/tests/state/runs/test_ledger.py
+++ b/tests/state/runs/test_ledger.py
@@ -1,4 +1,4 @@
-"""Randomised run: entries die, messages are late, doubled and lost; orders run once."""
+"""Randomised run of the ledger: crashes of entries; late, duplicate, lost messages."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 @dataclass
 class Attempt:
-    """One attempt as its entry sees it."""
+    """An attempt and its progress at its entry."""
 
     request: str
     key: str
@@ -56,22 +56,22 @@
 
 @dataclass
 class Simulation:
-    """Entries, messages on the way, and what really ran."""
+    """Entries, messages in transit and the requests that actually ran."""
 
     state: ControlState = field(default_factory=ControlState)
     incarnations: dict[EntryId, int] = field(default_factory=lambda: {BOLE: 1, CMC: 1})
     attempts: dict[str, Attempt] = field(default_factory=dict)
     in_transit: list[Command] = field(default_factory=list)
     dispatch_counts: Counter[str] = field(default_factory=Counter)
-    """Dispatches by key."""
+    """Number of dispatches by key."""
     settled: set[str] = field(default_factory=set)
-    """Requests whose settle reached the ledger, in time or not."""
+    """Requests whose settle reached the ledger, even if late."""
     reported_not_run: set[str] = field(default_factory=set)
-    """Requests whose caller was told "not run"."""
+    """Requests that were reported to their caller as not run."""
 
 
 class LedgerRun(Run):
-    """Attempts under few keys through two entries, over a network that loses order."""
+    """Attempts for a few keys through two entries; messages may be reordered."""
 
     @initialize()
     def initialise(self) -> None:
@@ -96,7 +96,7 @@
         self.send(command, delayed)
 
     def send(self, command: Command, delayed: bool) -> None:
-        """Leave a command on its way, and unless it is late hand it over as well."""
+        """Put a command in transit and, unless it is delayed, apply it as well."""
         self.simulation.in_transit.append(command)
         if not delayed:
             self.apply(command, response_lost=False)
@@ -115,7 +115,7 @@
         self.apply(command, response_lost=response_lost)
 
     def apply(self, command: Command, *, response_lost: bool) -> None:
-        """Apply a command; its entry takes the answer unless it is lost or dead."""
+        """Apply a command; its entry gets the response unless that is lost."""
         outcome = apply_command(self.simulation.state, command)
         if isinstance(command, Settle):
             self.simulation.settled.add(command.request)
@@ -132,7 +132,7 @@
             self.check_reported_outcome(outcome)
 
     def check_reported_outcome(self, outcome: AlreadySettled) -> None:
-        """Check that what a caller is told of its key on a resend is true."""
+        """Check that the outcome reported for a resent key is true."""
         row = outcome.row
         if row.outcome is OutcomeKind.NOT_RUN:
             assert not self.simulation.attempts[row.request].dispatched, row
@@ -170,7 +170,7 @@
 
     @rule(data=st.data(), delayed=st.booleans())
     def time_out(self, data: st.DataObject, delayed: bool) -> None:
-        """Refuse a request whose reservation was not answered in time."""
+        """Refuse a request whose reservation got no response in time."""
         waiting = [
             attempt
             for attempt in self.simulation.attempts.values()
@@ -186,7 +186,7 @@
         self.send(message, delayed)
 
     def list_reserved_attempts(self, *, dispatched: bool) -> list[Attempt]:
-        """Return reserved attempts of living entries that have not ended."""
+        """Return reserved, unfinished attempts of running entries."""
         return [
             attempt
             for attempt in self.simulation.attempts.values()
@@ -204,7 +204,7 @@
 
     @rule(entry=ENTRY_IDS, too_early=st.booleans())
     def sweep(self, entry: EntryId, too_early: bool) -> None:
-        """Sweep dead incarnations, or a living one that is merely cut off."""
+        """Sweep crashed incarnations, or a running one that is only partitioned off."""
         below = self.simulation.incarnations[entry] + too_early
         apply_command(self.simulation.state, abandon(below, entry=entry))
 
@@ -233,11 +233,13 @@
 
     @invariant()
     def open_rows_belong_to_unsettled_attempts(self) -> None:
-        """Check that no open row belongs to an attempt that was settled already."""
+        """Check that no open row belongs to an attempt that was already settled."""
         simulation = self.get_world()
         for row in simulation.state.ledger.rows.values():
             if row.status is RowStatus.OPEN:
-                assert row.request not in simulation.settled, "nobody will settle it"
+                assert row.request not in simulation.settled, (
+                    "the open row will never be settled"
+                )
 
     @invariant()
     def each_key_is_billed_once(self) -> None:
@@ -264,9 +266,9 @@
 
 class LedgerRunTest(RunTestCase):
     def test_run(self) -> None:
-        """Fans run twice, or an order is billed twice or not at all.
+        """Requests run at most once and are billed exactly once.
 
-        Order: any. Cause: two entries under one key, entries that die or are cut off
-        at any step, reservations and settles that come late, twice, or not at all.
+        Two entries use the same key, crash or are partitioned off at any step, and
+        reservations and settles are late, duplicated or lost, in any order.
         """
         self.run_machine(LedgerRun)
--- a/tests/state/runs/test_membership.py
+++ b/tests/state/runs/test_membership.py
@@ -1,4 +1,4 @@
-"""Randomised run: upstreams come, leave and die; entries hear of it in any order."""
+"""Randomised run of membership: upstreams join, leave and crash; reordered relays."""
 
 from __future__ import annotations
 
@@ -30,13 +30,13 @@
 NAMES = tuple(UpstreamId(name) for name in ("engine-1", "orders-1"))
 LEASE = 6.0
 ENTRY_NUMBERS = st.integers(0, 2)
-"""Entries by number."""
+"""Index of an entry."""
 Rank = tuple[int, bool, int]
 
 
 @dataclass
 class Relay:
-    """Announcements on their way from one entry to another."""
+    """Announcements in transit from one entry to another."""
 
     destination: int
     sent_at: float
@@ -45,7 +45,7 @@
 
 @dataclass
 class Simulation:
-    """Upstreams, entries with their tables, and all messages on the way."""
+    """Upstreams, the tables of entries, and all messages in transit."""
 
     time: float = 100.0
     last: dict[UpstreamId, Announcement] = field(
@@ -57,18 +57,18 @@
     direct: list[Announcement] = field(default_factory=list)
     relays: list[Relay] = field(default_factory=list)
     received: dict[tuple[UpstreamId, int, int], float] = field(default_factory=dict)
-    """When an announcement last reached any entry from the upstream itself."""
+    """When an announcement last reached any entry directly from the upstream."""
     left: list[dict[UpstreamId, int]] = field(
         default_factory=lambda: [{} for _ in range(3)]
     )
-    """By entry: the incarnation that it heard leaving."""
+    """By entry, the incarnations that it received a leaving announcement of."""
     ranks: list[dict[UpstreamId, Rank]] = field(
         default_factory=lambda: [{} for _ in range(3)]
     )
 
 
 class MembershipRun(Run):
-    """Direct and relayed announcements may be late, doubled and out of order."""
+    """Direct and relayed announcements may be late, duplicated and reordered."""
 
     @initialize()
     def initialise(self) -> None:
@@ -117,7 +117,7 @@
         self.record_left(number, announced)
 
     def record_left(self, number: int, announced: Announcement) -> None:
-        """Note what an entry was told, whether or not it took it in."""
+        """Record a leaving announcement that reached an entry, applied or not."""
         if announced.leaving:
             left = self.simulation.left[number]
             before = left.get(announced.upstream, 0)
@@ -176,8 +176,10 @@
                 received = simulation.received[
                     (name, announced.incarnation, announced.sequence)
                 ]
-                assert row.expires_at <= received + LEASE + 1e-6, "a relay extended it"
-                assert row.expires_at > simulation.time, "expired and still in use"
+                assert row.expires_at <= received + LEASE + 1e-6, (
+                    "a relay extended the lease"
+                )
+                assert row.expires_at > simulation.time, "expired but still in use"
 
     @invariant()
     def ranks_never_decrease(self) -> None:
@@ -186,22 +188,24 @@
             for name, row in tables.upstreams.items():
                 announced = row.announcement
                 rank = (announced.incarnation, announced.leaving, announced.sequence)
-                assert rank >= ranks.get(name, rank), "an older one was taken in"
+                assert rank >= ranks.get(name, rank), (
+                    "an older announcement was applied"
+                )
                 ranks[name] = rank
 
     def get_world(self) -> Simulation:
         return self.simulation if hasattr(self, "simulation") else Simulation()
 
     def get_views(self) -> tuple[list[Tables], list[dict[UpstreamId, int]]]:
-        """Return the entries' tables and what each entry heard leaving."""
+        """Return the entries' tables and the leaving incarnations each one received."""
         return self.get_world().entries, self.get_world().left
 
 
 class MembershipRunTest(RunTestCase):
     def test_run(self) -> None:
-        """An engine that left, or died, gets new work from one entry or another.
+        """No entry sends new work to an engine that left or crashed.
 
-        Order: any. Cause: announcements that are late, doubled, reordered or from an
-        old incarnation, heard directly or through other entries.
+        Announcements are late, duplicated, reordered or from an old incarnation, and
+        are received directly or through other entries, in any order.
         """
         self.run_machine(MembershipRun)
--- a/tests/state/test_catalogue.py
+++ b/tests/state/test_catalogue.py
@@ -1,4 +1,4 @@
-"""What entries are sent: everything, or what changed since what they have."""
+"""Tests of the configuration sent to entries: full snapshots and deltas."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def make_change(state: ControlState, number: int, choice: int) -> Command:
-    """Return one of several changes at its subject's present revision."""
+    """Return one of several changes, based on its subject's current revision."""
     revisions = state.config.revisions
     name = f"change-{number}"
     if choice < len(WORKSPACES):
@@ -48,7 +48,7 @@
 
 
 def merge(current: ConfigSnapshot, update: ConfigSnapshot) -> ConfigSnapshot:
-    """Take news in as an entry does, sorted for comparison."""
+    """Merge an update as an entry does, sorted for comparison."""
     if not update.since:
         current = ConfigSnapshot(config_version=0)
 
@@ -66,14 +66,14 @@
 
 
 class DeltaTest(StateTestCase):
-    """An entry that merges deltas has what one has that was sent everything."""
+    """Merging deltas gives the same configuration as the full snapshot."""
 
     @given(steps=st.lists(st.tuples(st.integers(0, 5), st.booleans()), max_size=25))
     def test_merged_deltas_equal_the_full_snapshot(
         self, steps: list[tuple[int, bool]]
     ) -> None:
-        # An entry that missed some changes must not keep an old piece of the
-        # configuration: a withdrawn version would go on taking work there.
+        # An entry that missed some changes must not keep an outdated part of the
+        # configuration: a withdrawn version would still receive work there.
         state = ControlState()
         for version in (OLD, NEW):
             apply_command(state, register(version))
--- a/tests/state/test_configuration.py
+++ b/tests/state/test_configuration.py
@@ -1,4 +1,4 @@
-"""Tests of compare-and-swap, change ids and the findings of each change."""
+"""Tests of compare-and-swap, change ids and the findings for each change."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 def make_rollout_state() -> ControlState:
-    """Return a state in which heron@2 is rolled out against heron@1."""
+    """Return a state with a running roll-out of heron@2 against heron@1."""
     state = make_state()
     outcome = apply_command(state, start("start", 0))
     assert isinstance(outcome, Accepted), outcome
@@ -47,11 +47,10 @@
 
 class CompareAndSwapTest(StateTestCase):
     def test_one_of_two_racing_operators_wins(self) -> None:
-        """Two operators revise the same answers and both see revision 1.
+        """Of two changes based on the same revision only the first is accepted.
 
-        Order: both read revision 1, both send a change on it, the log orders them.
-        Cause of the fault guarded against: the later one overwrites the earlier one,
-        whose operator was told that it was accepted.
+        Otherwise the second operator would overwrite the change of the first one, which
+        was reported as accepted.
         """
         state = make_state()
         first = apply_command(state, answers("almaz-1", 1, OLD))
@@ -68,11 +67,10 @@
         self.assertEqual(state.config.config_version, 4)
 
     def test_resend_gets_the_first_outcome(self) -> None:
-        """An operator loses the answer to a change and sends it again.
+        """A change resent after a lost response gets its first outcome again.
 
-        Order: change accepted, answer lost, another operator's change accepted, the
-        first one resent a moment later. Cause: without the change id the operator
-        would be told of a conflict with a change that came after its own.
+        Another operator's change is accepted in between. Without the change id the
+        resend would be reported as a conflict with that later change.
         """
         state = make_state()
         first = apply_command(state, answers("lost", 1, OLD))
@@ -165,11 +163,11 @@
                 ["price_in", "price_out"],
             ),
             (
-                "born withdrawn",
+                "initially withdrawn",
                 register(VersionId("owl@1"), status=withdrawn),
                 ["status"],
             ),
-            ("status by the side", register(NEW, expected=1), ["status"]),
+            ("status changed", register(NEW, expected=1), ["status"]),
         )
         for name, change, places in cases:
             with self.subTest(name):
@@ -194,9 +192,9 @@
 
 class RolloutTest(StateTestCase):
     def test_transitions(self) -> None:
-        """Each move from each standing: on or back, never sideways, ends once."""
-        running = (("on", 1, "running"),)
-        to_last_stage = tuple(("on", number, "running") for number in range(1, 5))
+        """Check the allowed and rejected transitions from each status."""
+        running = (("advance", 1, "running"),)
+        to_last_stage = tuple(("advance", number, "running") for number in range(1, 5))
         paused = (*running, ("pause", 1, "paused"))
         completed = (*to_last_stage, ("done", 4, "completed"))
         rolled_back = (*running, ("back", 0, "rolled_back"))
@@ -285,11 +283,11 @@
         self.assertEqual(list_places(outcome), ["candidate"])
 
     def test_withdrawal_of_the_candidate_ends_the_rollout(self) -> None:
-        """An operator withdraws a bad version while its roll-out steps on by itself.
+        """A late step must not reactivate a candidate that was withdrawn.
 
-        Order: the roll-out decides on its last step, the withdrawal is accepted, then
-        the step arrives. Cause of the fault guarded against: the step makes the
-        version active again, and it gets all new sessions.
+        The roll-out decides on its last step, an operator withdraws the version, then
+        the step arrives. If it were accepted, the faulty version would become active
+        and get all new sessions.
         """
         state = make_rollout_state()
         for number in range(1, 5):
@@ -309,11 +307,10 @@
                 self.assertIs(status, VersionStatus.WITHDRAWN)
 
     def test_completion_does_not_revive_a_withdrawn_incumbent(self) -> None:
-        """The incumbent turns bad too and is withdrawn before the roll-out is done.
+        """Completing a roll-out must not change the status of a withdrawn incumbent.
 
-        Order: stages go on, the incumbent is withdrawn at once, the roll-out
-        completes. Cause: completion would set the incumbent to "ending", on which
-        pinned sessions get new work again.
+        The incumbent is withdrawn at the last stage, then the roll-out completes.
+        Setting the incumbent to "ending" would give its pinned sessions new work again.
         """
         state = make_rollout_state()
         for number in range(1, 5):
--- a/tests/state/test_demand.py
+++ b/tests/state/test_demand.py
@@ -1,4 +1,4 @@
-"""Tests of workspace demand as entries tell it to each other."""
+"""Tests of the workspace demand that entries report to each other."""
 
 from __future__ import annotations
 
--- a/tests/state/test_fencing.py
+++ b/tests/state/test_fencing.py
@@ -1,4 +1,4 @@
-"""Tests of an entry's memory of fencing numbers."""
+"""Tests of the fencing numbers tracked by an entry."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 class FencingTest(unittest.TestCase):
     def test_old_leader_is_refused(self) -> None:
-        """A withdrawn version is loaded again by a leader that was replaced.
+        """A replaced leader must not load a withdrawn version again.
 
-        Order: leader of term 3 frozen, leader of term 4 orders, the old one wakes and
-        orders. Cause: the engine ignores fencing numbers.
+        The leader of term 3 freezes, the leader of term 4 sends orders, then the old
+        one resumes and sends its own. The engine ignores fencing numbers.
         """
         memory = FencingMemory()
         fencing_numbers = (3, 4, 3, 4, 5, 4)
--- a/tests/state/test_group.py
+++ b/tests/state/test_group.py
@@ -1,4 +1,4 @@
-"""A group elects, replicates, compacts and restarts."""
+"""Tests of groups: elections, replication, compaction and restarts."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 
 
 CLIENT_LEASE = 2.0
-"""Seconds that entries may go on without a leader."""
+"""Seconds for which entries can operate without a leader."""
 
 
 class GroupTest(unittest.TestCase):
-    """Groups of each size without faults."""
+    """Groups of each size, without injected faults."""
 
     def test_every_size_replicates(self) -> None:
         for size in (1, 2, 3, 5):
@@ -99,7 +99,7 @@
 
 
 def measure_fail_over(seed: int) -> float:
-    """Return the seconds from a leader's death to its successor's lease."""
+    """Return the seconds from a leader's crash to its successor's lease."""
     cluster = make_cluster(3, seed=seed)
     crash(cluster, await_leader(cluster))
     return run_until(cluster, lambda: bool(lease_holders(cluster)))
--- a/tests/state/test_leases.py
+++ b/tests/state/test_leases.py
@@ -1,4 +1,4 @@
-"""Tests of configuration leases on both sides."""
+"""Tests of configuration leases on the entry's and the leader's side."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def make_snapshot(version: int) -> ConfigSnapshot:
-    """Return an empty configuration of a version."""
+    """Return an empty configuration with the given version."""
     return ConfigSnapshot(
         config_version=version, workspaces=(), versions=(), rollouts=()
     )
@@ -41,7 +41,7 @@
 def renew_at_once(
     leases: EntryLeases, lease: ConfigLease, version: int, now: float
 ) -> LeaseGranted | LeaseBehind:
-    """Renew without delay at a leader that has ``version``."""
+    """Renew without delay at a leader with configuration ``version``."""
     renewal = begin_renewal(lease, now)
     response = renew_lease(
         leases, renewal.message, snapshot=make_snapshot(version), now=now
@@ -66,11 +66,11 @@
         self.assertFalse(may_admit(lease, 10.1 + leases.duration))
 
     def test_lease_counts_from_sending_the_renewal(self) -> None:
-        """An entry admits work by a configuration that was replaced long ago.
+        """A delayed response must not extend the lease.
 
-        Order: the entry sends a renewal, the answer is held up on the way for 3 s,
-        the entry is cut off. Cause: counting from the arrival, it would admit for 3 s
-        more than the leader waits before it says "in force".
+        The response to a renewal is delayed by 3 s, then the entry is partitioned off.
+        If the lease counted from the arrival, the entry would admit work under a
+        replaced configuration for 3 s after the leader reported the new one in force.
         """
         lease = ConfigLease(BOLE, 1, config_version=3)
         renewal = begin_renewal(lease, 0.0)
@@ -108,10 +108,10 @@
 
 class LeaderSideTest(StateTestCase):
     def test_in_force_waits_for_possibly_valid_leases(self) -> None:
-        """An entry is cut off just after it renewed, then a version is withdrawn.
+        """A change is not in force while a partitioned entry may still admit work.
 
-        Order: grant at 10, change accepted at 10.5, all others acknowledge. Cause of
-        the fault guarded against: "in force" while the entry cut off still admits.
+        The entry renews its lease at 10 s and is partitioned off, a change is accepted
+        at 10.5 s, and all other entries acknowledge it.
         """
         leases = EntryLeases(elected_at=0.0)
         bole = ConfigLease(BOLE, 1, config_version=3)
@@ -130,10 +130,11 @@
         self.assertTrue(is_in_force(leases, 4, after).in_force)
 
     def test_clock_drift(self) -> None:
-        """A withdrawal is said to be in force 40 ms before an entry stops admitting.
+        """A change is not in force before the slowest entry clock ends the lease.
 
-        Order: an entry whose clock runs slow renews, is cut off, and a leader whose
-        clock runs fast waits out the lease. Cause: both count the same seconds.
+        An entry with a slow clock is partitioned off after a renewal, and a leader with
+        a fast clock waits for the lease to expire. If both counted the same seconds, a
+        withdrawal would be in force 40 ms before the entry stops admitting work.
         """
         slow, fast = 1.0 - MAX_CLOCK_DRIFT / 2, 1.0 + MAX_CLOCK_DRIFT / 2
         for entry_rate, leader_rate in ((slow, fast), (1.0, 1.0), (fast, slow)):
@@ -163,11 +164,11 @@
         self.assertTrue(is_in_force(leases, 1, later).in_force)
 
     def test_old_process_beside_the_new_one_counts(self) -> None:
-        """A frozen entry process is replaced by a new one, and then wakes up.
+        """The lease of a replaced but frozen process counts until it expires.
 
-        Order: old process granted at 10, frozen; the new one acknowledges the change
-        at 11; the old one wakes at 12. Cause: one row an entry would forget the old
-        process, which admits until its lease runs out.
+        The old process gets a lease at 10 s and freezes, the new one acknowledges the
+        change at 11 s, and the old one resumes at 12 s. With a single row per entry the
+        old process would be forgotten although it admits work until its lease expires.
         """
         leases = EntryLeases(elected_at=0.0)
         old = ConfigLease(BOLE, 1, config_version=3)
--- a/tests/state/test_ledger.py
+++ b/tests/state/test_ledger.py
@@ -1,4 +1,4 @@
-"""Tests of the ledger: one row a key, settled and billed once, whoever died."""
+"""Tests of the ledger: one row per key, settled and billed once despite crashes."""
 
 from __future__ import annotations
 
@@ -42,28 +42,28 @@
 
 
 def sum_bills(state: ControlState) -> tuple[int, int]:
-    """Return requests on all bills, and their cost."""
+    """Return the total requests and cost of all bills."""
     bills = list_bills(state.ledger.bills)
     return sum(bill.requests for bill in bills), sum(bill.cost for bill in bills)
 
 
 @dataclass(frozen=True)
 class Crash:
-    """An entry dies at one step of a request, and the caller resends elsewhere."""
+    """An entry crashes at a step of a request, which is resent to another entry."""
 
     step: str
     log: tuple[Command, ...]
-    """What reached the log before the death and the sweep."""
+    """Commands in the log before the crash and the sweep."""
     repeatable: bool
     expected: type
-    """How a resend under the same key is answered."""
+    """Type of the outcome of a resend with the same key."""
     status: RowStatus | None
     outcome: OutcomeKind | None = None
     billed: tuple[int, int] = (0, 0)
 
 
 def list_crashes() -> tuple[Crash, ...]:
-    """Return the death of an entry at each step, for both kinds of request."""
+    """Return a crash at each step, for repeatable and other requests."""
     order = reserve("r1")
     lookup = reserve("r1", repeatable=True)
     settled = RowStatus.SETTLED
@@ -72,7 +72,7 @@
     return (
         Crash("before the reservation", (), False, Reserved, opened, None),
         Crash("before the reservation", (), True, Reserved, opened, None),
-        Crash("reserved, answer lost", (order,), False, AlreadySettled, unknown,
+        Crash("reserved, response lost", (order,), False, AlreadySettled, unknown,
               MAY_HAVE_RUN),
         Crash("reserved twice", (order, order), False, AlreadySettled, unknown,
               MAY_HAVE_RUN),
@@ -105,18 +105,18 @@
               AlreadySettled, settled, COMPLETED, (1, 7)),
         Crash("settled after the sweep as not run",
               (order, abandon(2), settle("r1", NOT_RUN)), False, Reserved, opened),
-        Crash("late doubled reservation",
+        Crash("late duplicate reservation",
               (order, settle("r1", NOT_RUN), order), False, Reserved, opened),
     )  # fmt: skip
 
 
 class EntryCrashTest(StateTestCase):
     def test_entry_crashes_at_each_step(self) -> None:
-        """A golfer's club order is resent after the entry that carried it died.
+        """A request resent after its entry crashed runs and is billed at most once.
 
-        Order: the entry dies at a step, its lease runs out, control sweeps its rows,
-        the caller resends the order to another entry. Cause of the fault guarded
-        against: without the row the order would run twice, or be billed twice or not.
+        The entry crashes at one step, its lease expires, control sweeps its rows, and
+        the caller resends the request to another entry. Without the row the request
+        would run twice, or be billed twice or not at all.
         """
         for crash in list_crashes():
             for reload in (False, True):
@@ -147,11 +147,11 @@
 
 class LedgerTest(StateTestCase):
     def test_two_entries_reserve_the_same_key(self) -> None:
-        """A caller's phone sends one order twice, and the balancer splits the two.
+        """Only one of two entries that reserve the same key may run the request.
 
-        Order: both entries reserve the key, one after the other in the log; the first
-        settles, then the second entry's settle arrives. Cause: a row owned by both
-        would let the fans run twice.
+        A caller sends a request twice and the load balancer picks two entries. Both
+        reserve the key, the first settles it, then the settle of the second arrives. If
+        both owned the row, the request would run twice.
         """
         state = ControlState()
         self.assertEqual(apply_command(state, reserve("r1")), Reserved())
@@ -170,11 +170,11 @@
         self.assertEqual(sum_bills(state), (1, 7))
 
     def test_delayed_reservation_of_an_earlier_attempt(self) -> None:
-        """A refused order can't be sent again, and stays "running" for ever.
+        """A duplicate reservation of an ended attempt must not reopen the row.
 
-        Order: attempt 1 reserved, refused as not run; attempt 2 likewise; then a
-        doubled reservation of attempt 1 arrives. Cause: it opens a row whose attempt
-        ended long ago, so that nobody settles it.
+        Two attempts are reserved and refused as not run, then a duplicate reservation
+        of the first one arrives. A row opened for it would never be settled: the
+        request would stay "running" and could not be sent again.
         """
         state = ControlState()
         for request in ("r1", "r2"):
@@ -185,11 +185,12 @@
         self.assertEqual(apply_command(state, reserve("r3")), Reserved())
 
     def test_settle_before_its_reservation(self) -> None:
-        """An order that was refused stays "running", and can't be sent again.
+        """A reservation that arrives after its settle must not open a row.
 
-        Order: a reservation is held up on the way, the entry gives up and settles it
-        as not run, then the reservation arrives; in one case another attempt holds
-        the key meanwhile. Cause: a settle without a row leaves no trace.
+        A reservation is delayed, its entry settles the request as not run after a
+        timeout, then the reservation arrives; in one case another attempt has used the
+        key in between. If a settle without a row were not recorded, the request would
+        stay "running" and could not be sent again.
         """
         for name, between in (("alone", ()), ("other attempt", ("r2",))):
             with self.subTest(name):
@@ -249,7 +250,7 @@
 
 class RetentionTest(StateTestCase):
     def advance_clock(self, state: ControlState, at: float) -> None:
-        """Bring the ledger's clock to ``at`` by commands that change no row."""
+        """Advance the ledger's clock to ``at`` with commands that change no rows."""
         while state.ledger.clock < at:
             apply_command(state, abandon(0, at=at))
 
@@ -272,11 +273,11 @@
                 self.assertFalse(state.ledger.answers_kept)
 
     def test_settle_is_resent_after_its_row_was_dropped(self) -> None:
-        """A lookup is billed twice after its entry was cut off for some minutes.
+        """A settle resent after its row was dropped must not bill the request again.
 
-        Order: a settle that brings its row is committed, the answer is lost, the
-        entry resends it until it is answered, and the row's retention ends meanwhile.
-        Cause: the resend finds no row and opens one.
+        A settle that includes its row is committed, its response is lost, and the
+        entry, partitioned off for some minutes, resends it after the row's retention.
+        The resend finds no row and would open one.
         """
         state = ControlState()
         row = reserve("r1", repeatable=True).row
@@ -324,10 +325,10 @@
         self.assertIn(ROW_KEY, state.ledger.rows)
 
     def test_clock_jump_does_not_end_the_replay_window(self) -> None:
-        """A club order is built twice after a VM's clock jumped by a year.
+        """A clock that jumps by a year must not end the replay window of all rows.
 
-        Order: order settled; a command stamped a year ahead; the order is resent.
-        Cause: the jump would end the replay window of every row at once.
+        A request is settled, a command stamped one year ahead follows, and the request
+        is resent. It would run twice if the jump had ended its replay window.
         """
         state = ControlState()
         apply_command(state, reserve("r1"))
--- a/tests/state/test_machine.py
+++ b/tests/state/test_machine.py
@@ -1,4 +1,4 @@
-"""Tests of the state machine as a whole: determinism and images."""
+"""Tests of the state machine as a whole: commands and images."""
 
 from __future__ import annotations
 
--- a/tests/state/test_membership.py
+++ b/tests/state/test_membership.py
@@ -50,10 +50,11 @@
 
 class MembershipTest(StateTestCase):
     def test_result_does_not_depend_on_arrival_order(self) -> None:
-        """An engine that left keeps getting work at one entry out of nine.
+        """The state must not depend on the arrival order of announcements.
 
-        Order: it announces, leaves, starts anew; relays deliver the announcements in
-        any order and doubled. Cause: an entry that takes the last one to arrive.
+        An engine announces itself, leaves and restarts, and relays deliver the
+        announcements in any order and twice. An entry that applied the last one to
+        arrive would keep sending work to an engine that left.
         """
         sent = (
             announce(1, 1),
@@ -79,10 +80,11 @@
         self.assertTrue(tables.upstreams[ENGINE].left)
 
     def test_relay_never_extends_a_lease(self) -> None:
-        """An engine that died gets work for as long as entries tell each other.
+        """Relaying an announcement between entries must not extend its lease.
 
-        Order: it announces once and dies; entries relay to one another for a minute.
-        Cause: a lease that counts from the relay's arrival.
+        An engine announces itself once and crashes, and two entries relay the
+        announcement to each other for a minute. If the lease counted from the arrival
+        of the relay, the engine would get work for all of that time.
         """
         first, second = Tables(), Tables()
         take_announcement(first, announce(lease=6.0), 0.0, 100.0)
--- a/tests/state/test_pins.py
+++ b/tests/state/test_pins.py
@@ -23,10 +23,10 @@
 
 class PinsTest(StateTestCase):
     def test_pin_after_withdrawal(self) -> None:
-        """A fitting session starts on a version that was withdrawn a moment ago.
+        """A new session must not start on a version that was just withdrawn.
 
-        Order: the entry chooses by its configuration, the withdrawal is committed,
-        the pin comes after it in the log. Cause: a pin that looks at no configuration.
+        An entry chooses the version by an outdated configuration, so that the pin comes
+        after the withdrawal in the log and must be checked against the configuration.
         """
         for graceful in (True, False):
             with self.subTest(graceful=graceful):
--- a/tests/state/test_recovery.py
+++ b/tests/state/test_recovery.py
@@ -1,4 +1,4 @@
-"""One member goes on alone after most disks are lost."""
+"""Tests of disaster recovery with a single member after most disks are lost."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 
 
 class RecoveryTest(unittest.TestCase):
-    """Two disks of three are lost at once."""
+    """Two of three disks are lost at the same time."""
 
     def test_remaining_member_continues_with_its_whole_log(self) -> None:
-        """Two VMs lose their disks in one night; the third holds every change.
+        """The member with an intact disk continues with every change.
 
-        Nothing is accepted, as one of three is no majority. The person on call lets
-        the third go on alone, and the two empty ones join it by themselves.
+        One member of three is not a majority, so nothing is accepted until it is made
+        the only voter. The two empty members then join it automatically.
         """
         cluster = make_cluster(3)
         await_voters(cluster)
--- a/tests/state/test_routing.py
+++ b/tests/state/test_routing.py
@@ -1,4 +1,4 @@
-"""The replicated state of a routing group."""
+"""Tests of the replicated state of a routing group."""
 
 from __future__ import annotations
 
@@ -18,28 +18,28 @@
 
 
 def publish(version: int, source: bytes = b"") -> Publish:
-    """Return a publication."""
+    """Return the publication of a document version."""
     return Publish(document=make_document(version=version), source=source)
 
 
 def start(target: str = "v2", at: float = 100.0) -> BeginRollout:
-    """Return an order to move."""
+    """Return an order to start a roll-out."""
     return BeginRollout(service="chat", target=target, duration=20.0, ordered_at=at)
 
 
 class PublishTest(unittest.TestCase):
-    """The highest version wins."""
+    """Publication of documents."""
 
     def test_only_higher_versions_take_effect(self) -> None:
-        """Two operators race, and an old change arrives again.
+        """The document with the highest version stays, whatever the order of changes.
 
-        Whatever the order, what was published under the highest number stays, with the
-        content that came first under it.
+        Operators may publish concurrently, and old changes may arrive again. Of two
+        contents with the same version, the first one is kept.
         """
         for name, versions, expected in (
             ("in order", [1, 2, 5], (5, b"2")),
-            ("an old one again", [5, 1, 2], (5, b"0")),
-            ("other content under the number held", [3, 3], (3, b"0")),
+            ("older versions later", [5, 1, 2], (5, b"0")),
+            ("different content for one version", [3, 3], (3, b"0")),
         ):
             with self.subTest(name):
                 state = RoutingState()
@@ -60,7 +60,7 @@
 
 
 class RolloutTest(unittest.TestCase):
-    """Orders, steps and ends of a move."""
+    """Orders, steps and outcomes of roll-outs."""
 
     def test_commands(self) -> None:
         grow = GrowRollout(service="chat", target="v2", ordered_at=100.0, share=0.3)
@@ -75,21 +75,25 @@
             service="chat", target="v2", ordered_at=50.0, completed=False
         )
         cases: tuple[tuple[str, list[RoutingCommand], tuple[str, str, float]], ...] = (
-            ("ordered", [start()], ("v2", "in_progress", 0.0)),
-            ("grown", [start(), grow], ("v2", "in_progress", 0.3)),
-            ("never shrinks", [start(), grow, shrink], ("v2", "in_progress", 0.3)),
+            ("started", [start()], ("v2", "in_progress", 0.0)),
+            ("share raised", [start(), grow], ("v2", "in_progress", 0.3)),
+            (
+                "share never decreases",
+                [start(), grow, shrink],
+                ("v2", "in_progress", 0.3),
+            ),
             ("completed", [start(), complete], ("v2", "completed", 1.0)),
             ("reverted", [start(), grow, revert], ("v2", "reverted", 0.0)),
-            ("ends once", [start(), complete, revert], ("v2", "completed", 1.0)),
-            ("an older order's end", [start(), stale], ("v2", "in_progress", 0.0)),
+            ("finishes once", [start(), complete, revert], ("v2", "completed", 1.0)),
+            ("outcome of an older order", [start(), stale], ("v2", "in_progress", 0.0)),
             ("a resend", [start(), grow, start(at=102.0)], ("v2", "in_progress", 0.3)),
             (
-                "a resend when done",
+                "a resend after completion",
                 [start(), complete, start(at=102.0)],
                 ("v2", "completed", 1.0),
             ),
             (
-                "a new try",
+                "a new attempt",
                 [start(), revert, start(at=200.0)],
                 ("v2", "in_progress", 0.0),
             ),
--- a/tests/state/test_storage.py
+++ b/tests/state/test_storage.py
@@ -1,4 +1,4 @@
-"""Storage on real files: whole batches, clear errors, nothing made up."""
+"""Tests of the storage on real files: atomic batches, damage and disk errors."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 class StorageTest(unittest.TestCase):
-    """One file in a folder of its own."""
+    """Storage of a group in a temporary folder."""
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
@@ -87,10 +87,10 @@
         self.assertEqual(loaded.entries, ENTRIES[2:])
 
     def test_a_snapshot_in_pieces_is_used_once_complete(self) -> None:
-        """The process ends between two pieces of a snapshot.
+        """A process that ends between two pieces keeps the previous snapshot.
 
-        The former snapshot and the entries after it must still be there; a restart
-        on half a state would lose accepted changes.
+        The previous snapshot and the entries after it must still be present; restarting
+        from half a state would lose accepted changes.
         """
         self.write_all()
         self.store.write(Batch(snapshot=SNAPSHOT, base_index=2, base_term=1))
@@ -136,10 +136,10 @@
             open_store(self.folder, "other")
 
     def test_a_torn_tail_leaves_whole_batches(self) -> None:
-        """Power is lost amid a write: any part of its bytes may be on the disk.
+        """After a power loss during a write any part of its bytes may be on the disk.
 
-        The batch was not promised yet. It must be there whole or not at all; half
-        of it would be a log with a vote that doesn't belong to it.
+        The batch was not acknowledged yet and must be loaded completely or not at all;
+        half of it would be a log with a vote that doesn't belong to it.
         """
         self.write_all()
         before = self.store.load()
@@ -161,9 +161,9 @@
                     self.assertEqual(loaded == after, cut == end)
 
     def test_a_full_disk_raises_an_error_and_keeps_the_contents(self) -> None:
-        """The folder's disk is full amid a batch; later there is room again.
+        """A batch that fills the disk fails and leaves the stored data unchanged.
 
-        The batch must fail with our error, so that nothing is promised on it, and a
+        It must raise ``StorageError``, so that nothing in it is acknowledged, and a
         restart must find what was synced before.
         """
         self.write_all()
@@ -181,10 +181,10 @@
         self.assertEqual(self.reopen(), before)
 
     def test_every_commit_is_synced_and_so_is_the_folder(self) -> None:
-        """Power is lost right after a promise.
+        """Power may be lost right after a batch was acknowledged.
 
-        Without the sync of the file the promise is gone; without that of the folder
-        the file itself is, and the member starts as if it had promised nothing.
+        Without the sync of the file the batch is lost; without the sync of the folder
+        the file itself is, and the member starts without its term, vote and log.
         """
         synced: list[bool] = []
 
@@ -213,9 +213,9 @@
         self.assertEqual(other.load(), Loaded())
 
     def test_a_group_of_one_restarts_with_all_accepted_changes(self) -> None:
-        """Hundreds of changes are accepted, one a flush; the process ends.
+        """A restarted process has all accepted changes, in order.
 
-        It starts again from its folder and must hold every change, in order.
+        Hundreds of changes are accepted, one per flush, before the process ends.
         """
         node = Node("solo")
         group = self.open_solo(node)
@@ -234,10 +234,10 @@
         self.assertEqual([c for _, c in node.applied], [c for _, c in applied])
 
     def test_a_crash_during_a_snapshot_loses_nothing(self) -> None:
-        """A large state is written in pieces, and the process ends after any of them.
+        """The process may end after any piece of a snapshot of a large state.
 
-        It must start on the former snapshot and the log since; the entries before
-        the new one may go only once all its pieces are there.
+        It must start from the previous snapshot and the log since then; the entries
+        before the new snapshot may be dropped only once all its pieces are written.
         """
         node = Node("solo")
         accepted: list[bytes] = []
@@ -272,7 +272,7 @@
 
 
 def load_copy(folder: Path, database: bytes, journal: bytes) -> Loaded:
-    """Return what a store finds in files with these bytes."""
+    """Return what a store loads from files with these contents."""
     folder.mkdir(exist_ok=True)
     (folder / "main.sqlite").write_bytes(database)
     (folder / "main.sqlite-wal").write_bytes(journal)
--- a/tests/state/test_storage_model.py
+++ b/tests/state/test_storage_model.py
@@ -1,4 +1,4 @@
-"""Random batches leave the same on files as in the memory that other tests use."""
+"""Random batches give equal contents in files and in the fake store of other tests."""
 
 from __future__ import annotations
 
@@ -41,12 +41,12 @@
     ("install", 0, 100),
     ("compact", 0, 2 * PIECE_BYTES),
 ]
-"""A snapshot is in use, and one of the same index is half written when all stops. The
-file was unreadable afterwards: the new piece had taken the place of the old one."""
+"""A process ends while it writes a snapshot with the index of the one in use. The file
+was then unreadable, because the new piece had replaced one of the old snapshot."""
 
 
 def make_batches(stored: Loaded, kind: str, count: int, size: int) -> list[Batch]:
-    """Return the batches that a member would write in this state."""
+    """Return the batches that a member would write with these stored contents."""
     term = stored.hard_state.term + 1
     state = HardState(term, f"candidate {count}")
     last = stored.base_index + len(stored.entries)
@@ -85,7 +85,7 @@
 
 
 class StorageModelTest(unittest.TestCase):
-    """Files and memory side by side."""
+    """The same batches are written to files and to the fake store."""
 
     @settings(max_examples=25)
     @given(draws=DRAWS)
