--- a/src/waxwingwell/state/attempts.py
+++ b/src/waxwingwell/state/attempts.py
@@ -20,14 +20,14 @@
 ENDED_RETENTION = 900.0
 """Minimum seconds for which the id of an ended attempt is kept."""
 
-MAX_ENDED_PER_PERIOD = 500_000
+MAX_ENDED_PER_GENERATION = 500_000
 """Ids per generation; a new generation starts early once it is reached."""
 
 
 def note_ended(ledger: Ledger, request: str) -> None:
     """Record the request id of an attempt that ended."""
-    if len(ledger.ended) >= MAX_ENDED_PER_PERIOD:
-        _start_period(ledger)
+    if len(ledger.ended) >= MAX_ENDED_PER_GENERATION:
+        _start_generation(ledger)
 
     ledger.ended[request] = None
 
@@ -40,10 +40,10 @@
 def rotate_ended(ledger: Ledger) -> None:
     """Discard the older generation once the current one is old enough."""
     if ledger.clock - ledger.ended_since >= ENDED_RETENTION:
-        _start_period(ledger)
+        _start_generation(ledger)
 
 
-def _start_period(ledger: Ledger) -> None:
+def _start_generation(ledger: Ledger) -> None:
     """Make the current generation the older one and start an empty one."""
     ledger.ended_before = ledger.ended
     ledger.ended = {}
--- a/src/waxwingwell/state/audit.py
+++ b/src/waxwingwell/state/audit.py
@@ -19,7 +19,10 @@
 
 
 MAX_AUDIT_ROWS = 20_000
+"""Rows of the audit trail; up to a tenth more are kept between two cleanups."""
+
 MAX_PAST_ANSWERS = 100
+"""Revisions of the answers kept for each workspace."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -88,8 +91,8 @@
     table: AuditTable, change: ApplyAnswers, outcome: Accepted
 ) -> None:
     """Store an accepted revision and drop the oldest ones beyond the bound."""
-    kept = table.answers.setdefault(change.config.workspace, [])
-    kept.append(
+    revisions = table.answers.setdefault(change.config.workspace, [])
+    revisions.append(
         PastAnswers(
             revision=outcome.revision,
             operator=change.operator,
@@ -98,4 +101,4 @@
             answers=change.answers,
         )
     )
-    del kept[:-MAX_PAST_ANSWERS]
+    del revisions[:-MAX_PAST_ANSWERS]
--- a/src/waxwingwell/state/catalogue.py
+++ b/src/waxwingwell/state/catalogue.py
@@ -70,17 +70,17 @@
 
 
 def name_workspace(workspace: str) -> str:
-    """Return the subject of a workspace's configuration."""
+    """Return the subject key of a workspace's configuration."""
     return f"workspace:{workspace}"
 
 
 def name_version(version: str) -> str:
-    """Return the subject of a version in the catalogue."""
+    """Return the subject key of a version in the catalogue."""
     return f"version:{version}"
 
 
 def name_rollout(model: str) -> str:
-    """Return the subject of a model's roll-outs."""
+    """Return the subject key of a model's roll-outs."""
     return f"rollout:{model}"
 
 
--- a/src/waxwingwell/state/configuration.py
+++ b/src/waxwingwell/state/configuration.py
@@ -139,7 +139,7 @@
 
 
 def collect_findings(table: ConfigTable, change: ConfigChange) -> list[Finding]:
-    """Return all validation findings for a change, each with its place."""
+    """Return all validation findings for a change, each with the field concerned."""
     match change:
         case ApplyAnswers():
             return workspaces.check_answers(table, change)
--- a/src/waxwingwell/state/demand.py
+++ b/src/waxwingwell/state/demand.py
@@ -22,7 +22,7 @@
 """Seconds without a message after which an entry's last sequence is forgotten."""
 
 MAX_SENDERS = 4096
-"""Entries tracked; beyond it the least recently heard one is dropped."""
+"""Maximum entries tracked; beyond it the least recent ones are dropped."""
 
 
 @dataclass(slots=True)
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True)
 class DemandMemory:
-    """The latest message of each other entry, least recently heard first."""
+    """The latest message of each other entry, least recently received first."""
 
     rows: dict[EntryId, EntryDemand] = field(default_factory=dict)
 
--- a/src/waxwingwell/state/evidence.py
+++ b/src/waxwingwell/state/evidence.py
@@ -19,7 +19,7 @@
 
 
 MAX_SENDERS = 4096
-"""Most recently heard entries whose last sequence is remembered."""
+"""Maximum entries whose last sequence is kept; the least recent ones are dropped."""
 
 EvidenceKey = tuple[WorkspaceId, str, VersionId]
 """Workspace, kind of work, version."""
@@ -39,7 +39,7 @@
 
     totals: dict[EvidenceKey, Evidence] = field(default_factory=dict)
     senders: dict[EntryId, Sender] = field(default_factory=dict)
-    """Last increments by entry, least recently heard first."""
+    """Last increments by entry, least recently received first."""
 
 
 def record_evidence(table: EvidenceTable, command: RecordEvidence) -> Recorded:
--- a/src/waxwingwell/state/group_changes.py
+++ b/src/waxwingwell/state/group_changes.py
@@ -101,9 +101,9 @@
 
 def find_member(membership: Membership, member: str) -> str:
     """Return the id of a member given by id or by name, or the empty string."""
-    for known in membership.voters + membership.learners:
-        if member in (known, name_of(known)):
-            return known
+    for candidate in membership.voters + membership.learners:
+        if member in (candidate, name_of(candidate)):
+            return candidate
 
     return ""
 
@@ -122,4 +122,4 @@
 def forbid_name(group: Group, name: str) -> None:
     """Stop allowing members of that name to join."""
     names = group.replica.names
-    group.replica.names = tuple(known for known in names if known != name)
+    group.replica.names = tuple(candidate for candidate in names if candidate != name)
--- a/src/waxwingwell/state/group_flush.py
+++ b/src/waxwingwell/state/group_flush.py
@@ -199,8 +199,8 @@
     if pending is None:
         return
 
-    same = pending.term == entry.term
-    pending.done(Committed(index, result) if same else ProposalLost())
+    same_term = pending.term == entry.term
+    pending.done(Committed(index, result) if same_term else ProposalLost())
 
 
 def log_expulsion(group: Group) -> None:
--- a/src/waxwingwell/state/group_opening.py
+++ b/src/waxwingwell/state/group_opening.py
@@ -148,7 +148,7 @@
 
     A member that restarts within a leader's lease must not vote, or two leaders would
     hold a lease. It doesn't know whether a lease is valid, so it behaves as if it had
-    heard from a leader at ``heard_at``.
+    received a message from a leader at ``heard_at``.
     """
     if is_empty(replica):
         tend_founding(replica, now)
--- a/src/waxwingwell/state/images.py
+++ b/src/waxwingwell/state/images.py
@@ -159,11 +159,11 @@
         repeatable_kept=deque(saved.repeatable_kept),
         others_kept=deque(saved.others_kept),
         answers_kept=deque(saved.answers_kept),
-        answer_bytes=_count_answers(saved.rows),
+        response_bytes=_count_response_bytes(saved.rows),
         bills=BillTable({(row.workspace, row.version): row for row in saved.bills}),
     )
 
 
-def _count_answers(rows: list[LedgerRow]) -> int:
-    """Return the total bytes of all stored answers."""
+def _count_response_bytes(rows: list[LedgerRow]) -> int:
+    """Return the total bytes of all stored responses."""
     return sum(len(row.answer.body) for row in rows if row.answer is not None)
--- a/src/waxwingwell/state/leases.py
+++ b/src/waxwingwell/state/leases.py
@@ -248,7 +248,7 @@
 
 
 def begin_renewal(lease: ConfigLease, now: float) -> Renewal:
-    """Return a renewal to send immediately; its lease will count from ``now``."""
+    """Return a renewal to send immediately; its lease will start at ``now``."""
     lease.last_number += 1
     lease.sent[lease.last_number] = now
     while len(lease.sent) > MAX_PENDING_RENEWALS:
@@ -268,7 +268,7 @@
     """Apply a granted lease; return whether the entry may now admit work.
 
     A grant is ignored if its renewal is unknown or it is for a newer configuration. The
-    lease counts from sending the renewal, not from ``now``: a delayed response would
+    lease starts when the renewal was sent, not at ``now``: a delayed response would
     otherwise extend it beyond the expiry that the leader assumes. Responses may arrive
     in any order.
     """
--- a/src/waxwingwell/state/retention.py
+++ b/src/waxwingwell/state/retention.py
@@ -2,8 +2,8 @@
 
 Times are in seconds of the ledger's own clock, the latest time stamp of any command.
 Rows of repeatable requests are kept for ``REPEATABLE_RETENTION`` after they were
-closed, all others with their stored answer for ``REPLAY_WINDOW``. When stored answers
-exceed ``ANSWER_BUDGET``, the oldest ones are dropped while their rows are kept.
+closed, all others with their stored response for ``REPLAY_WINDOW``. When stored
+responses exceed ``RESPONSE_BUDGET``, the oldest are dropped while their rows are kept.
 """
 
 from __future__ import annotations
@@ -42,8 +42,8 @@
 row with a single command.
 """
 
-ANSWER_BUDGET = 64 * 1024 * 1024
-"""Maximum total bytes of stored answers."""
+RESPONSE_BUDGET = 64 * 1024 * 1024
+"""Maximum total bytes of stored responses."""
 
 MAX_DROPS_PER_COMMAND = 8
 """Maximum expired rows that one command drops, so that no command takes long."""
@@ -64,8 +64,8 @@
 
     if row.answer is not None:
         ledger.answers_kept.append(retained)
-        ledger.answer_bytes += len(row.answer.body)
-        _evict_answers(ledger)
+        ledger.response_bytes += len(row.answer.body)
+        _evict_responses(ledger)
 
     return ledger.rows[row_key]
 
@@ -92,16 +92,16 @@
     add_row(ledger.bills, row)
 
 
-def _evict_answers(ledger: Ledger) -> None:
-    """Drop the oldest stored answers until they fit the budget."""
-    while ledger.answer_bytes > ANSWER_BUDGET:
+def _evict_responses(ledger: Ledger) -> None:
+    """Drop the oldest stored responses until they fit the budget."""
+    while ledger.response_bytes > RESPONSE_BUDGET:
         oldest = ledger.answers_kept.popleft()
         row_key = (oldest.workspace, oldest.key)
         row = ledger.rows.get(row_key)
         if row is None or row.request != oldest.request or row.answer is None:
             continue
 
-        ledger.answer_bytes -= len(row.answer.body)
+        ledger.response_bytes -= len(row.answer.body)
         ledger.rows[row_key] = replace(row, answer=None)
 
 
@@ -115,12 +115,12 @@
     for queue in (ledger.repeatable_kept, ledger.others_kept):
         _drop_rows(ledger, queue)
 
-    answers = ledger.answers_kept
+    responses = ledger.answers_kept
     for _ in range(MAX_DROPS_PER_COMMAND):
-        if not answers or answers[0].drop_at > ledger.clock:
+        if not responses or responses[0].drop_at > ledger.clock:
             return
 
-        answers.popleft()
+        responses.popleft()
 
 
 def _drop_rows(ledger: Ledger, queue: deque[Retained]) -> None:
@@ -139,7 +139,7 @@
             bill_row(ledger, row_key, row)
 
         if row.answer is not None:
-            ledger.answer_bytes -= len(row.answer.body)
+            ledger.response_bytes -= len(row.answer.body)
 
         note_ended(ledger, row.request)
         del ledger.rows[row_key]
--- a/src/waxwingwell/state/rows.py
+++ b/src/waxwingwell/state/rows.py
@@ -47,5 +47,5 @@
     repeatable_kept: deque[Retained] = field(default_factory=deque)
     others_kept: deque[Retained] = field(default_factory=deque)
     answers_kept: deque[Retained] = field(default_factory=deque)
-    answer_bytes: int = 0
+    response_bytes: int = 0
     bills: BillTable = field(default_factory=BillTable)
--- a/src/waxwingwell/state/storage.py
+++ b/src/waxwingwell/state/storage.py
@@ -172,8 +172,8 @@
     through overwriting pieces in use, the file would be unreadable and the member would
     have lost its vote. Such pieces are therefore skipped.
     """
-    used = database.execute("SELECT place FROM snapshot").fetchone()
-    if used is None or piece.index > used[0]:
+    current = database.execute("SELECT place FROM snapshot").fetchone()
+    if current is None or piece.index > current[0]:
         write_piece(database, piece)
 
 
--- a/src/waxwingwell/state/storage_load.py
+++ b/src/waxwingwell/state/storage_load.py
@@ -111,12 +111,14 @@
     if loaded.snapshot and loaded.snapshot.index < loaded.base_index:
         raise CorruptStorageError(f"{path}: entries after the snapshot are missing")
 
-    held = loaded.base_index + len(loaded.entries)
-    if loaded.snapshot and held < loaded.snapshot.index:
+    last_index = loaded.base_index + len(loaded.entries)
+    if loaded.snapshot and last_index < loaded.snapshot.index:
         raise CorruptStorageError(f"{path}: entries before the snapshot are missing")
 
     if loaded.entries and loaded.entries[-1].term > loaded.hard_state.term:
-        raise CorruptStorageError(f"{path}: an entry is of a later term than any known")
+        raise CorruptStorageError(
+            f"{path}: a log entry has a later term than the hard state"
+        )
 
 
 def convert_error(
--- a/tests/state/test_ledger.py
+++ b/tests/state/test_ledger.py
@@ -269,7 +269,7 @@
                 self.advance_clock(state, 11.0 + kept)
                 self.assertNotIn(ROW_KEY, state.ledger.rows)
                 self.assertEqual(sum_bills(state), (1, 7))
-                self.assertEqual(state.ledger.answer_bytes, 0)
+                self.assertEqual(state.ledger.response_bytes, 0)
                 self.assertFalse(state.ledger.answers_kept)
 
     def test_settle_is_resent_after_its_row_was_dropped(self) -> None:
@@ -336,9 +336,9 @@
         apply_command(state, settle("r1", at=365 * 86_400.0))
         self.assertIsInstance(apply_command(state, reserve("r2")), AlreadySettled)
 
-    def test_stored_answers_stay_within_budget(self) -> None:
+    def test_stored_responses_stay_within_budget(self) -> None:
         state = ControlState()
-        with mock.patch.object(retention, "ANSWER_BUDGET", 250):
+        with mock.patch.object(retention, "RESPONSE_BUDGET", 250):
             for number in range(5):
                 key = f"order-{number}"
                 apply_command(state, reserve(f"r{number}", key=key))
@@ -346,5 +346,5 @@
 
         kept = [row.answer is not None for row in state.ledger.rows.values()]
         self.assertEqual(kept, [False, False, False, True, True])
-        self.assertEqual(state.ledger.answer_bytes, 200)
+        self.assertEqual(state.ledger.response_bytes, 200)
         self.assertEqual(load_state(save_state(state)), state)
