--- a/src/waxwingwell/state/configuration.py
+++ b/src/waxwingwell/state/configuration.py
@@ -46,7 +46,7 @@
 expected revision is outdated, so that no change is applied twice.
 """
 
-MAX_NAME = 256
+MAX_NAME_LENGTH = 256
 """Maximum characters in a change id or an operator's name."""
 
 DIGEST_SIZE = 16
@@ -155,11 +155,11 @@
 
 def _check_header(change: Change) -> list[Finding]:
     """Return findings for the fields that all changes have."""
-    text = f"must have 1 to {MAX_NAME} characters"
+    text = f"must have 1 to {MAX_NAME_LENGTH} characters"
     return [
         Finding(place, text)
         for place in ("change_id", "operator")
-        if not 0 < len(getattr(change, place)) <= MAX_NAME
+        if not 0 < len(getattr(change, place)) <= MAX_NAME_LENGTH
     ]
 
 
--- a/src/waxwingwell/state/ledger.py
+++ b/src/waxwingwell/state/ledger.py
@@ -46,7 +46,7 @@
 MAX_ROWS = 500_000
 """Maximum open and settled rows; see docs/CAPACITY.md for their memory use."""
 
-MAX_KEY = 256
+MAX_KEY_LENGTH = 256
 """Maximum characters in a request key."""
 
 ReserveOutcome = Reserved | AlreadyOpen | AlreadySettled | Rejected
@@ -103,8 +103,8 @@
 ) -> list[Finding]:
     """Return all validation findings for a reservation."""
     findings = []
-    if not 0 < len(row.key) <= MAX_KEY:
-        findings.append(Finding("key", f"a key has 1 to {MAX_KEY} characters"))
+    if not 0 < len(row.key) <= MAX_KEY_LENGTH:
+        findings.append(Finding("key", f"a key has 1 to {MAX_KEY_LENGTH} characters"))
 
     if not row.request:
         findings.append(Finding("request", "a reservation needs a request id"))
