--- a/src/waxwingwell/state/membership.py
+++ b/src/waxwingwell/state/membership.py
@@ -25,7 +25,7 @@
 
 
 MAX_LEASE = 30.0
-"""Maximum lease in seconds that an upstream can request."""
+"""Upper bound in seconds of the lease that an upstream requests."""
 
 TOMBSTONE_RETENTION = 600.0
 """Seconds for which an upstream that left is kept after its lease expired."""
--- a/src/waxwingwell/state/rollouts.py
+++ b/src/waxwingwell/state/rollouts.py
@@ -1,4 +1,4 @@
-"""Changes of a roll-out: each stage advances or reverts it, and it ends once.
+"""Changes of a roll-out: it advances by one stage or goes back, and ends once.
 
 Allowed transitions by current status:
 
--- a/src/waxwingwell/state/storage.py
+++ b/src/waxwingwell/state/storage.py
@@ -36,9 +36,9 @@
 BUSY_TIMEOUT = 0.2
 """Seconds to wait for a previous process of the member to release the lock."""
 MAX_PIECES_DROPPED = 3
-"""Obsolete snapshot pieces dropped per written piece."""
-MIN_ENTRIES_DROPPED = 100
-"""Obsolete entries dropped per write, in addition to twice the number written."""
+"""Maximum obsolete snapshot pieces dropped with each staged piece."""
+EXTRA_ENTRIES_DROPPED = 100
+"""Obsolete entries that a write drops in addition to twice the number it writes."""
 SCHEMA = """
 CREATE TABLE IF NOT EXISTS marker (
     id INTEGER PRIMARY KEY CHECK (id = 1),
@@ -217,7 +217,7 @@
         for index, entry in enumerate(batch.entries, start=batch.first)
     ]
     database.executemany("INSERT INTO entry VALUES (?, ?, ?, ?, ?)", rows)
-    drop_old_entries(database, 2 * len(rows) + MIN_ENTRIES_DROPPED)
+    drop_old_entries(database, 2 * len(rows) + EXTRA_ENTRIES_DROPPED)
 
 
 def drop_old_entries(database: sqlite3.Connection, limit: int) -> None:
--- a/tests/state/runs/test_configuration.py
+++ b/tests/state/runs/test_configuration.py
@@ -71,10 +71,12 @@
         after = self.state.config.config_version
         assert after == before + isinstance(outcome, Accepted)
         if isinstance(command, Change) and isinstance(outcome, Accepted):
-            place = (outcome.subject, outcome.revision)
+            subject_revision = (outcome.subject, outcome.revision)
             assert outcome.revision == command.expected_revision + 1, outcome
-            assert place not in self.accepted, f"two predecessors of {place}"
-            self.accepted[place] = command.change_id
+            assert subject_revision not in self.accepted, (
+                f"two predecessors of {subject_revision}"
+            )
+            self.accepted[subject_revision] = command.change_id
 
         if isinstance(outcome, Conflict):
             assert outcome.current
--- a/tests/state/runs/test_leases.py
+++ b/tests/state/runs/test_leases.py
@@ -120,10 +120,10 @@
     @rule(data=st.data(), duplicate=st.booleans())
     def deliver_request(self, data: st.DataObject, duplicate: bool) -> None:
         simulation = self.simulation
-        place = data.draw(st.integers(0, len(simulation.requests) - 1))
-        request = simulation.requests[place]
+        index = data.draw(st.integers(0, len(simulation.requests) - 1))
+        request = simulation.requests[index]
         if not duplicate:
-            del simulation.requests[place]
+            del simulation.requests[index]
 
         response = self.ask_leader(request.message)
         simulation.responses.append(Response(request.process, request.number, response))
@@ -132,10 +132,10 @@
     @rule(data=st.data(), duplicate=st.booleans())
     def deliver_response(self, data: st.DataObject, duplicate: bool) -> None:
         simulation = self.simulation
-        place = data.draw(st.integers(0, len(simulation.responses) - 1))
-        item = simulation.responses[place]
+        index = data.draw(st.integers(0, len(simulation.responses) - 1))
+        item = simulation.responses[index]
         if not duplicate:
-            del simulation.responses[place]
+            del simulation.responses[index]
 
         lease = item.process.lease
         if isinstance(item.response, LeaseBehind):
--- a/tests/state/runs/test_ledger.py
+++ b/tests/state/runs/test_ledger.py
@@ -62,7 +62,7 @@
     incarnations: dict[EntryId, int] = field(default_factory=lambda: {BOLE: 1, CMC: 1})
     attempts: dict[str, Attempt] = field(default_factory=dict)
     in_transit: list[Command] = field(default_factory=list)
-    dispatch_counts: Counter[str] = field(default_factory=Counter)
+    dispatched_keys: Counter[str] = field(default_factory=Counter)
     """Number of dispatches by key."""
     settled: set[str] = field(default_factory=set)
     """Requests whose settle reached the ledger, even if late."""
@@ -107,10 +107,10 @@
         self, data: st.DataObject, duplicate: bool, response_lost: bool
     ) -> None:
         simulation = self.simulation
-        place = data.draw(st.integers(0, len(simulation.in_transit) - 1))
-        command = simulation.in_transit[place]
+        index = data.draw(st.integers(0, len(simulation.in_transit) - 1))
+        command = simulation.in_transit[index]
         if not duplicate:
-            del simulation.in_transit[place]
+            del simulation.in_transit[index]
 
         self.apply(command, response_lost=response_lost)
 
@@ -144,7 +144,7 @@
             st.sampled_from(self.list_reserved_attempts(dispatched=False))
         )
         attempt.dispatched = True
-        self.simulation.dispatch_counts[attempt.key] += 1
+        self.simulation.dispatched_keys[attempt.key] += 1
 
     @precondition(lambda self: self.list_reserved_attempts(dispatched=True))
     @rule(data=st.data(), delayed=st.booleans())
@@ -217,13 +217,13 @@
 
     @invariant()
     def orders_run_at_most_once(self) -> None:
-        for key, count in self.get_world().dispatch_counts.items():
+        for key, count in self.get_simulation().dispatched_keys.items():
             if key.startswith("order"):
                 assert count <= 1, f"{key} ran {count} times"
 
     @invariant()
     def requests_reported_not_run_did_not_run(self) -> None:
-        simulation = self.get_world()
+        simulation = self.get_simulation()
         for request in simulation.reported_not_run:
             assert not simulation.attempts[request].dispatched
 
@@ -234,7 +234,7 @@
     @invariant()
     def open_rows_belong_to_unsettled_attempts(self) -> None:
         """Check that no open row belongs to an attempt that was already settled."""
-        simulation = self.get_world()
+        simulation = self.get_simulation()
         for row in simulation.state.ledger.rows.values():
             if row.status is RowStatus.OPEN:
                 assert row.request not in simulation.settled, (
@@ -243,7 +243,7 @@
 
     @invariant()
     def each_key_is_billed_once(self) -> None:
-        state = self.get_world().state
+        state = self.get_simulation().state
         rows = state.ledger.rows.values()
         final = [
             row
@@ -255,12 +255,12 @@
         bills = list_bills(state.ledger.bills)
         assert sum(bill.requests for bill in bills) == len(final)
         assert sum(bill.cost for bill in bills) == sum(row.usage.cost for row in final)
-        dispatch_counts = sum(
-            count > 0 for count in self.get_world().dispatch_counts.values()
+        dispatched_keys = sum(
+            count > 0 for count in self.get_simulation().dispatched_keys.values()
         )
-        assert sum(bill.completed for bill in bills) <= dispatch_counts
+        assert sum(bill.completed for bill in bills) <= dispatched_keys
 
-    def get_world(self) -> Simulation:
+    def get_simulation(self) -> Simulation:
         return self.simulation if hasattr(self, "simulation") else Simulation()
 
 
--- a/tests/state/runs/test_membership.py
+++ b/tests/state/runs/test_membership.py
@@ -105,10 +105,10 @@
         self, data: st.DataObject, number: int, duplicate: bool
     ) -> None:
         simulation = self.simulation
-        place = data.draw(st.integers(0, len(simulation.direct) - 1))
-        announced = simulation.direct[place]
+        index = data.draw(st.integers(0, len(simulation.direct) - 1))
+        announced = simulation.direct[index]
         if not duplicate:
-            del simulation.direct[place]
+            del simulation.direct[index]
 
         simulation.received[
             (announced.upstream, announced.incarnation, announced.sequence)
@@ -134,10 +134,10 @@
     @rule(data=st.data(), duplicate=st.booleans())
     def deliver_relay(self, data: st.DataObject, duplicate: bool) -> None:
         simulation = self.simulation
-        place = data.draw(st.integers(0, len(simulation.relays) - 1))
-        relay = simulation.relays[place]
+        index = data.draw(st.integers(0, len(simulation.relays) - 1))
+        relay = simulation.relays[index]
         if not duplicate:
-            del simulation.relays[place]
+            del simulation.relays[index]
 
         delay = simulation.time - relay.sent_at
         take_spread(
@@ -166,7 +166,7 @@
 
     @invariant()
     def leases_count_from_the_announcement(self) -> None:
-        simulation = self.get_world()
+        simulation = self.get_simulation()
         for tables in simulation.entries:
             for name, row in tables.upstreams.items():
                 announced = row.announcement
@@ -183,7 +183,7 @@
 
     @invariant()
     def ranks_never_decrease(self) -> None:
-        simulation = self.get_world()
+        simulation = self.get_simulation()
         for tables, ranks in zip(simulation.entries, simulation.ranks, strict=True):
             for name, row in tables.upstreams.items():
                 announced = row.announcement
@@ -193,12 +193,12 @@
                 )
                 ranks[name] = rank
 
-    def get_world(self) -> Simulation:
+    def get_simulation(self) -> Simulation:
         return self.simulation if hasattr(self, "simulation") else Simulation()
 
     def get_views(self) -> tuple[list[Tables], list[dict[UpstreamId, int]]]:
         """Return the entries' tables and the leaving incarnations each one received."""
-        return self.get_world().entries, self.get_world().left
+        return self.get_simulation().entries, self.get_simulation().left
 
 
 class MembershipRunTest(RunTestCase):
