--- a/src/waxwingwell/state/fencing.py
+++ b/src/waxwingwell/state/fencing.py
@@ -44,7 +44,7 @@
     """Refuse orders below a leader's term from now on.
 
     An entry that has not yet seen an order of the new leader would otherwise still
-    forward orders of the old one. An entry that may forward orders has a lease, and a
-    lease that has not expired was granted by the new leader.
+    forward orders of the old one. By the time the new leader sends orders, the entry's
+    lease was either granted by that leader, with its term, or has expired.
     """
     memory.floor = max(memory.floor, term)
