--- a/src/waxwingwell/state/storage.py
+++ b/src/waxwingwell/state/storage.py
@@ -1,8 +1,8 @@
-"""Durable storage of one group in one SQLite file under the data folder.
+"""Durable storage of a group in one SQLite file in the data folder.
 
-A batch is one transaction with ``synchronous=FULL``: whole and synced, or not at
-all. The lock is exclusive: a second process on the folder is turned away, and
-SQLite then keeps the index of its write-ahead log in plain memory.
+A batch is one transaction with ``synchronous=FULL``: either it is complete and synced,
+or it has no effect. The exclusive lock refuses a second process on the same folder and
+lets SQLite keep the index of its write-ahead log in process memory.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 import msgspec
 
 from .exceptions import StorageError
-from .storage_load import describe
+from .storage_load import convert_error
 from .storage_load import load_all
 from .storage_records import Batch
 from .storage_records import Piece
@@ -33,11 +33,12 @@
 
 
 GROUP_ID = re.compile(r"[a-z0-9][a-z0-9-]*")
-BUSY_SECONDS = 0.2
-"""How long to wait for a former process of the same member to let go."""
-PIECES_DROPPED = 3
-ENTRIES_DROPPED = 100
-"""At each write of entries, and twice as many as were written."""
+BUSY_TIMEOUT = 0.2
+"""Seconds to wait for a previous process of the member to release the lock."""
+MAX_PIECES_DROPPED = 3
+"""Maximum obsolete snapshot pieces dropped with each staged piece."""
+EXTRA_ENTRIES_DROPPED = 100
+"""Obsolete entries that a write drops in addition to twice the number it writes."""
 SCHEMA = """
 CREATE TABLE IF NOT EXISTS marker (
     id INTEGER PRIMARY KEY CHECK (id = 1),
@@ -78,9 +79,9 @@
 
 
 def open_store(folder: Path, group_id: str) -> Store:
-    """Open or create a group's file; raise ``StorageError`` if that can't be."""
+    """Open or create a group's file; raise ``StorageError`` if that fails."""
     if not GROUP_ID.fullmatch(group_id):
-        raise StorageError(f"group id {group_id!r} can't name a file")
+        raise StorageError(f"group id {group_id!r} is not a valid file name")
 
     path = folder / f"{group_id}.sqlite"
     try:
@@ -89,7 +90,7 @@
         sync_folder(folder)
         sync_folder(folder.parent)
     except sqlite3.DatabaseError as error:
-        raise describe(error, path) from error
+        raise convert_error(error, path) from error
     except OSError as error:
         raise StorageError(f"{path}: {error}") from error
 
@@ -104,7 +105,7 @@
     """Open the file with the settings that make a commit durable."""
     database = sqlite3.connect(
         path,
-        timeout=BUSY_SECONDS,
+        timeout=BUSY_TIMEOUT,
         isolation_level=None,
         check_same_thread=False,
     )
@@ -116,10 +117,10 @@
 
 
 def sync_folder(folder: Path) -> None:
-    """Make new names in a folder durable.
+    """Make new directory entries of a folder durable.
 
-    Failure: a file that was synced is gone after a power loss, since its folder
-    was not; a member would start as if it had never promised anything.
+    Without it a synced file can be missing after a power loss because its folder was
+    not synced, and the member would start without its term, vote and log.
     """
     descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     try:
@@ -129,7 +130,7 @@
 
 
 def write_batch(database: sqlite3.Connection, batch: Batch, path: Path) -> None:
-    """Write a batch as one transaction; it is synced when this returns."""
+    """Write a batch in one transaction, which is synced on return."""
     try:
         database.execute("BEGIN IMMEDIATE")
         write_state(database, batch)
@@ -143,7 +144,7 @@
 
 
 def write_state(database: sqlite3.Connection, batch: Batch) -> None:
-    """Write the small rows of a batch, and its snapshot."""
+    """Write the member id, hard state and snapshot data of a batch."""
     if batch.member is not None:
         database.execute("INSERT INTO marker VALUES (1, ?)", (batch.member,))
 
@@ -167,34 +168,34 @@
 def stage_piece(database: sqlite3.Connection, piece: Piece) -> None:
     """Write a piece of a snapshot that is not in use yet.
 
-    Failure: a snapshot is made anew at the index of the one in use, and the process
-    ends halfway. A piece written over one in use would leave a file that can't be
-    read, and the member would have lost its vote. So such a piece is left out.
+    A new snapshot may have the index of the one in use. If the process ended halfway
+    through overwriting pieces in use, the file would be unreadable and the member would
+    have lost its vote. Such pieces are therefore skipped.
     """
-    used = database.execute("SELECT place FROM snapshot").fetchone()
-    if used is None or piece.index > used[0]:
+    current = database.execute("SELECT place FROM snapshot").fetchone()
+    if current is None or piece.index > current[0]:
         write_piece(database, piece)
 
 
 def write_piece(database: sqlite3.Connection, piece: Piece) -> None:
-    """Write one piece; a former try at the same snapshot may have left one."""
+    """Write one piece, replacing one left by an earlier attempt at the snapshot."""
     row = (piece.index, piece.part, piece.data, zlib.crc32(piece.data))
     database.execute("REPLACE INTO piece VALUES (?, ?, ?, ?)", row)
 
 
 def drop_old_pieces(database: sqlite3.Connection) -> None:
-    """Drop a few pieces that no snapshot uses; all at once would take long."""
+    """Drop a few unused pieces; dropping all at once would take too long."""
     database.execute(
         "DELETE FROM piece WHERE rowid IN (SELECT rowid FROM piece WHERE place <"
         " (SELECT place FROM snapshot) LIMIT ?)",
-        (PIECES_DROPPED,),
+        (MAX_PIECES_DROPPED,),
     )
 
 
 def write_snapshot(
     database: sqlite3.Connection, snapshot: Snapshot, *, staged: bool
 ) -> None:
-    """Put a snapshot into use; its pieces are written here unless they are staged."""
+    """Activate a snapshot, and write its pieces unless they are staged."""
     parts = count_pieces(snapshot)
     if not staged:
         for part in range(parts):
@@ -206,23 +207,23 @@
 
 
 def write_entries(database: sqlite3.Connection, batch: Batch) -> None:
-    """Replace the end of the log."""
+    """Replace the log from the first entry of the batch on."""
     if batch.first is None:
         return
 
     database.execute("DELETE FROM entry WHERE place >= ?", (batch.first,))
     rows = [
-        (place, entry.term, entry.kind.value, entry.data, checksum(place, entry))
-        for place, entry in enumerate(batch.entries, start=batch.first)
+        (index, entry.term, entry.kind.value, entry.data, checksum(index, entry))
+        for index, entry in enumerate(batch.entries, start=batch.first)
     ]
     database.executemany("INSERT INTO entry VALUES (?, ?, ?, ?, ?)", rows)
-    drop_old_entries(database, 2 * len(rows) + ENTRIES_DROPPED)
+    drop_old_entries(database, 2 * len(rows) + EXTRA_ENTRIES_DROPPED)
 
 
 def drop_old_entries(database: sqlite3.Connection, limit: int) -> None:
-    """Drop some of the entries that the snapshot stands for; reading skips the rest.
+    """Drop some of the entries covered by the snapshot; loading skips the rest.
 
-    All at once would stop the leader's turn for tens of milliseconds.
+    Dropping all at once would block the leader for tens of milliseconds.
     """
     database.execute(
         "DELETE FROM entry WHERE place IN (SELECT place FROM entry WHERE place <="
--- a/src/waxwingwell/state/workspaces.py
+++ b/src/waxwingwell/state/workspaces.py
@@ -1,4 +1,4 @@
-"""Changes of a workspace: its answers, and the configuration made from them."""
+"""Changes of a workspace: its answers and the configuration derived from them."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 
 MAX_ANSWERS = 65_536
-"""Bytes of a workspace's answers."""
+"""Maximum bytes of a workspace's answers."""
 
 
 def check_answers(table: ConfigTable, change: ApplyAnswers) -> list[Finding]:
-    """Return every reason against a workspace's new configuration."""
+    """Return all validation findings for a workspace's new configuration."""
     config = change.config
     findings = _check_allowed(table, config)
     if not config.workspace:
@@ -33,9 +33,9 @@
 
     kinds = [kind.name for kind in config.kinds]
     findings += [
-        Finding(f"kinds.{place}.name", f"the kind {name} is listed twice")
-        for place, name in enumerate(kinds)
-        if name in kinds[:place]
+        Finding(f"kinds.{index}.name", f"the kind {name} is listed twice")
+        for index, name in enumerate(kinds)
+        if name in kinds[:index]
     ]
     if kinds and config.default_kind not in kinds:
         text = f"{config.default_kind} is none of the kinds {', '.join(kinds)}"
@@ -45,37 +45,37 @@
 
 
 def _check_allowed(table: ConfigTable, config: WorkspaceConfig) -> list[Finding]:
-    """Return findings on allowed versions.
+    """Return findings for the allowed versions.
 
-    A withdrawn version may stay in the list of a workspace that had it, since
-    routing refuses it anyway; it can't be added to another.
+    A withdrawn version may stay in the list of a workspace that already has it, because
+    routing refuses it anyway; it can't be added to another workspace.
     """
     before = table.workspaces.get(config.workspace)
-    known = before.allowed if before is not None else ()
+    previously_allowed = before.allowed if before is not None else ()
     findings = []
-    for place, version in enumerate(config.allowed):
+    for index, version in enumerate(config.allowed):
         spec = table.versions.get(version)
         if spec is None:
             text = f"{version} is not in the catalogue; register it first"
-            findings.append(Finding(f"allowed.{place}", text))
+            findings.append(Finding(f"allowed.{index}", text))
             continue
 
-        if spec.status in WITHDRAWN_STATUSES and version not in known:
+        if spec.status in WITHDRAWN_STATUSES and version not in previously_allowed:
             text = f"{version} is {spec.status.value}; it takes no new work"
-            findings.append(Finding(f"allowed.{place}", text))
+            findings.append(Finding(f"allowed.{index}", text))
 
     return findings
 
 
 def store_answers(table: ConfigTable, change: ApplyAnswers) -> None:
-    """Put the answers and their configuration in place together."""
+    """Store the answers together with their configuration."""
     config = replace(change.config, revision=change.expected_revision + 1)
     table.answers[config.workspace] = change.answers
     table.workspaces[config.workspace] = config
 
 
 def describe_workspace(table: ConfigTable, change: ApplyAnswers) -> str:
-    """Return in which fields the refused configuration differs from the present."""
+    """Return the fields in which the current configuration differs from a change."""
     current = table.workspaces.get(change.config.workspace)
     if current is None:
         return "no configuration"
--- a/tests/state/test_demand.py
+++ b/tests/state/test_demand.py
@@ -1,4 +1,4 @@
-"""Tests of workspace demand as entries tell it to each other."""
+"""Tests of the workspace demand that entries report to each other."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 
 from waxwingwell.decisions.tables import Tables
 from waxwingwell.decisions.tables import WorkspaceDemand
-from waxwingwell.state.demand import DEMAND_KEPT
-from waxwingwell.state.demand import SENDER_KEPT
+from waxwingwell.state.demand import DEMAND_TIMEOUT
+from waxwingwell.state.demand import SENDER_RETENTION
 from waxwingwell.state.demand import DemandMemory
 from waxwingwell.state.demand import make_demand
 from waxwingwell.state.demand import sum_demand
@@ -30,7 +30,7 @@
 
 
 class DemandTest(unittest.TestCase):
-    def test_newest_word_of_each_entry_counts(self) -> None:
+    def test_newest_message_of_each_entry_counts(self) -> None:
         memory, tables = DemandMemory(), Tables()
         messages = (
             make_message(5, 2),
@@ -38,18 +38,18 @@
             make_message(1, 1, incarnation=2),
             make_message(8, 3),
         )
-        taken = [take_demand(memory, tables, message, 1.0) for message in messages]
-        self.assertEqual(taken, [True, False, True, False])
+        accepted = [take_demand(memory, tables, message, 1.0) for message in messages]
+        self.assertEqual(accepted, [True, False, True, False])
         demand = tables.demand[DEMO]
         self.assertEqual((demand.elsewhere_in_flight, demand.elsewhere_rate), (1, 2.0))
 
-    def test_silent_entry_stops_counting(self) -> None:
+    def test_idle_entry_stops_counting(self) -> None:
         memory, tables = DemandMemory(), Tables()
         take_demand(memory, tables, make_message(5, 1), 1.0)
-        sum_demand(memory, tables, 1.0 + DEMAND_KEPT)
+        sum_demand(memory, tables, 1.0 + DEMAND_TIMEOUT)
         self.assertEqual(tables.demand[DEMO].elsewhere_in_flight, 0)
         self.assertFalse(take_demand(memory, tables, make_message(5, 1), 2.0))
-        sum_demand(memory, tables, 1.0 + SENDER_KEPT)
+        sum_demand(memory, tables, 1.0 + SENDER_RETENTION)
         self.assertFalse(memory.rows)
 
     def test_own_demand_leaves_out_idle_workspaces(self) -> None:
--- a/tests/state/test_fencing.py
+++ b/tests/state/test_fencing.py
@@ -1,4 +1,4 @@
-"""Tests of an entry's memory of fencing numbers."""
+"""Tests of the fencing numbers tracked by an entry."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
 class FencingTest(unittest.TestCase):
     def test_old_leader_is_refused(self) -> None:
-        """A withdrawn version is loaded again by a leader that was replaced.
+        """A replaced leader must not load a withdrawn version again.
 
-        Order: leader of term 3 frozen, leader of term 4 orders, the old one wakes and
-        orders. Cause: the engine ignores fencing numbers.
+        The leader of term 3 freezes, the leader of term 4 sends orders, then the old
+        one resumes and sends its own. The engine ignores fencing numbers.
         """
         memory = FencingMemory()
-        numbers = (3, 4, 3, 4, 5, 4)
-        taken = [accept_order(memory, ENGINE, number) for number in numbers]
-        self.assertEqual(taken, [True, True, False, True, True, False])
+        fencing_numbers = (3, 4, 3, 4, 5, 4)
+        accepted = [accept_order(memory, ENGINE, number) for number in fencing_numbers]
+        self.assertEqual(accepted, [True, True, False, True, True, False])
         self.assertTrue(accept_order(memory, UpstreamId("other"), 1))
 
     def test_forgotten_upstream_keeps_the_highest_number(self) -> None:
