--- a/bench/faults.py
+++ b/bench/faults.py
@@ -62,7 +62,12 @@
 def run(folder: Path, seconds: float, seed: int, rate: float) -> int:
     """Run once and print the figures; return the number of wrong requests."""
     system = make_faulty(
-        folder, entries=3, engines=3, relayed=ENTRIES, interval=0.005, apart=True
+        folder,
+        entries=3,
+        engines=3,
+        relayed=ENTRIES,
+        interval=0.005,
+        separate_processes=True,
     )
     try:
         start_system(system)
--- a/bench/path.py
+++ b/bench/path.py
@@ -21,9 +21,9 @@
 from scripts.launcher import add_process
 from scripts.launcher import get_status
 from scripts.launcher import open_deployment
+from scripts.launcher import reserve_port
 from scripts.launcher import start_process
 from scripts.launcher import stop_all
-from scripts.launcher import take_port
 from scripts.launcher import wait_until
 from scripts.topology import CALLER_KEY
 from scripts.topology import add_controls
@@ -75,8 +75,8 @@
 
 def start_servers(deployment: Deployment, interval: float, events: int) -> None:
     """Start engine, bare hop, control and entry."""
-    engine = take_port(deployment, "engine")
-    hop = take_port(deployment, "hop")
+    engine = reserve_port(deployment, "engine")
+    hop = reserve_port(deployment, "hop")
     add_controls(deployment, 1)
     add_entries(deployment, 1, 1)
     announce = f"http://127.0.0.1:{deployment.ports['entry-1.upstreams']}"
--- a/scripts/__init__.py
+++ b/scripts/__init__.py
@@ -1,3 +1,3 @@
-"""Scripts for developers; never part of the product."""
+"""Development scripts; not part of the product."""
 
 from __future__ import annotations
--- a/scripts/faults.py
+++ b/scripts/faults.py
@@ -1,4 +1,4 @@
-"""A deployment made to fail: relays before control, faults and counts by HTTP."""
+"""A deployment for fault injection: relays in front of control, HTTP for faults."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 from .launcher import add_process
 from .launcher import kill_process
 from .launcher import open_deployment
+from .launcher import reserve_port
 from .launcher import signal_process
 from .launcher import start_process
-from .launcher import take_port
 from .launcher import wait_until
 from .launcher import write_settings
 from .topology import SERVICE
@@ -36,7 +36,9 @@
 
 CONTROLS = 3
 WORLD = "world"
-RELAYS = "world-relays"
+"""Name of the process that hosts the stand-ins."""
+RELAYS_PROCESS = "world-relays"
+"""Name of the process that hosts the relays when it is separate."""
 
 
 def make_faulty(
@@ -47,127 +49,144 @@
     relayed: tuple[str, ...],
     interval: float = 0.01,
     delay: float = 0.0,
-    apart: bool = False,
+    separate_processes: bool = False,
 ) -> Deployment:
-    """Return a noted deployment whose ``relayed`` entries reach control by relays.
+    """Return a deployment whose ``relayed`` entries reach control through relays.
 
-    ``interval`` is the engines' seconds for one token, ``delay`` the service's from
-    a run to its answer. ``apart`` gives the relays and each engine a process of their
-    own: under load, relays that share one with engines hold up what they pass on.
+    No process is started. ``interval`` is the engines' seconds for one token, ``delay``
+    the service's seconds from execution to response. ``separate_processes`` runs the
+    relays and each engine in processes of their own: under load, relays that share a
+    process with engines delay the data they forward.
     """
     deployment = open_deployment(folder)
     add_controls(deployment, CONTROLS)
     add_entries(deployment, entries, CONTROLS)
     for entry in relayed:
-        _turn_to_relays(deployment, entry)
+        _route_through_relays(deployment, entry)
 
-    nodes = name_nodes("entry", entries)
-    names = name_nodes("engine", engines)
-    built = {
+    entry_names = name_nodes("entry", entries)
+    engine_names = name_nodes("engine", engines)
+    engine_settings = {
         name: {
             "versions": VERSIONS,
             "token_interval": interval,
-            "port": take_port(deployment, f"{name}.http"),
-            "announce": _announce(deployment, name, place, nodes),
+            "port": reserve_port(deployment, f"{name}.http"),
+            "announce": _make_announce_settings(deployment, name, index, entry_names),
         }
-        for place, name in enumerate(names)
+        for index, name in enumerate(engine_names)
     }
-    relays = {
+    relay_settings = {
         f"{entry}.{control}": {
             "target": f"{HOST}:{deployment.ports[f'{control}.links']}",
-            "port": take_port(deployment, f"{entry}.{control}"),
+            "port": reserve_port(deployment, f"{entry}.{control}"),
         }
         for entry in relayed
         for control in name_nodes("control", CONTROLS)
     }
-    others = {
+    other_settings = {
         "service": {
             "service": SERVICE,
-            "port": take_port(deployment, "service-1.http"),
+            "port": reserve_port(deployment, "service-1.http"),
             "delay": delay,
-            "announce": _announce(deployment, "service-1", 0, nodes),
+            "announce": _make_announce_settings(
+                deployment, "service-1", 0, entry_names
+            ),
         },
-        "rating": {"port": take_port(deployment, "rating.http")},
+        "rating": {"port": reserve_port(deployment, "rating.http")},
         "balancer": {
-            "targets": [f"{HOST}:{deployment.ports[f'{n}.callers']}" for n in nodes],
-            "port": take_port(deployment, "balancer"),
+            "targets": [
+                f"{HOST}:{deployment.ports[f'{n}.callers']}" for n in entry_names
+            ],
+            "port": reserve_port(deployment, "balancer"),
             "interval": 0.1,
         },
     }
-    if not apart:
-        _add_world(deployment, WORLD, {"engines": built, "relays": relays, **others})
+    if not separate_processes:
+        _add_standins_process(
+            deployment,
+            WORLD,
+            {"engines": engine_settings, "relays": relay_settings, **other_settings},
+        )
         return deployment
 
-    _add_world(deployment, WORLD, others)
-    _add_world(deployment, RELAYS, {"relays": relays})
-    for name, engine in built.items():
-        _add_world(deployment, f"{WORLD}-{name}", {"engines": {name: engine}})
+    _add_standins_process(deployment, WORLD, other_settings)
+    _add_standins_process(deployment, RELAYS_PROCESS, {"relays": relay_settings})
+    for name, engine in engine_settings.items():
+        _add_standins_process(
+            deployment, f"{WORLD}-{name}", {"engines": {name: engine}}
+        )
 
     return deployment
 
 
-def _add_world(deployment: Deployment, name: str, parts: dict[str, Any]) -> None:
-    settings = {"port": take_port(deployment, name), **parts}
+def _add_standins_process(
+    deployment: Deployment, name: str, parts: dict[str, Any]
+) -> None:
+    settings = {"port": reserve_port(deployment, name), **parts}
     path = write_settings(deployment, name, settings)
     add_process(deployment, name, ["scripts.world", "--settings", str(path)])
 
 
-def revise_settings(deployment: Deployment, name: str, **fields: Any) -> None:
-    """Change some fields of a noted process's settings file."""
+def update_settings(deployment: Deployment, name: str, **fields: Any) -> None:
+    """Overwrite some fields of a process's settings file."""
     path = deployment.folder / f"{name}.json"
     settings = json.loads(path.read_text())
     path.write_text(json.dumps(settings | fields, indent=2))
 
 
-def set_faults(deployment: Deployment, place: str, **faults: Any) -> None:
+def set_faults(deployment: Deployment, path: str, **faults: Any) -> None:
     """Set the faults of ``engines/<name>``, ``relays/<name>`` or ``service``."""
-    apart = place.startswith("relays/") and RELAYS in deployment.processes
-    ask_world(deployment, place, faults, world=RELAYS if apart else WORLD)
+    has_own_process = (
+        path.startswith("relays/") and RELAYS_PROCESS in deployment.processes
+    )
+    ask_world(
+        deployment, path, faults, process=RELAYS_PROCESS if has_own_process else WORLD
+    )
 
 
-def set_relays(deployment: Deployment, entry: str, **order: Any) -> None:
-    """Give one order to all relays between an entry and control."""
+def set_relays(deployment: Deployment, entry: str, **faults: Any) -> None:
+    """Set the same faults on all relays between an entry and control."""
     for control in name_nodes("control", CONTROLS):
-        set_faults(deployment, f"relays/{entry}.{control}", **order)
+        set_faults(deployment, f"relays/{entry}.{control}", **faults)
 
 
 def read_counts(deployment: Deployment) -> dict[str, dict[str, int]]:
-    """Return runs: ``chats`` and ``calls`` by request id, ``orders`` by their id."""
-    total: dict[str, dict[str, int]] = {"chats": {}, "calls": {}, "orders": {}}
-    for world in deployment.processes:
-        if not world.startswith(WORLD):
+    """Return executions of chats and calls by request id, of orders by order id."""
+    totals: dict[str, dict[str, int]] = {"chats": {}, "calls": {}, "orders": {}}
+    for process in deployment.processes:
+        if not process.startswith(WORLD):
             continue
 
-        counts = ask_world(deployment, "counts", None, world=world)
-        for kind, runs in total.items():
+        counts = ask_world(deployment, "counts", None, process=process)
+        for kind, runs in totals.items():
             for name, number in counts[kind].items():
                 runs[name] = runs.get(name, 0) + number
 
-    return total
+    return totals
 
 
 def ask_world(
-    deployment: Deployment, path: str, body: Any, *, world: str = WORLD
+    deployment: Deployment, path: str, body: Any, *, process: str = WORLD
 ) -> Any:
-    """Call a world's control port."""
+    """Call the control port of a stand-in process; return the decoded response."""
     data = None if body is None else json.dumps(body).encode()
     request = urllib.request.Request(
-        f"http://{HOST}:{deployment.ports[world]}/{path}", data=data
+        f"http://{HOST}:{deployment.ports[process]}/{path}", data=data
     )
-    with urllib.request.urlopen(request, timeout=10) as answer:
-        return json.load(answer)
+    with urllib.request.urlopen(request, timeout=10) as response:
+        return json.load(response)
 
 
 def ask_admin(deployment: Deployment, node: str, path: str, timeout: float = 1) -> Any:
-    """Return a view of one control process; None without a good answer."""
+    """Return a view of one control process; None if the request fails."""
     port = deployment.ports[f"{node}.admin"]
     request = urllib.request.Request(
         f"http://{HOST}:{port}/admin/v1/{path}",
         headers={"Authorization": f"Bearer {OPERATOR_KEY}"},
     )
     try:
-        with urllib.request.urlopen(request, timeout=timeout) as answer:
-            return json.load(answer)
+        with urllib.request.urlopen(request, timeout=timeout) as response:
+            return json.load(response)
     except (OSError, ValueError):
         return None
 
@@ -177,7 +196,7 @@
 ) -> tuple[int, Any]:
     """Send a command to one control process; return status and outcome.
 
-    Status 0 stands for no answer.
+    The status is 0 if there is no response.
     """
     port = deployment.ports[f"{node}.admin"]
     request = urllib.request.Request(
@@ -186,8 +205,8 @@
         headers={"Authorization": f"Bearer {OPERATOR_KEY}"},
     )
     try:
-        with urllib.request.urlopen(request, timeout=timeout) as answer:
-            return answer.status, json.load(answer)
+        with urllib.request.urlopen(request, timeout=timeout) as response:
+            return response.status, json.load(response)
     except urllib.error.HTTPError as error:
         return error.code, json.load(error)
     except (OSError, ValueError):
@@ -213,26 +232,26 @@
 
 def find_leader(deployment: Deployment, *, besides: str = "") -> str:
     """Wait until a control process other than ``besides`` leads; return it."""
-    found: list[str] = []
+    leaders: list[str] = []
 
-    def look() -> bool:
+    def has_leader() -> bool:
         for node in name_nodes("control", CONTROLS):
             if node == besides or not is_alive(deployment, node):
                 continue
 
             status = ask_admin(deployment, node, "status")
             if status is not None and status["leads"]:
-                found.append(node)
+                leaders.append(node)
                 return True
 
         return False
 
-    wait_until(look, "a leader")
-    return found[-1]
+    wait_until(has_leader, "a leader")
+    return leaders[-1]
 
 
 def is_alive(deployment: Deployment, name: str) -> bool:
-    """Tell whether a process was started and has not ended."""
+    """Return whether a process was started and has not exited."""
     popen = deployment.processes[name].popen
     return popen is not None and popen.poll() is None
 
@@ -250,43 +269,45 @@
 
 
 def freeze(deployment: Deployment, name: str) -> None:
-    """Stop a process where it stands."""
+    """Suspend a process with SIGSTOP."""
     signal_process(deployment, name, signal.SIGSTOP)
 
 
 def thaw(deployment: Deployment, name: str) -> None:
-    """Let a frozen process go on."""
+    """Resume a suspended process with SIGCONT."""
     signal_process(deployment, name, signal.SIGCONT)
 
 
 def read_log(deployment: Deployment, name: str) -> str:
-    """Return a process's log so far."""
+    """Return the log that a process has written so far."""
     with contextlib.suppress(FileNotFoundError):
         return deployment.processes[name].log.read_text(errors="replace")
 
     return ""
 
 
-def _turn_to_relays(deployment: Deployment, entry: str) -> None:
+def _route_through_relays(deployment: Deployment, entry: str) -> None:
     peers = [
         {
             "node": control,
             "host": HOST,
-            "port": take_port(deployment, f"{entry}.{control}"),
+            "port": reserve_port(deployment, f"{entry}.{control}"),
         }
         for control in name_nodes("control", CONTROLS)
     ]
-    revise_settings(deployment, entry, control=peers)
+    update_settings(deployment, entry, control=peers)
 
 
-def _announce(
-    deployment: Deployment, name: str, place: int, nodes: tuple[str, ...]
+def _make_announce_settings(
+    deployment: Deployment, name: str, index: int, entry_names: tuple[str, ...]
 ) -> dict[str, Any]:
-    urls = [f"http://{HOST}:{deployment.ports[f'{node}.upstreams']}" for node in nodes]
-    turned = urls[place % len(urls) :] + urls[: place % len(urls)]
+    urls = [
+        f"http://{HOST}:{deployment.ports[f'{node}.upstreams']}" for node in entry_names
+    ]
+    rotated = urls[index % len(urls) :] + urls[: index % len(urls)]
     return {
         "upstream": name,
-        "data_centre": DATA_CENTRES[place % len(DATA_CENTRES)],
-        "entries": turned,
+        "data_centre": DATA_CENTRES[index % len(DATA_CENTRES)],
+        "entries": rotated,
         "lease": 3.0,
     }
--- a/scripts/launcher.py
+++ b/scripts/launcher.py
@@ -1,7 +1,7 @@
 """Start and stop the roles as separate processes on loopback, for scripts and tests.
 
-The product starts no process; this does, for developers. Everything lives under one
-folder given by the caller, and every process is ended by ``stop_all``.
+The product itself starts no processes; this module does so for development. All files
+are below one folder given by the caller, and ``stop_all`` stops every process.
 """
 
 from __future__ import annotations
@@ -29,18 +29,18 @@
 
 HOST = "127.0.0.1"
 PORT_RANGE = range(20_000, 30_000)
-"""Below the ephemeral ports, so that no outgoing connection takes one."""
-START_LIMIT = 60.0
-STOP_LIMIT = 30.0
-LOG_TAIL = 2000
-"""Characters of a log that an error shows."""
+"""Ports below the ephemeral range, so that no outgoing connection uses one."""
+START_TIMEOUT_SECONDS = 60.0
+STOP_TIMEOUT_SECONDS = 30.0
+LOG_TAIL_CHARACTERS = 2000
+"""Length of the end of a log that an error message shows."""
 DATA_CENTRES = ("bole", "kazanchis", "cmc")
 OPERATOR_KEY = "operator-of-the-launcher"
 
 
 @dataclass(slots=True)
 class Process:
-    """One process of the system, and its settings file."""
+    """One process of a deployment: its arguments, log file and handle."""
 
     name: str
     arguments: list[str]
@@ -50,13 +50,13 @@
 
 @dataclass(slots=True)
 class Deployment:
-    """All processes of one system on loopback."""
+    """All processes of one deployment on loopback, and the ports reserved for them."""
 
     folder: Path
     random: random.Random
     processes: dict[str, Process] = field(default_factory=dict)
     ports: dict[str, int] = field(default_factory=dict)
-    taken: set[int] = field(default_factory=set)
+    reserved_ports: set[int] = field(default_factory=set)
 
 
 def open_deployment(folder: Path) -> Deployment:
@@ -65,16 +65,16 @@
     return Deployment(folder=folder, random=random.SystemRandom())
 
 
-def take_port(deployment: Deployment, name: str) -> int:
-    """Return the port known under a name, chosen free the first time."""
-    known = deployment.ports.get(name)
-    if known is not None:
-        return known
+def reserve_port(deployment: Deployment, name: str) -> int:
+    """Return the port reserved under a name; the first call selects a free one."""
+    existing = deployment.ports.get(name)
+    if existing is not None:
+        return existing
 
     while True:
         port = deployment.random.choice(PORT_RANGE)
-        if port not in deployment.taken and _is_free(port):
-            deployment.taken.add(port)
+        if port not in deployment.reserved_ports and _is_free(port):
+            deployment.reserved_ports.add(port)
             deployment.ports[name] = port
             return port
 
@@ -87,7 +87,7 @@
 
 
 def add_process(deployment: Deployment, name: str, arguments: list[str]) -> Process:
-    """Note a process; ``start_process`` starts it."""
+    """Add a process to the deployment without starting it."""
     process = Process(
         name=name, arguments=arguments, log=deployment.folder / f"{name}.log"
     )
@@ -96,7 +96,7 @@
 
 
 def start_process(deployment: Deployment, name: str) -> None:
-    """Start a noted process, its output appended to its log."""
+    """Start a process of the deployment and append its output to its log."""
     process = deployment.processes[name]
     with process.log.open("ab") as log:
         process.popen = subprocess.Popen(
@@ -108,80 +108,86 @@
         )
 
 
-def signal_process(deployment: Deployment, name: str, number: signal.Signals) -> None:
+def signal_process(
+    deployment: Deployment, name: str, signal_number: signal.Signals
+) -> None:
     """Send a signal to a running process."""
     popen = deployment.processes[name].popen
     if popen is not None and popen.poll() is None:
-        popen.send_signal(number)
+        popen.send_signal(signal_number)
 
 
 def kill_process(deployment: Deployment, name: str) -> None:
-    """Kill a process and wait until it is gone."""
+    """Kill a process and wait until it has exited."""
     signal_process(deployment, name, signal.SIGKILL)
     wait_process(deployment, name)
 
 
-def wait_process(deployment: Deployment, name: str, limit: float = STOP_LIMIT) -> int:
-    """Wait until a process has ended; return its exit code."""
+def wait_process(
+    deployment: Deployment, name: str, limit: float = STOP_TIMEOUT_SECONDS
+) -> int:
+    """Wait until a process has exited; return its exit code."""
     popen = deployment.processes[name].popen
     return 0 if popen is None else popen.wait(timeout=limit)
 
 
 def stop_all(deployment: Deployment) -> dict[str, int]:
-    """Stop entries first, then the rest; return the exit codes by name."""
+    """Stop the entries, then all other processes; return exit codes by name."""
     entries = [name for name in deployment.processes if name.startswith("entry")]
     others = [name for name in deployment.processes if name not in entries]
-    # An entry that drains still settles, so control must outlive it.
+    # A draining entry still settles ledger rows, for which it needs control.
     return _stop(deployment, entries) | _stop(deployment, others)
 
 
 def _stop(deployment: Deployment, names: list[str]) -> dict[str, int]:
-    codes = {}
+    exit_codes = {}
     for name in names:
         signal_process(deployment, name, signal.SIGCONT)
         signal_process(deployment, name, signal.SIGTERM)
 
     for name in names:
         try:
-            codes[name] = wait_process(deployment, name)
+            exit_codes[name] = wait_process(deployment, name)
         except subprocess.TimeoutExpired:
             kill_process(deployment, name)
-            codes[name] = -signal.SIGKILL
+            exit_codes[name] = -signal.SIGKILL
 
-    return codes
+    return exit_codes
 
 
 def wait_until(
-    condition: Callable[[], bool], what: str, limit: float = START_LIMIT
+    condition: Callable[[], bool],
+    description: str,
+    limit: float = START_TIMEOUT_SECONDS,
 ) -> None:
-    """Poll a condition of another process; ``TimeoutError`` names what failed."""
+    """Poll until a condition holds; raise ``TimeoutError`` with its description."""
     deadline = time.monotonic() + limit
     while not condition():
         if time.monotonic() > deadline:
-            raise TimeoutError(what)
+            raise TimeoutError(description)
 
         time.sleep(0.02)
 
 
 def check_running(deployment: Deployment) -> None:
-    """Raise ``RuntimeError`` with the log's end of a process that ended by itself."""
+    """Raise ``RuntimeError`` with the end of the log if a process exited by itself."""
     for process in deployment.processes.values():
         if process.popen is not None and process.popen.poll() is not None:
-            tail = process.log.read_text(errors="replace")[-LOG_TAIL:]
-            raise RuntimeError(f"{process.name} ended by itself:\n{tail}")
+            tail = process.log.read_text(errors="replace")[-LOG_TAIL_CHARACTERS:]
+            raise RuntimeError(f"process {process.name} exited unexpectedly:\n{tail}")
 
 
 def get_status(
     url: str, *, key: str = "", body: Any = None, timeout: float = 2.0
 ) -> int:
-    """Return the HTTP status of a GET, or of a POST with a body; 0 without answer."""
+    """Return the status of a GET, or of a POST if a body is given; 0 if it fails."""
     data = None if body is None else json.dumps(body).encode()
     request = urllib.request.Request(
         url, data=data, headers={"Authorization": f"Bearer {key}"}
     )
     try:
-        with urllib.request.urlopen(request, timeout=timeout) as answer:
-            return int(answer.status)
+        with urllib.request.urlopen(request, timeout=timeout) as response:
+            return int(response.status)
     except urllib.error.HTTPError as error:
         return error.code
     except OSError:
--- a/scripts/processes.py
+++ b/scripts/processes.py
@@ -1,4 +1,4 @@
-"""Bring up 3 control and 3 entry processes with stand-ins, stream, and stop them."""
+"""Start 3 control and 3 entry processes with stand-ins, stream a chat, stop them."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def make_deployment(folder: Path) -> Deployment:
-    """Return a noted deployment of three controls, entries and engines."""
+    """Return a deployment of three controls, entries and engines, not started."""
     deployment = open_deployment(folder)
     add_controls(deployment, COUNT)
     add_entries(deployment, COUNT, COUNT)
@@ -37,7 +37,7 @@
 
 
 def stream_chat(deployment: Deployment, entry: str) -> int:
-    """Stream one answer through an entry; return the number of its events."""
+    """Stream one response through an entry; return the number of its events."""
     port = deployment.ports[f"{entry}.callers"]
     body = {
         "messages": [{"role": "user", "content": "which shaft fits?"}],
@@ -49,32 +49,32 @@
         data=json.dumps(body).encode(),
         headers={"Authorization": f"Bearer {CALLER_KEY}"},
     )
-    with urllib.request.urlopen(request, timeout=20) as answer:
-        data = answer.read()
+    with urllib.request.urlopen(request, timeout=20) as response:
+        data = response.read()
 
     if not data.endswith(b"data: [DONE]\n\n"):
-        raise RuntimeError(f"{entry}: the answer is not whole")
+        raise RuntimeError(f"{entry}: the stream ended before [DONE]")
 
     return int(data.count(b"data: "))
 
 
 def main() -> int:
-    """Run the script; return the exit code."""
+    """Start, stream, print and stop; return the exit code."""
     with tempfile.TemporaryDirectory() as folder:
         deployment = make_deployment(Path(folder))
         try:
             start_system(deployment)
-            for place in range(1, COUNT + 1):
-                events = stream_chat(deployment, f"entry-{place}")
-                print(f"entry-{place}: a whole answer of {events} events")
+            for number in range(1, COUNT + 1):
+                events = stream_chat(deployment, f"entry-{number}")
+                print(f"entry-{number}: a whole answer of {events} events")
 
             print("bills:", read_admin(deployment, "/admin/v1/bills"))
         finally:
-            codes = stop_all(deployment)
+            exit_codes = stop_all(deployment)
 
-    print("exit codes:", codes)
+    print("exit codes:", exit_codes)
     roles = ("control", "entry")
-    return max(abs(code) for name, code in codes.items() if name.startswith(roles))
+    return max(abs(code) for name, code in exit_codes.items() if name.startswith(roles))
 
 
 if __name__ == "__main__":
--- a/scripts/topology.py
+++ b/scripts/topology.py
@@ -1,4 +1,4 @@
-"""The processes of a small deployment: controls, entries and stand-ins."""
+"""Settings of a small deployment's processes: controls, entries and stand-ins."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 from .launcher import add_process
 from .launcher import check_running
 from .launcher import get_status
+from .launcher import reserve_port
 from .launcher import start_process
-from .launcher import take_port
 from .launcher import wait_until
 from .launcher import write_settings
 
@@ -40,29 +40,29 @@
 
 
 def make_peer(deployment: Deployment, node: str) -> dict[str, Any]:
-    """Return a process's link address as settings name it."""
-    port = take_port(deployment, f"{node}.links")
+    """Return a process's link address in the form of the settings."""
+    port = reserve_port(deployment, f"{node}.links")
     return {"node": node, "host": HOST, "port": port}
 
 
 def add_controls(deployment: Deployment, count: int) -> None:
-    """Note the control processes."""
+    """Add the control processes."""
     nodes = name_nodes("control", count)
-    for place, node in enumerate(nodes):
-        add_control(deployment, node, nodes, DATA_CENTRES[place % len(DATA_CENTRES)])
+    for index, node in enumerate(nodes):
+        add_control(deployment, node, nodes, DATA_CENTRES[index % len(DATA_CENTRES)])
 
 
 def add_control(
     deployment: Deployment, node: str, nodes: tuple[str, ...], data_centre: str
 ) -> None:
-    """Note one control process."""
+    """Add one control process."""
     settings = {
         "role": "control",
         "node": node,
         "data_centre": data_centre,
         "data_folder": str(deployment.folder / f"{node}.data"),
-        "links": {"host": HOST, "port": take_port(deployment, f"{node}.links")},
-        "admin": {"host": HOST, "port": take_port(deployment, f"{node}.admin")},
+        "links": {"host": HOST, "port": reserve_port(deployment, f"{node}.links")},
+        "admin": {"host": HOST, "port": reserve_port(deployment, f"{node}.admin")},
         "members": [make_peer(deployment, name) for name in nodes],
         "operators": [{"name": "launcher", "digest": hash_text(OPERATOR_KEY)}],
     }
@@ -73,25 +73,28 @@
 
 
 def add_entries(deployment: Deployment, count: int, controls: int) -> None:
-    """Note the entry processes."""
+    """Add the entry processes."""
     nodes = name_nodes("entry", count)
-    for place, node in enumerate(nodes):
+    for index, node in enumerate(nodes):
         settings = {
             "role": "entry",
             "node": node,
-            "data_centre": DATA_CENTRES[place % len(DATA_CENTRES)],
-            "callers": {"host": HOST, "port": take_port(deployment, f"{node}.callers")},
+            "data_centre": DATA_CENTRES[index % len(DATA_CENTRES)],
+            "callers": {
+                "host": HOST,
+                "port": reserve_port(deployment, f"{node}.callers"),
+            },
             "upstreams": {
                 "host": HOST,
-                "port": take_port(deployment, f"{node}.upstreams"),
+                "port": reserve_port(deployment, f"{node}.upstreams"),
             },
-            "links": {"host": HOST, "port": take_port(deployment, f"{node}.links")},
+            "links": {"host": HOST, "port": reserve_port(deployment, f"{node}.links")},
             "control": [
                 make_peer(deployment, name) for name in name_nodes("control", controls)
             ],
             "entries": [make_peer(deployment, name) for name in nodes if name != node],
             "distances_ms": dict.fromkeys(DATA_CENTRES, 3.0),
-            "rating": {"host": HOST, "port": take_port(deployment, "rating.http")},
+            "rating": {"host": HOST, "port": reserve_port(deployment, "rating.http")},
             "progress_timeout": 1.0,
             "drain_notice": 0.5,
         }
@@ -104,12 +107,14 @@
 def add_standins(
     deployment: Deployment, *, engines: int, entries: int, interval: float = 0.01
 ) -> None:
-    """Note engines, the plain service and the rating service."""
+    """Add engines, the plain service and the rating service."""
     nodes = name_nodes("entry", entries)
-    urls = [f"http://{HOST}:{take_port(deployment, f'{n}.upstreams')}" for n in nodes]
-    for place, name in enumerate(name_nodes("engine", engines)):
-        # Each upstream begins with another entry, as behind a balancer.
-        turned = urls[place % len(urls) :] + urls[: place % len(urls)]
+    urls = [
+        f"http://{HOST}:{reserve_port(deployment, f'{n}.upstreams')}" for n in nodes
+    ]
+    for index, name in enumerate(name_nodes("engine", engines)):
+        # Each upstream announces itself first to another entry, as behind a balancer.
+        rotated = urls[index % len(urls) :] + urls[: index % len(urls)]
         _add_standin(
             deployment,
             "engine",
@@ -117,8 +122,8 @@
             {
                 "versions": VERSIONS,
                 "token_interval": interval,
-                "port": take_port(deployment, f"{name}.http"),
-                "announce": _announce(name, place, turned),
+                "port": reserve_port(deployment, f"{name}.http"),
+                "announce": _make_announce_settings(name, index, rotated),
             },
         )
 
@@ -128,17 +133,20 @@
         "service-1",
         {
             "service": SERVICE,
-            "port": take_port(deployment, "service-1.http"),
-            "announce": _announce("service-1", 0, urls),
+            "port": reserve_port(deployment, "service-1.http"),
+            "announce": _make_announce_settings("service-1", 0, urls),
         },
     )
     _add_standin(
-        deployment, "rating", "rating", {"port": take_port(deployment, "rating.http")}
+        deployment,
+        "rating",
+        "rating",
+        {"port": reserve_port(deployment, "rating.http")},
     )
 
 
 def start_system(deployment: Deployment) -> None:
-    """Start all noted processes, give the first configuration, wait until ready."""
+    """Start all processes, apply the first configuration and wait until ready."""
     for name in deployment.processes:
         start_process(deployment, name)
 
@@ -149,12 +157,12 @@
 
 
 def wait_ready(deployment: Deployment, entry: str) -> None:
-    """Wait until an entry answers a chat and a lookup: it knows its upstreams."""
+    """Wait until an entry serves a chat and a lookup, so that it has its upstreams."""
     base = f"http://{HOST}:{deployment.ports[f'{entry}.callers']}"
     body = {"messages": [{"role": "user", "content": "ready?"}], "max_tokens": 1}
     lookup = f"{base}/v1/services/{SERVICE}/orders/none"
 
-    def answers() -> bool:
+    def responds() -> bool:
         check_running(deployment)
         chat = f"{base}/v1/chat/completions"
         return (
@@ -162,7 +170,7 @@
             and get_status(lookup, key=CALLER_KEY) == 404
         )
 
-    wait_until(answers, f"{entry} ready")
+    wait_until(responds, f"{entry} ready")
 
 
 def configure(deployment: Deployment) -> None:
@@ -188,7 +196,7 @@
 
 
 def make_answers() -> dict[str, Any]:
-    """Return the questionnaire's answers of the launcher's workspace."""
+    """Return the answers to the questionnaire for the launcher's workspace."""
     return {
         "questionnaire": 1,
         "workspace": WORKSPACE,
@@ -231,36 +239,36 @@
 
 def send_change(
     deployment: Deployment,
-    kind: str,
+    command_type: str,
     change_id: str,
     *,
     expected_revision: int = 0,
     **fields: Any,
 ) -> Any:
-    """Send a change to whichever control process answers; return its outcome."""
+    """Send a change to any control process that responds; return its outcome."""
     command = {
-        "type": kind,
+        "type": command_type,
         "change_id": change_id,
         "operator": "launcher",
         "expected_revision": expected_revision,
         "at": 0.0,
         **fields,
     }
-    found: list[Any] = []
+    outcomes: list[Any] = []
 
     def attempt() -> bool:
         outcome = _post_command(deployment, command)
         if outcome is not None:
-            found.append(outcome)
+            outcomes.append(outcome)
 
         return outcome is not None
 
-    wait_until(attempt, f"{kind} {change_id}")
-    return found[0]
+    wait_until(attempt, f"{command_type} {change_id}")
+    return outcomes[0]
 
 
-def list_admins(deployment: Deployment) -> list[str]:
-    """Return the base addresses of the administration APIs."""
+def list_admin_urls(deployment: Deployment) -> list[str]:
+    """Return the base URLs of the administration APIs."""
     return [
         f"http://{HOST}:{port}"
         for name, port in deployment.ports.items()
@@ -269,14 +277,14 @@
 
 
 def read_admin(deployment: Deployment, path: str) -> Any:
-    """Return a view of the administration API from whichever process answers."""
-    for base in list_admins(deployment):
+    """Return a view of the administration API from any process that responds."""
+    for base in list_admin_urls(deployment):
         request = urllib.request.Request(
             base + path, headers={"Authorization": f"Bearer {OPERATOR_KEY}"}
         )
         try:
-            with urllib.request.urlopen(request, timeout=3) as answer:
-                return json.load(answer)
+            with urllib.request.urlopen(request, timeout=3) as response:
+                return json.load(response)
         except OSError:
             continue
 
@@ -284,7 +292,7 @@
 
 
 def _post_command(deployment: Deployment, command: Any) -> Any:
-    for base in list_admins(deployment):
+    for base in list_admin_urls(deployment):
         request = urllib.request.Request(
             f"{base}/admin/v1/commands",
             data=json.dumps(command).encode(),
@@ -292,8 +300,8 @@
             method="POST",
         )
         try:
-            with urllib.request.urlopen(request, timeout=5) as answer:
-                return json.load(answer)
+            with urllib.request.urlopen(request, timeout=5) as response:
+                return json.load(response)
         except urllib.error.HTTPError as error:
             if error.code in (409, 422):
                 return json.load(error)
@@ -303,10 +311,10 @@
     return None
 
 
-def _announce(name: str, place: int, urls: list[str]) -> dict[str, Any]:
+def _make_announce_settings(name: str, index: int, urls: list[str]) -> dict[str, Any]:
     return {
         "upstream": name,
-        "data_centre": DATA_CENTRES[place % len(DATA_CENTRES)],
+        "data_centre": DATA_CENTRES[index % len(DATA_CENTRES)],
         "entries": urls,
         "lease": 3.0,
     }
--- a/scripts/world.py
+++ b/scripts/world.py
@@ -1,7 +1,7 @@
-"""The stand-ins of a deployment in one process, with a port for faults and counts.
+"""A process that hosts a deployment's stand-ins, with a port for faults and counts.
 
-``python -m scripts.world --settings FILE`` runs it. One process for all keeps fault
-runs small; what is to be killed alone is given a process of its own.
+``python -m scripts.world --settings FILE`` runs it. A single process keeps fault runs
+small; a stand-in that must be killed alone gets a process of its own.
 """
 
 from __future__ import annotations
@@ -39,11 +39,11 @@
 
 
 Request = Any
-"""A request of twisted.web, whose methods carry no types."""
+"""A request of twisted.web, whose methods are untyped."""
 
 
 class WorldSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What to run; names are those that the control port uses."""
+    """Stand-ins to run, by the names that the control port uses."""
 
     port: int
     engines: dict[str, EngineSettings] = msgspec.field(default_factory=dict)
@@ -54,18 +54,18 @@
 
 
 class Counts(msgspec.Struct, frozen=True):
-    """What ran: by request id at engines and service, by order id at the service."""
+    """Executions by request id at engines and service, by order id at the service."""
 
     chats: dict[str, int]
     calls: dict[str, int]
     orders: dict[str, int]
     answering: int = 0
-    """Calls that the service has run and not yet answered."""
+    """Calls that the service has executed and not yet responded to."""
 
 
 @dataclass(slots=True)
-class World:
-    """All running stand-ins."""
+class Standins:
+    """All running stand-ins of this process."""
 
     engines: dict[str, Engine] = field(default_factory=dict)
     relays: dict[str, Relay] = field(default_factory=dict)
@@ -75,11 +75,11 @@
 
     @property
     def port(self) -> int:
-        """Port for faults and counts."""
+        """Port that serves faults and counts; 0 if it is not open."""
         return self.listener.port if self.listener else 0
 
     def stop(self) -> Deferred[None]:
-        """Stop everything at once."""
+        """Stop all stand-ins and the control port concurrently."""
         running = [*self.engines.values(), *self.relays.values(), *self.others]
         waits = [item.stop() for item in running]
         if self.listener is not None:
@@ -88,75 +88,75 @@
         return gatherResults(waits, consumeErrors=True).addCallback(lambda _: None)
 
 
-def start_world(settings: WorldSettings) -> World:
-    """Start what the settings name."""
-    world = World()
+def start_standins(settings: WorldSettings) -> Standins:
+    """Start the stand-ins that the settings name."""
+    standins = Standins()
     for name, item in settings.engines.items():
-        world.engines[name] = start_engine(item)
+        standins.engines[name] = start_engine(item)
 
     for name, relay in settings.relays.items():
-        world.relays[name] = start_relay(relay)
+        standins.relays[name] = start_relay(relay)
 
     if settings.service is not None:
-        world.service = start_service(settings.service)
-        world.others.append(world.service)
+        standins.service = start_service(settings.service)
+        standins.others.append(standins.service)
 
     if settings.rating is not None:
-        world.others.append(start_rating(settings.rating))
+        standins.others.append(start_rating(settings.rating))
 
     if settings.balancer is not None:
-        world.others.append(start_balancer(settings.balancer))
+        standins.others.append(start_balancer(settings.balancer))
 
     app = Klein()
-    add_routes(app, world)
-    world.listener = listen(app, port=settings.port)
-    return world
+    add_routes(app, standins)
+    standins.listener = listen(app, port=settings.port)
+    return standins
 
 
-def add_routes(app: Klein, world: World) -> None:
-    """Add the routes that set faults and give counts."""
+def add_routes(app: Klein, standins: Standins) -> None:
+    """Add the routes that set faults and return counts."""
 
     @app.route("/counts", methods=["GET"])
     def show_counts(request: Request) -> bytes:
-        return msgspec.json.encode(count_runs(world))
+        return msgspec.json.encode(count_runs(standins))
 
     @app.route("/engines/<name>", methods=["POST"])
     def set_engine(request: Request, name: str) -> bytes:
         body = request.content.read()
-        world.engines[name].faults = msgspec.json.decode(body, type=EngineFaults)
+        standins.engines[name].faults = msgspec.json.decode(body, type=EngineFaults)
         return b"{}"
 
     @app.route("/relays/<name>", methods=["POST"])
     def set_relay(request: Request, name: str) -> bytes:
         order = msgspec.json.decode(request.content.read(), type=RelayOrder)
-        obey_faults(world.relays[name], order)
+        obey_faults(standins.relays[name], order)
         return b"{}"
 
     @app.route("/service", methods=["POST"])
     def set_service(request: Request) -> bytes:
-        if world.service is None:
-            raise RuntimeError("no service runs here")
+        if standins.service is None:
+            raise RuntimeError("this process hosts no service")
 
         body = request.content.read()
-        world.service.faults = msgspec.json.decode(body, type=ServiceFaults)
+        standins.service.faults = msgspec.json.decode(body, type=ServiceFaults)
         return b"{}"
 
 
-def count_runs(world: World) -> Counts:
-    """Return what ran here since the start."""
+def count_runs(standins: Standins) -> Counts:
+    """Return the executions since the start of the process."""
     chats: dict[str, int] = {}
-    for engine in world.engines.values():
+    for engine in standins.engines.values():
         for request, runs in engine.runs.items():
             chats[request] = chats.get(request, 0) + runs
 
-    if world.service is None:
+    if standins.service is None:
         return Counts(chats, {}, {})
 
-    service = world.service
+    service = standins.service
     return Counts(
         chats, dict(service.requests), dict(service.executions), service.running
     )
 
 
 if __name__ == "__main__":
-    run_program(WorldSettings, start_world)
+    run_program(WorldSettings, start_standins)
