--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,3 +1,3 @@
-"""Benches: ratios against baselines in the same run."""
+"""Benchmarks, most of them as ratios to a baseline measured in the same run."""
 
 from __future__ import annotations
--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,6 +1,6 @@
-"""Run benches by name, one after the other: ``python -m bench [NAME ...]``.
+"""Run benchmarks by name in sequence: ``python -m bench [NAME ...]``.
 
-Without names: the whole path against a bare hop.
+Without names, only ``path`` runs: the whole request path against a bare hop.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 def main() -> None:
-    """Run the benches that the arguments name; exit 2 for an unknown one."""
+    """Run the benchmarks named by the arguments; exit with 2 if one is unknown."""
     names = tuple(sys.argv[1:]) or DEFAULT
     unknown = [name for name in names if name not in NAMES]
     if unknown:
--- a/bench/bare_hop.py
+++ b/bench/bare_hop.py
@@ -1,7 +1,7 @@
-"""The baseline: a bare klein and treq hop, with no work of ours in it.
+"""The baseline "bare hop": a proxy of klein and treq alone, without product code.
 
-``python -m bench.bare_hop PORT UPSTREAM_PORT [PATH]`` serves until it is told to stop;
-the path is the upstream's, in place of the chats'.
+``python -m bench.bare_hop PORT UPSTREAM_PORT [PATH]`` serves until it is terminated.
+PATH is the upstream's path, by default the chats' path.
 """
 
 from __future__ import annotations
@@ -23,24 +23,24 @@
 CHATS = "/v1/chat/completions"
 
 
-class PassingProtocol(Protocol):
-    """Writes what it receives to a caller's request."""
+class ForwardingProtocol(Protocol):
+    """Forwards a response body to a caller's request."""
 
     def __init__(self, request: Any) -> None:
         self.request = request
-        self.ended: Deferred[None] = Deferred()
+        self.finished: Deferred[None] = Deferred()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Pass data on."""
+        """Forward data."""
         self.request.write(data)
 
     def connectionLost(self, reason: Any = None) -> None:  # noqa: N802
-        """Tell that the body has ended."""
-        self.ended.callback(None)
+        """Signal the end of the body."""
+        self.finished.callback(None)
 
 
 def make_app(upstream_port: int, path: str = CHATS) -> Klein:
-    """Return an application that passes every chat on."""
+    """Return an application that forwards every chat to the upstream."""
     app = Klein()
     pool = HTTPConnectionPool(reactor)
     pool.maxPersistentPerHost = 256
@@ -48,20 +48,20 @@
     url = f"http://127.0.0.1:{upstream_port}{path}"
 
     @app.route(CHATS, methods=["POST"])
-    async def pass_on(request: Any) -> None:
+    async def forward(request: Any) -> None:
         response: Any = await treq.post(
             url, data=request.content.read(), agent=agent, unbuffered=True
         )
         request.setResponseCode(response.code)
-        passing = PassingProtocol(request)
-        response.deliverBody(passing)
-        await passing.ended
+        forwarding = ForwardingProtocol(request)
+        response.deliverBody(forwarding)
+        await forwarding.finished
 
     return app
 
 
 def main() -> None:
-    """Serve until told to stop."""
+    """Serve until terminated."""
     port, upstream_port = (int(value) for value in sys.argv[1:3])
     site: Any = Site(make_app(upstream_port, *sys.argv[3:4]).resource())
     site.log = lambda request: None
--- a/bench/consensus.py
+++ b/bench/consensus.py
@@ -1,6 +1,6 @@
-"""The replicated log on real files: commits, cost of a command, rejoin, storage.
+"""Benchmarks of the replicated log on real files: commits, rejoining and storage.
 
-``python -m bench.consensus [folder]``; figures stand in docs/design/consensus.md.
+``python -m bench.consensus [folder]``; results are in docs/design/consensus.md.
 """
 
 from __future__ import annotations
@@ -52,11 +52,11 @@
 
 
 COMMAND = bytes(200)
-"""About the size of an encoded reservation."""
+"""A command of about the size of an encoded reservation."""
 BATCHES = (1, 10, 100, 1000)
 SECONDS = 2.0
-FILL = 100
-"""Commands a batch while a log is filled until its snapshot is due."""
+FILL_BATCH = 100
+"""Commands per batch while a log is filled until its snapshot is due."""
 STATE_SIZES = (0, 1 << 20, 10 << 20, 100 << 20)
 NAMES = ("a", "b", "c")
 Message = (
@@ -73,8 +73,8 @@
 
 
 @dataclass(slots=True)
-class Wires:
-    """Messages under way, encoded as on a stream, and the bytes they took."""
+class Network:
+    """Messages in flight, encoded as on a stream, and the total bytes sent."""
 
     queue: list[tuple[str, str, bytes]] = field(default_factory=list)
     sent_bytes: int = 0
@@ -86,7 +86,7 @@
 
 @dataclass(slots=True)
 class State:
-    """A machine's state: a block of bytes, and a count."""
+    """A state machine's state: the largest command and the number of commands."""
 
     data: bytes = b""
     count: int = 0
@@ -94,17 +94,17 @@
 
 @dataclass(slots=True)
 class Bench:
-    """Members in one process, each with files of its own."""
+    """Members of a group in one process, each with its own files."""
 
     folder: Path
     names: tuple[str, ...]
-    wires: Wires = field(default_factory=Wires)
+    network: Network = field(default_factory=Network)
     groups: dict[str, Group] = field(default_factory=dict)
     states: dict[str, State] = field(default_factory=dict)
 
 
 def make_machine(state: State) -> Machine:
-    """Return a machine that counts commands and keeps the largest."""
+    """Return a state machine that counts commands and keeps the largest."""
 
     def apply(index: int, command: bytes) -> bytes:
         state.count += 1
@@ -119,15 +119,15 @@
     return Machine(apply, lambda: state.data, restore)
 
 
-def start(bench: Bench, name: str, timing: Timing) -> None:
-    """Open one member."""
+def start_member(bench: Bench, name: str, timing: Timing) -> None:
+    """Open one member; its messages go to the queue of the network."""
     state = State()
-    wires = bench.wires
+    network = bench.network
 
     def send(target: str, message: ConsensusMessage) -> None:
-        data = wires.encoder.encode(message)
-        wires.sent_bytes += len(data)
-        wires.queue.append((name, target, data))
+        data = network.encoder.encode(message)
+        network.sent_bytes += len(data)
+        network.queue.append((name, target, data))
 
     bench.states[name] = state
     bench.groups[name] = open_group(
@@ -144,11 +144,11 @@
     )
 
 
-def turn(bench: Bench) -> None:
-    """Deliver all that waits, then tick and flush each member."""
-    queue, bench.wires.queue = bench.wires.queue, []
+def step(bench: Bench) -> None:
+    """Deliver all queued messages, then tick and flush each member."""
+    queue, bench.network.queue = bench.network.queue, []
     for sender, target, data in queue:
-        message = bench.wires.decoder.decode(data)
+        message = bench.network.decoder.decode(data)
         if target in bench.groups:
             receive_message(bench.groups[target], sender, message, time.monotonic())
 
@@ -157,17 +157,17 @@
         flush_group(group, time.monotonic())
 
 
-def run_until(bench: Bench, holds: Callable[[], bool]) -> float:
-    """Turn until ``holds``; return the seconds it took."""
-    start_at = time.perf_counter()
-    while not holds():
-        turn(bench)
+def run_until(bench: Bench, condition: Callable[[], bool]) -> float:
+    """Step the members until a condition holds; return the seconds it took."""
+    started = time.perf_counter()
+    while not condition():
+        step(bench)
 
-    return time.perf_counter() - start_at
+    return time.perf_counter() - started
 
 
 def find_leader(bench: Bench) -> Group | None:
-    """Return the member that holds the lease."""
+    """Return the member that holds the leader lease, if any."""
     for group in bench.groups.values():
         if leads(group, time.monotonic()):
             return group
@@ -180,7 +180,7 @@
     bench = Bench(folder, names)
     timing = Timing()
     for name in names:
-        start(bench, name, timing)
+        start_member(bench, name, timing)
 
     run_until(bench, lambda: find_leader(bench) is not None)
     leader = find_leader(bench)
@@ -189,16 +189,16 @@
 
 
 def measure_commits(folder: Path, names: tuple[str, ...], batch: int) -> list[object]:
-    """Propose batch after batch, each when the last is committed."""
+    """Measure commits of batches, each proposed once the previous one is committed."""
     bench, leader = start_all(folder, names)
     times: list[float] = []
-    sent = bench.wires.sent_bytes
+    sent = bench.network.sent_bytes
     cpu = read_cpu()
-    began = time.perf_counter()
-    while time.perf_counter() - began < SECONDS:
+    started = time.perf_counter()
+    while time.perf_counter() - started < SECONDS:
         times.append(commit_batch(bench, leader, batch))
 
-    wall = time.perf_counter() - began
+    wall = time.perf_counter() - started
     count = batch * len(times)
     times.sort()
     return [
@@ -208,75 +208,75 @@
         round(times[len(times) // 2] * 1e3, 3),
         round(times[int(len(times) * 0.99)] * 1e3, 3),
         round((read_cpu() - cpu) / count * 1e6, 1),
-        round((bench.wires.sent_bytes - sent) / count, 1),
+        round((bench.network.sent_bytes - sent) / count, 1),
     ]
 
 
 def commit_batch(bench: Bench, leader: Group, batch: int) -> float:
     """Commit one batch; return the seconds it took."""
     done: list[object] = []
-    began = time.perf_counter()
+    started = time.perf_counter()
     for _ in range(batch):
         propose(leader, COMMAND, done.append, time.monotonic())
 
     while len(done) < batch:
-        turn(bench)
+        step(bench)
 
-    return time.perf_counter() - began
+    return time.perf_counter() - started
 
 
 def read_cpu() -> float:
-    """Return the processor seconds of this process."""
+    """Return the CPU seconds of this process."""
     usage = resource.getrusage(resource.RUSAGE_SELF)
     return usage.ru_utime + usage.ru_stime
 
 
 def measure_rejoin(folder: Path, size: int) -> list[object]:
-    """Empty one member's disk; wait until it votes again."""
+    """Measure the time from an emptied disk until the member is a voter again."""
     bench, leader = start_all(folder, NAMES)
     done: list[object] = []
     propose(leader, bytes(size), done.append, time.monotonic())
-    for _ in range(Timing().snapshot_bytes // len(COMMAND) // FILL):
-        commit_batch(bench, leader, FILL)
+    for _ in range(Timing().snapshot_bytes // len(COMMAND) // FILL_BATCH):
+        commit_batch(bench, leader, FILL_BATCH)
 
     run_until(bench, lambda: leader.replica.snapshot is not None)
-    lost = next(name for name in NAMES if name != leader.replica.name)
-    bench.groups.pop(lost).store.close()
-    shutil.rmtree(folder / lost)
-    start(bench, lost, Timing())
-    member = bench.groups[lost].replica.member
-    taken = run_until(bench, lambda: votes(bench, member))
-    return [size >> 20, round(taken, 3)]
+    wiped = next(name for name in NAMES if name != leader.replica.name)
+    bench.groups.pop(wiped).store.close()
+    shutil.rmtree(folder / wiped)
+    start_member(bench, wiped, Timing())
+    member = bench.groups[wiped].replica.member
+    seconds = run_until(bench, lambda: is_voter(bench, member))
+    return [size >> 20, round(seconds, 3)]
 
 
-def votes(bench: Bench, member: str) -> bool:
-    """Return whether a leader has ``member`` as a committed voter."""
+def is_voter(bench: Bench, member: str) -> bool:
+    """Return whether the leader's committed membership has ``member`` as a voter."""
     leader = find_leader(bench)
     if leader is None:
         return False
 
     replica = leader.replica
-    settled = replica.commit >= replica.membership_index
-    return settled and member in replica.membership.voters
+    committed = replica.commit >= replica.membership_index
+    return committed and member in replica.membership.voters
 
 
 def measure_storage(folder: Path, batch: int) -> list[object]:
-    """Weigh SQLite against an append-only file with one fdatasync a batch."""
+    """Compare SQLite with an append-only file and one fdatasync per batch."""
     entries = tuple(Entry(1, EntryKind.COMMAND, COMMAND) for _ in range(batch))
     store = open_store(folder / "sqlite", "bench")
-    place = 1
+    next_index = 1
 
     def write_sqlite() -> None:
-        nonlocal place
-        store.write(Batch(first=place, entries=entries))
-        place += batch
+        nonlocal next_index
+        store.write(Batch(first=next_index, entries=entries))
+        next_index += batch
 
     descriptor = os.open(folder / "plain.log", os.O_CREAT | os.O_WRONLY | os.O_APPEND)
 
     def write_plain() -> None:
         data = msgspec.msgpack.encode(entries)
-        head = len(data).to_bytes(4) + zlib.crc32(data).to_bytes(4)
-        os.write(descriptor, head + data)
+        header = len(data).to_bytes(4) + zlib.crc32(data).to_bytes(4)
+        os.write(descriptor, header + data)
         os.fdatasync(descriptor)
 
     row = [batch, *measure_writes(write_sqlite), *measure_writes(write_plain)]
@@ -286,13 +286,13 @@
 
 
 def measure_writes(write: Callable[[], None]) -> list[object]:
-    """Return the median and the 99th percentile of one write, in ms."""
+    """Return the median and the 99th percentile of the write time in ms."""
     times = []
-    began = time.perf_counter()
-    while time.perf_counter() - began < SECONDS / 2:
-        start_at = time.perf_counter()
+    started = time.perf_counter()
+    while time.perf_counter() - started < SECONDS / 2:
+        write_started = time.perf_counter()
         write()
-        times.append(time.perf_counter() - start_at)
+        times.append(time.perf_counter() - write_started)
 
     times.sort()
     return [
@@ -302,29 +302,29 @@
 
 
 def run(root: Path) -> None:
-    """Print all tables; each measurement gets an empty folder below ``root``."""
+    """Print all tables; each measurement uses a new folder below ``root``."""
     numbers = iter(range(1000))
 
-    def fresh() -> Path:
+    def make_folder() -> Path:
         folder = root / str(next(numbers))
         folder.mkdir()
         return folder
 
     cases = [(names, batch) for names in (NAMES[:1], NAMES) for batch in BATCHES]
-    commits = [measure_commits(fresh(), names, batch) for names, batch in cases]
-    heads = ["members", "batch", "commits/s", "p50 ms", "p99 ms", "cpu us", "bytes"]
-    print(tabulate(commits, heads))
+    commits = [measure_commits(make_folder(), names, batch) for names, batch in cases]
+    headers = ["members", "batch", "commits/s", "p50 ms", "p99 ms", "cpu us", "bytes"]
+    print(tabulate(commits, headers))
     print()
-    storage = [measure_storage(fresh(), batch) for batch in BATCHES]
-    heads = ["batch", "sqlite p50 ms", "p99", "plain p50 ms", "p99"]
-    print(tabulate(storage, heads))
+    storage = [measure_storage(make_folder(), batch) for batch in BATCHES]
+    headers = ["batch", "sqlite p50 ms", "p99", "plain p50 ms", "p99"]
+    print(tabulate(storage, headers))
     print()
-    rejoins = [measure_rejoin(fresh(), size) for size in STATE_SIZES]
+    rejoins = [measure_rejoin(make_folder(), size) for size in STATE_SIZES]
     print(tabulate(rejoins, ["state MB", "rejoin s"]))
 
 
 def main() -> None:
-    """Run below the folder given, or below a temporary one."""
+    """Run in a temporary folder, created below the folder of the argument if given."""
     logger.disable("waxwingwell")
     parent = sys.argv[1] if len(sys.argv) > 1 else None
     with tempfile.TemporaryDirectory(dir=parent) as root:
--- a/bench/control_plane.py
+++ b/bench/control_plane.py
@@ -1,8 +1,8 @@
-"""What the control plane costs: renewals at the leader, upstream news at an entry.
+"""Cost of the control plane: renewals at the leader, announcements at an entry.
 
-Real processes on loopback; the bench plays the many entries and the many upstreams
-over links of its own. Prints processor time for each message at several rates, and
-the resident memory of both processes.
+Runs real processes on loopback and simulates many entries and upstreams over its own
+links. Prints the CPU time per message at several rates and the resident memory of both
+processes.
 """
 
 from __future__ import annotations
@@ -58,18 +58,18 @@
 reactor: Any = installed
 SECONDS = 4.0
 RATES = (0, 50, 200, 800)
-"""Renewals a second."""
-FLEETS = (0, 12, 120, 1200)
-"""Upstreams of which news arrives once a second."""
+"""Lease renewals per second."""
+FLEET_SIZES = (0, 12, 120, 1200)
+"""Numbers of upstreams that each send an announcement per second."""
 
 
-LINKS = (0, 10, 50, 200)
-"""Links that carry heartbeats only."""
+LINK_COUNTS = (0, 10, 50, 200)
+"""Numbers of links that carry heartbeats only."""
 
 
 @dataclass(frozen=True, slots=True)
-class Load:
-    """One measured load on one process."""
+class Measurement:
+    """CPU and memory use of one process under one load."""
 
     what: str
     rate: float
@@ -78,7 +78,7 @@
 
 
 def make_node(name: str) -> LinkNode:
-    """Return the bench's end of its links."""
+    """Return the benchmark's node for its links."""
 
     def take_call(sender: str, body: Any) -> Deferred[Message]:
         return succeed(Failed(reason="bench", may_have_run=False))
@@ -94,7 +94,7 @@
 
 
 async def connect(name: str, port: int) -> Link:
-    """Return a link once it is up."""
+    """Open a link and return it once it is connected."""
     endpoint = TCP4ClientEndpoint(reactor, "127.0.0.1", port)
     link = open_link(make_node(name), name, endpoint.connect)
     while link.protocol is None:
@@ -103,22 +103,24 @@
     return link
 
 
-async def measure(deployment: Deployment, name: str, what: str, rate: float) -> Load:
-    """Return what a process uses over the next seconds."""
+async def measure(
+    deployment: Deployment, name: str, what: str, rate: float
+) -> Measurement:
+    """Return a process's use of CPU over the next ``SECONDS``, and its memory."""
     popen = deployment.processes[name].popen
     assert popen is not None
     await deferLater(reactor, 1.0, lambda: None)
     before = read_cpu(popen.pid)
     await deferLater(reactor, SECONDS, lambda: None)
     used = read_cpu(popen.pid) - before
-    return Load(what, rate, used / SECONDS, read_rss(popen.pid))
+    return Measurement(what, rate, used / SECONDS, read_rss(popen.pid))
 
 
-async def load_renewals(deployment: Deployment) -> list[Load]:
+async def load_renewals(deployment: Deployment) -> list[Measurement]:
     """Renew leases at each rate and measure the leader."""
     link = await connect("bench", deployment.ports["control-1.links"])
     version = [0]
-    loads = []
+    measurements = []
     for rate in RATES:
         count = [0]
 
@@ -129,70 +131,70 @@
                 incarnation=1,
                 config_version=version[0],
             )
-            answer = call_link(link, message, timeout=2.0)
-            answer.addCallback(_note_version, version)
-            answer.addErrback(lambda _: None)
+            reply = call_link(link, message, timeout=2.0)
+            reply.addCallback(_record_version, version)
+            reply.addErrback(lambda _: None)
 
         loop = LoopingCall(renew)
         if rate:
             loop.start(1 / rate)
 
-        loads.append(await measure(deployment, "control-1", "renewals/s", rate))
+        measurements.append(await measure(deployment, "control-1", "renewals/s", rate))
         if loop.running:
             loop.stop()
 
     close_link(link)
-    return loads
+    return measurements
 
 
-def _note_version(answer: Any, version: list[int]) -> None:
-    snapshot = getattr(answer, "snapshot", None)
+def _record_version(reply: Any, version: list[int]) -> None:
+    snapshot = getattr(reply, "snapshot", None)
     if snapshot is not None:
         version[0] = snapshot.config_version
 
 
-async def load_links(deployment: Deployment) -> list[Load]:
-    """Hold idle links to an entry and measure their heartbeats."""
-    loads = []
+async def load_links(deployment: Deployment) -> list[Measurement]:
+    """Open idle links to an entry and measure the cost of their heartbeats."""
+    measurements = []
     links: list[Link] = []
-    for count in LINKS:
+    for count in LINK_COUNTS:
         while len(links) < count:
             name = f"bench-{len(links)}"
             links.append(await connect(name, deployment.ports["entry-1.links"]))
 
-        loads.append(await measure(deployment, "entry-1", "idle links", count))
+        measurements.append(await measure(deployment, "entry-1", "idle links", count))
 
     for link in links:
         close_link(link)
 
-    return loads
+    return measurements
 
 
-async def load_news(deployment: Deployment) -> list[Load]:
-    """Tell an entry of fleets of upstreams once a second and measure it."""
+async def load_announcements(deployment: Deployment) -> list[Measurement]:
+    """Announce fleets of upstreams to an entry every second and measure the entry."""
     link = await connect("bench-entry", deployment.ports["entry-1.links"])
-    loads = []
+    measurements = []
     sequence = [0]
-    for fleet in FLEETS:
+    for fleet in FLEET_SIZES:
 
-        def tell(fleet: int = fleet) -> None:
+        def announce(fleet: int = fleet) -> None:
             sequence[0] += 1
-            cast_link(link, make_news(fleet, sequence[0]))
+            cast_link(link, make_announcements(fleet, sequence[0]))
 
-        loop = LoopingCall(tell)
+        loop = LoopingCall(announce)
         if fleet:
             loop.start(1.0)
 
-        loads.append(await measure(deployment, "entry-1", "upstreams", fleet))
+        measurements.append(await measure(deployment, "entry-1", "upstreams", fleet))
         if loop.running:
             loop.stop()
 
     close_link(link)
-    return loads
+    return measurements
 
 
-def make_news(fleet: int, sequence: int) -> SpreadAnnouncements:
-    """Return news of every upstream of a fleet."""
+def make_announcements(fleet: int, sequence: int) -> SpreadAnnouncements:
+    """Return a message with an announcement of every upstream of a fleet."""
     rows = tuple(
         Announcement(
             upstream=UpstreamId(f"engine-{number}"),
@@ -212,31 +214,36 @@
     return SpreadAnnouncements(announcements=rows, ages=(0.2,) * fleet)
 
 
-def render(loads: list[Load]) -> str:
-    """Return the loads and the slope over the idle process."""
+def render(measurements: list[Measurement]) -> str:
+    """Return lines of the measurements and of the CPU time per unit above idle."""
     lines = []
-    idle = loads[0]
-    for load in loads:
-        extra = (load.cpu_share - idle.cpu_share) * 1e6 / load.rate if load.rate else 0
+    idle = measurements[0]
+    for item in measurements:
+        cpu_us_each = (
+            (item.cpu_share - idle.cpu_share) * 1e6 / item.rate if item.rate else 0
+        )
         lines.append(
-            f"  {load.rate:6.0f} {load.what:11} core {load.cpu_share:6.3f}  "
-            f"{extra:7.1f} us each over idle  {load.rss_mb:6.1f} MB resident"
+            f"  {item.rate:6.0f} {item.what:11} core {item.cpu_share:6.3f}  "
+            f"{cpu_us_each:7.1f} us each over idle  {item.rss_mb:6.1f} MB resident"
         )
 
     return "\n".join(lines)
 
 
 def render_sizes() -> str:
-    """Return the bytes on the wire of the small messages."""
+    """Return lines of the sizes of frequent messages on the wire."""
     renew = RenewLease(
         entry=EntryId("entry-1234"), incarnation=10**15, config_version=9
     )
     grant = LeaseGranted(duration=4.0, config_version=9, term=3)
-    news = make_news(100, 1)
+    announcements = make_announcements(100, 1)
     sizes = (
         ("renewal", len(msgspec.msgpack.encode(Call(number=1000, body=renew)))),
         ("grant", len(msgspec.msgpack.encode(Reply(number=1000, body=grant)))),
-        ("news of an upstream", len(msgspec.msgpack.encode(Cast(body=news))) // 100),
+        (
+            "news of an upstream",
+            len(msgspec.msgpack.encode(Cast(body=announcements))) // 100,
+        ),
     )
     return "\n".join(f"  {name}: {size} bytes" for name, size in sizes)
 
@@ -253,7 +260,7 @@
 
             configure(deployment)
             print(f"leader\n{render(await load_renewals(deployment))}")
-            print(f"entry\n{render(await load_news(deployment))}")
+            print(f"entry\n{render(await load_announcements(deployment))}")
             print(f"entry\n{render(await load_links(deployment))}")
             print(f"sizes\n{render_sizes()}")
         finally:
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -1,7 +1,8 @@
-"""Time of one choice of an upstream, and how it grows with the fleet.
+"""Time to choose an upstream, by the size of the fleet.
 
-Run as ``python -m bench.decisions``. The baseline of the same run is a plain scan for
-the least in flight; each figure is the median of several rounds, in microseconds.
+Run as ``python -m bench.decisions``. The baseline of the same run is a linear scan for
+the upstream with the fewest requests in flight. Each result is the median of several
+rounds in microseconds.
 """
 
 from __future__ import annotations
@@ -71,7 +72,7 @@
 
 
 def make_turn(random: Random) -> Work:
-    """Return a turn of one of 200 sessions."""
+    """Return the work of a random turn of one of 200 sessions."""
     session = f"s{random.randrange(200)}"
     turn = random.randrange(6)
     return Work(
@@ -87,33 +88,33 @@
 
 
 def time_choices(tables: Tables, random: Random) -> float:
-    """Return the microseconds of one choice, with its counting, while traffic runs."""
+    """Return the mean microseconds of one choice while dispatches are recorded."""
     works = [make_turn(random) for _ in range(CHOICES)]
     draws = [random.random() for _ in works]
-    spent = 0.0
+    seconds = 0.0
     for number, (work, draw) in enumerate(zip(works, draws, strict=True)):
         now = 1.0 + number / 100
-        begun = time.perf_counter()
+        started = time.perf_counter()
         choice = choose_upstream(tables, work, VERSION, now=now, draw=draw)
-        spent += time.perf_counter() - begun
+        seconds += time.perf_counter() - started
         if isinstance(choice, UpstreamChoice):
             note_dispatch(tables, choice.upstream, work, now=now)
             note_finish(tables, choice.upstream, failed=False, now=now)
 
-    return spent / CHOICES * 1e6
+    return seconds / CHOICES * 1e6
 
 
 def time_scan(tables: Tables) -> float:
-    """Return the microseconds of a plain scan for the least in flight."""
-    begun = time.perf_counter()
+    """Return the mean microseconds of a scan for the fewest requests in flight."""
+    started = time.perf_counter()
     for _ in range(CHOICES):
         min(tables.upstreams.values(), key=lambda row: row.in_flight)
 
-    return (time.perf_counter() - begun) / CHOICES * 1e6
+    return (time.perf_counter() - started) / CHOICES * 1e6
 
 
 def main() -> None:
-    """Print the table."""
+    """Measure each fleet size and print the table."""
     rows = []
     for size in SIZES:
         random = Random(size)
--- a/bench/fault_callers.py
+++ b/bench/fault_callers.py
@@ -1,4 +1,4 @@
-"""Callers for the run under faults: each keeps what it saw, to be checked later."""
+"""Callers of the fault benchmark; they record each attempt for later checks."""
 
 from __future__ import annotations
 
@@ -20,33 +20,33 @@
 from waxwingwell_standins.text import read_prompt
 
 
-LIMIT = 30.0
+CALLER_TIMEOUT_SECONDS = 30.0
 """Seconds after which a caller counts its request as lost."""
-TRIES = 8
-PAUSE = 0.25
-"""Seconds between two tries of one caller."""
-DOUBLE_SHARE = 0.05
-"""Share of orders that go to two entries at once under one key."""
+MAX_ATTEMPTS = 8
+RETRY_PAUSE_SECONDS = 0.25
+"""Seconds between two attempts of one caller."""
+DUPLICATE_SHARE = 0.05
+"""Share of orders that are sent to two entries at once under one key."""
 MAX_TOKENS = 12
 
 
 class Kind(StrEnum):
-    """What a caller sends."""
+    """Kind of a request."""
 
     STREAM = "stream"
-    WHOLE = "whole"
+    COMPLETE = "whole"
     ORDER = "order"
 
 
 @dataclass(slots=True)
 class Attempt:
-    """One try of a request, as its caller saw it."""
+    """One attempt of a request, as its caller observed it."""
 
     entry: str
-    began: float
-    ended: float = 0.0
+    started_at: float
+    ended_at: float = 0.0
     status: int = 0
-    """0 stands for a connection that was lost."""
+    """HTTP status; 0 if the connection was lost."""
     request: str = ""
     outcome: str = ""
     code: str = ""
@@ -57,7 +57,7 @@
 
 @dataclass(slots=True)
 class Call:
-    """One request of a caller with all its tries."""
+    """One request of a caller with all its attempts."""
 
     kind: Kind
     name: str
@@ -66,33 +66,34 @@
 
     @property
     def prompt(self) -> str:
-        """Prompt, or the order's own id."""
+        """Text of the prompt, the same as the request's name."""
         return self.name
 
 
-async def run_call(ports: dict[str, int], call: Call, chooser: random.Random) -> None:
-    """Send a request until its caller has an end, as a good client would.
+async def run_call(ports: dict[str, int], call: Call, rng: random.Random) -> None:
+    """Send a request and retry it as a correct client would.
 
-    A request with a key is sent again by that key; one without only when it was told
-    that nothing had run. A request that is cut counts as ended for a caller without.
+    A request with a key is retried under that key. A request without a key is retried
+    only if the response states that nothing was executed; if its connection is lost,
+    the caller gives up.
     """
     entries = sorted(ports)
-    if call.kind is Kind.ORDER and chooser.random() < DOUBLE_SHARE:
-        pair = chooser.sample(entries, 2)
-        await asyncio.gather(*(try_call(ports, entry, call) for entry in pair))
+    if call.kind is Kind.ORDER and rng.random() < DUPLICATE_SHARE:
+        pair = rng.sample(entries, 2)
+        await asyncio.gather(*(send_attempt(ports, entry, call) for entry in pair))
         if any(attempt.status == 201 for attempt in call.attempts):
             return
 
-    for _ in range(TRIES):
-        attempt = await try_call(ports, chooser.choice(entries), call)
-        if not may_resend(call, attempt):
+    for _ in range(MAX_ATTEMPTS):
+        attempt = await send_attempt(ports, rng.choice(entries), call)
+        if not may_retry(call, attempt):
             return
 
-        await asyncio.sleep(PAUSE)
+        await asyncio.sleep(RETRY_PAUSE_SECONDS)
 
 
-def may_resend(call: Call, attempt: Attempt) -> bool:
-    """Tell whether the caller sends its request again."""
+def may_retry(call: Call, attempt: Attempt) -> bool:
+    """Return whether the caller retries its request after this attempt."""
     if attempt.timed_out:
         return False
 
@@ -102,25 +103,25 @@
     return attempt.status == 0 and bool(call.key)
 
 
-async def try_call(ports: dict[str, int], entry: str, call: Call) -> Attempt:
-    """Send a request once; what happens is noted, never raised."""
+async def send_attempt(ports: dict[str, int], entry: str, call: Call) -> Attempt:
+    """Send a request once; record the result, errors too, in the attempt."""
     attempt = Attempt(entry, time.monotonic())
     call.attempts.append(attempt)
     try:
-        async with asyncio.timeout(LIMIT):
-            data = await exchange(ports[entry], make_bytes(call))
-            read_reply(attempt, data)
+        async with asyncio.timeout(CALLER_TIMEOUT_SECONDS):
+            data = await exchange(ports[entry], encode_request(call))
+            parse_response(attempt, data)
     except TimeoutError:
         attempt.timed_out = True
     except (OSError, ValueError):
         attempt.status = 0
 
-    attempt.ended = time.monotonic()
+    attempt.ended_at = time.monotonic()
     return attempt
 
 
 async def exchange(port: int, request: bytes) -> bytes:
-    """Send bytes on a new connection and return all that comes until it closes."""
+    """Send bytes on a new connection; return all bytes until the peer closes it."""
     reader, writer = await asyncio.open_connection(HOST, port)
     try:
         writer.write(request)
@@ -129,8 +130,8 @@
         writer.transport.abort()
 
 
-def make_bytes(call: Call) -> bytes:
-    """Return a request as it goes over the wire."""
+def encode_request(call: Call) -> bytes:
+    """Return the bytes of a request."""
     path = f"/v1/services/{SERVICE}/orders"
     body: dict[str, Any] = {"id": call.name}
     if call.kind is not Kind.ORDER:
@@ -151,49 +152,49 @@
     return head.encode() + data
 
 
-def read_reply(attempt: Attempt, data: bytes) -> None:
-    """Note status, headers and body; ``ValueError`` if the reply is not whole."""
-    head, mark, body = data.partition(b"\r\n\r\n")
-    if not mark:
-        raise ValueError("cut before the body")
+def parse_response(attempt: Attempt, data: bytes) -> None:
+    """Record status, headers and body; ``ValueError`` if the response is truncated."""
+    head, separator, body = data.partition(b"\r\n\r\n")
+    if not separator:
+        raise ValueError("response truncated before the body")
 
     lines = head.decode().split("\r\n")
-    fields = dict(line.lower().split(": ", 1) for line in lines[1:] if ": " in line)
-    attempt.request = fields.get("x-request-id", "")
-    if fields.get("transfer-encoding") == "chunked":
-        body = read_chunks(body)
-    elif len(body) != int(fields.get("content-length", "-1")):
-        raise ValueError("cut in the body")
+    headers = dict(line.lower().split(": ", 1) for line in lines[1:] if ": " in line)
+    attempt.request = headers.get("x-request-id", "")
+    if headers.get("transfer-encoding") == "chunked":
+        body = decode_chunks(body)
+    elif len(body) != int(headers.get("content-length", "-1")):
+        raise ValueError("response truncated in the body")
 
     attempt.status = int(lines[0].split()[1])
-    attempt.outcome = fields.get("x-outcome", "")
-    attempt.version = fields.get("x-version", "")
+    attempt.outcome = headers.get("x-outcome", "")
+    attempt.version = headers.get("x-version", "")
     attempt.body = body
     if attempt.status >= 400:
         attempt.code = str(json.loads(body)["error"]["code"])
 
 
-def read_chunks(data: bytes) -> bytes:
-    """Return the body of a chunked reply; ``ValueError`` if it has no end."""
+def decode_chunks(data: bytes) -> bytes:
+    """Return the body of a chunked response; ``ValueError`` if it is truncated."""
     parts: list[bytes] = []
     while True:
-        size, mark, rest = data.partition(b"\r\n")
-        if not mark:
-            raise ValueError("cut between chunks")
+        size, separator, rest = data.partition(b"\r\n")
+        if not separator:
+            raise ValueError("response truncated between chunks")
 
         length = int(size, 16)
         if length == 0:
             return b"".join(parts)
 
         if len(rest) < length + 2:
-            raise ValueError("cut in a chunk")
+            raise ValueError("response truncated within a chunk")
 
         parts.append(rest[:length])
         data = rest[length + 2 :]
 
 
-def make_text(version: str, prompt: str) -> str:
-    """Return the answer that a version gives to a caller's prompt."""
+def make_expected_text(version: str, prompt: str) -> str:
+    """Return the text with which a version must respond to a prompt."""
     text = read_prompt([ChatMessage(role="user", content=prompt)])
     return "".join(make_answer(version, text, MAX_TOKENS))
 
@@ -201,17 +202,17 @@
 async def run_traffic(
     ports: dict[str, int], *, seconds: float, rate: float, seed: int
 ) -> list[Call]:
-    """Send requests at a steady rate, whatever becomes of them; return all."""
-    chooser = random.Random(seed)
+    """Send requests at a fixed rate, independent of responses; return all calls."""
+    rng = random.Random(seed)
     calls: list[Call] = []
     tasks = []
-    began = time.monotonic()
-    while (now := time.monotonic()) < began + seconds:
-        while len(calls) < (now - began) * rate:
-            call = make_call(chooser, seed, len(calls))
+    started_at = time.monotonic()
+    while (now := time.monotonic()) < started_at + seconds:
+        while len(calls) < (now - started_at) * rate:
+            call = make_call(rng, seed, len(calls))
             calls.append(call)
-            own = random.Random(chooser.random())
-            tasks.append(asyncio.create_task(run_call(ports, call, own)))
+            call_rng = random.Random(rng.random())
+            tasks.append(asyncio.create_task(run_call(ports, call, call_rng)))
 
         await asyncio.sleep(0.005)
 
@@ -219,11 +220,11 @@
     return calls
 
 
-def make_call(chooser: random.Random, seed: int, number: int) -> Call:
-    """Return the next request: 2 in 5 stream, 2 in 5 whole, 1 in 5 an order."""
-    kind = chooser.choice(
-        (Kind.STREAM, Kind.STREAM, Kind.WHOLE, Kind.WHOLE, Kind.ORDER)
+def make_call(rng: random.Random, seed: int, number: int) -> Call:
+    """Return a random request: 40 % streams, 40 % complete, 20 % orders."""
+    kind = rng.choice(
+        (Kind.STREAM, Kind.STREAM, Kind.COMPLETE, Kind.COMPLETE, Kind.ORDER)
     )
     name = f"{kind}-{seed}-{number}"
-    keyed = kind is Kind.ORDER or chooser.random() < 0.5
+    keyed = kind is Kind.ORDER or rng.random() < 0.5
     return Call(kind, name, f"key-{name}" if keyed else "")
--- a/bench/fault_checks.py
+++ b/bench/fault_checks.py
@@ -1,4 +1,4 @@
-"""Checks of a run under faults: what callers saw against rows, bills and runs."""
+"""Checks of callers' results against ledger rows, bills and executions."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 from .fault_callers import Attempt
 from .fault_callers import Call
 from .fault_callers import Kind
-from .fault_callers import make_text
+from .fault_callers import make_expected_text
 
 
 if TYPE_CHECKING:
@@ -39,29 +39,30 @@
 
 GROUP = "control"
 DONE = b"data: [DONE]\n\n"
-DOWN = 6.0
-"""Seconds after a kill within which an entry may still be starting."""
+RESTART_SECONDS = 6.0
+"""Seconds after a kill during which an entry may still be starting."""
 
 
 @dataclass(slots=True)
 class Findings:
-    """What a run showed; each wrong request is named with its reason."""
+    """Results of the checks; each violation names its request and reason."""
 
-    ends: Counter[str] = field(default_factory=Counter)
-    """How requests ended, by kind and end."""
-    wrong: list[str] = field(default_factory=list)
+    outcomes: Counter[str] = field(default_factory=Counter)
+    """Number of requests by kind and outcome."""
+    violations: list[str] = field(default_factory=list)
     lost: int = 0
-    """Requests whose caller heard nothing for ``LIMIT`` seconds."""
-    doubled: int = 0
+    """Attempts without a complete response after ``CALLER_TIMEOUT_SECONDS``."""
+    duplicated: int = 0
     cut: int = 0
-    """Replies that broke off though nobody had killed their entry."""
+    """Attempts whose connection was lost though their entry was not killed."""
     cut_by_kill: int = 0
+    """Attempts whose connection was lost as their entry was killed."""
     billed: int = 0
-    """Requests whose billing row was compared with what the caller saw."""
+    """Responses that were compared with their billing rows."""
 
 
 def read_state(folder: Path) -> ControlState:
-    """Return the state that a stopped control process left in its data folder."""
+    """Return the state in the data folder of a stopped control process."""
     store = open_store(folder, GROUP)
     try:
         loaded = store.load()
@@ -89,7 +90,7 @@
     counts: dict[str, dict[str, int]],
     faults: list[Fault],
 ) -> Findings:
-    """Compare every request with its row and with what ran."""
+    """Compare every request with its ledger row and its executions."""
     findings = Findings()
     kills = [fault for fault in faults if fault.name == "kill entry"]
     for call in calls:
@@ -103,10 +104,10 @@
 
 
 def check_bills(findings: Findings, state: ControlState) -> None:
-    """Compare the bills with the sums of their rows; all rows must be closed."""
+    """Compare the bills with the totals of their rows; all rows must be closed."""
     rows = state.ledger.rows.values()
     if any(row.status is RowStatus.OPEN for row in rows):
-        findings.wrong.append("rows are open at the end")
+        findings.violations.append("rows are open at the end")
 
     billed = [row for row in rows if row.outcome is not OutcomeKind.NOT_RUN]
     billed = [
@@ -116,10 +117,10 @@
     ]
     bills = list(state.ledger.bills.bills.values())
     if sum(bill.requests for bill in bills) != len(billed):
-        findings.wrong.append("bills: another number of requests than rows")
+        findings.violations.append("bills: another number of requests than rows")
 
     if sum(bill.cost for bill in bills) != sum(row.usage.cost for row in billed):
-        findings.wrong.append("bills: another cost than the rows'")
+        findings.violations.append("bills: another cost than the rows'")
 
 
 def _check_attempts(
@@ -135,86 +136,89 @@
             findings.cut_by_kill += 1
         elif attempt.status == 0:
             findings.cut += 1
-            findings.ends[f"cut at {attempt.entry}"] += 1
+            findings.outcomes[f"cut at {attempt.entry}"] += 1
 
-        runs = counts["chats"].get(attempt.request, 0)
-        runs += counts["calls"].get(attempt.request, 0)
-        if attempt.outcome == "not_run" and attempt.request and runs:
-            findings.wrong.append(f"{call.name}: refused as not run, and ran")
+        executions = counts["chats"].get(attempt.request, 0)
+        executions += counts["calls"].get(attempt.request, 0)
+        if attempt.outcome == "not_run" and attempt.request and executions:
+            findings.violations.append(f"{call.name}: refused as not run, and ran")
 
 
 def _was_killed(attempt: Attempt, kills: list[Fault]) -> bool:
     return any(
         kill.target == attempt.entry
-        and attempt.ended >= kill.began
-        and attempt.began <= kill.ended + DOWN
+        and attempt.ended_at >= kill.started_at
+        and attempt.started_at <= kill.ended_at + RESTART_SECONDS
         for kill in kills
     )
 
 
 def _check_order(
-    findings: Findings, call: Call, state: ControlState, runs: int
+    findings: Findings, call: Call, state: ControlState, executions: int
 ) -> None:
     row = _find_row(state, call.key)
-    good = [attempt for attempt in call.attempts if attempt.status == 201]
-    if runs > 1:
-        findings.doubled += 1
-        findings.wrong.append(f"{call.name}: ran {runs} times")
+    successful = [attempt for attempt in call.attempts if attempt.status == 201]
+    if executions > 1:
+        findings.duplicated += 1
+        findings.violations.append(f"{call.name}: ran {executions} times")
 
-    if good:
-        findings.ends["order answered"] += 1
+    if successful:
+        findings.outcomes["order answered"] += 1
         findings.billed += 1
-        if len({attempt.body for attempt in good}) > 1:
-            findings.wrong.append(f"{call.name}: two answers")
+        if len({attempt.body for attempt in successful}) > 1:
+            findings.violations.append(f"{call.name}: two answers")
 
-        if runs != 1 or row is None or row.outcome is not OutcomeKind.COMPLETED:
-            findings.wrong.append(f"{call.name}: answered, {runs} runs, row {row}")
+        if executions != 1 or row is None or row.outcome is not OutcomeKind.COMPLETED:
+            findings.violations.append(
+                f"{call.name}: answered, {executions} runs, row {row}"
+            )
 
         return
 
     last = call.attempts[-1]
-    findings.ends[f"order {last.outcome or 'cut'} {last.code}"] += 1
-    told = {attempt.outcome for attempt in call.attempts}
-    if told == {"not_run"} and runs:
-        findings.wrong.append(f"{call.name}: told not run, and ran")
+    findings.outcomes[f"order {last.outcome or 'cut'} {last.code}"] += 1
+    reported = {attempt.outcome for attempt in call.attempts}
+    if reported == {"not_run"} and executions:
+        findings.violations.append(f"{call.name}: told not run, and ran")
 
 
 def _check_chat(findings: Findings, call: Call, state: ControlState) -> None:
-    whole = [attempt for attempt in call.attempts if _is_whole(call, attempt)]
-    for attempt in whole:
-        findings.ends[f"{call.kind} whole"] += 1
+    complete = [attempt for attempt in call.attempts if _is_complete(call, attempt)]
+    for attempt in complete:
+        findings.outcomes[f"{call.kind} whole"] += 1
         findings.billed += 1
-        fault = _compare(call, attempt, state)
-        if fault:
-            findings.wrong.append(f"{call.name} {attempt.request}: {fault}")
+        problem = _compare_response(call, attempt, state)
+        if problem:
+            findings.violations.append(f"{call.name} {attempt.request}: {problem}")
 
-    if whole:
+    if complete:
         return
 
     last = call.attempts[-1]
-    told = last.outcome or ("error event" if last.status == 200 else "cut")
-    findings.ends[f"{call.kind} {told} {last.code}"] += 1
+    reported = last.outcome or ("error event" if last.status == 200 else "cut")
+    findings.outcomes[f"{call.kind} {reported} {last.code}"] += 1
     for attempt in call.attempts:
-        # A try that was cut may have been billed; one that was told its end may not.
+        # An attempt that lost its connection may be billed; one whose response
+        # reported another outcome may not.
         row = _find_row(state, call.key or attempt.request)
-        told_end = attempt.status != 0 and row and row.request == attempt.request
-        # This tells of an earlier try under the key, whose request id it carries.
-        told_end = told_end and attempt.code != "already_answered"
-        if told_end and row and row.outcome is OutcomeKind.COMPLETED:
-            findings.wrong.append(f"{call.name}: billed, and told {attempt.code}")
+        reported_end = attempt.status != 0 and row and row.request == attempt.request
+        # This error refers to an earlier attempt with the key and carries its id.
+        reported_end = reported_end and attempt.code != "already_answered"
+        if reported_end and row and row.outcome is OutcomeKind.COMPLETED:
+            findings.violations.append(f"{call.name}: billed, and told {attempt.code}")
 
 
-def _is_whole(call: Call, attempt: Attempt) -> bool:
+def _is_complete(call: Call, attempt: Attempt) -> bool:
     if attempt.status != 200:
         return False
 
-    return call.kind is Kind.WHOLE or attempt.body.endswith(DONE)
+    return call.kind is Kind.COMPLETE or attempt.body.endswith(DONE)
 
 
-def _compare(call: Call, attempt: Attempt, state: ControlState) -> str:
-    """Return what is wrong with an answer that claimed to be whole."""
-    version, text, usage = _read_answer(call, attempt)
-    if text != make_text(version, call.prompt):
+def _compare_response(call: Call, attempt: Attempt, state: ControlState) -> str:
+    """Return what is wrong with a complete response; empty if nothing is."""
+    version, text, usage = _read_response(call, attempt)
+    if text != make_expected_text(version, call.prompt):
         return "not the whole answer to this prompt"
 
     row = _find_row(state, call.key or attempt.request)
@@ -232,11 +236,11 @@
     return ""
 
 
-def _read_answer(call: Call, attempt: Attempt) -> tuple[str, str, Any]:
-    if call.kind is Kind.WHOLE:
-        answer = json.loads(attempt.body)
-        text = answer["choices"][0]["message"]["content"]
-        return answer["model"], text, answer["usage"]
+def _read_response(call: Call, attempt: Attempt) -> tuple[str, str, Any]:
+    if call.kind is Kind.COMPLETE:
+        response = json.loads(attempt.body)
+        text = response["choices"][0]["message"]["content"]
+        return response["model"], text, response["usage"]
 
     version, parts, usage = "", [], None
     for block in attempt.body.split(b"\n\n"):
--- a/bench/fault_schedule.py
+++ b/bench/fault_schedule.py
@@ -1,4 +1,4 @@
-"""A seeded schedule of faults over running processes, and what it measured."""
+"""A seeded schedule of faults and configuration changes in running processes."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 from scripts.topology import name_nodes
 
 
-FROZEN = 1.6
-"""Seconds for which a leader is stopped: twice the longest election."""
-CUT_OFF = 6.0
-"""Seconds for which an entry is cut off: longer than its lease."""
-SETTLED = 1.0
-"""Seconds of quiet after everything serves again."""
-READY_LIMIT = 30.0
+PAUSE_SECONDS = 1.6
+"""Seconds for which a leader is suspended: twice the longest election."""
+CUT_OFF_SECONDS = 6.0
+"""Seconds for which an entry is cut off from control: longer than its lease."""
+STABLE_SECONDS = 1.0
+"""Seconds without faults after all processes are ready again."""
+READY_TIMEOUT_SECONDS = 30.0
 FAULTS = (
     "kill leader",
     "kill leader",
@@ -47,65 +47,65 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One fault and the time for which it lasted, on the monotonic clock."""
+    """One fault with its start and end on the monotonic clock."""
 
     name: str
     target: str
-    began: float
-    ended: float
+    started_at: float
+    ended_at: float
 
 
 @dataclass(frozen=True, slots=True)
-class ChangeSeen:
-    """One accepted change as its operator saw it."""
+class ObservedChange:
+    """One accepted change as its operator observed it."""
 
     revision: int
     config_version: int
     accepted_at: float
-    """Monotonic seconds."""
+    """Time of acceptance in seconds of the monotonic clock."""
     in_force_after: float
-    """Seconds from accepted to in force."""
+    """Seconds from acceptance until the change is in force."""
     cut_off: bool
-    """An entry was cut off at the time."""
+    """Whether an entry was cut off meanwhile."""
 
 
 @dataclass(slots=True)
 class Schedule:
-    """The faults of one run."""
+    """The schedule of one run, and the faults and changes that it made."""
 
     system: Deployment
     entries: tuple[str, ...]
     random: random.Random
     until: float
     faults: list[Fault] = field(default_factory=list)
-    changes: list[ChangeSeen] = field(default_factory=list)
+    changes: list[ObservedChange] = field(default_factory=list)
     conflicts: int = 0
-    doubtful: int = 0
-    """Changes whose outcome no process told."""
+    unresolved: int = 0
+    """Number of changes for which no process reported an outcome in time."""
     cut_off: str = ""
     stopped: bool = False
 
 
 def run_schedule(schedule: Schedule) -> None:
-    """Make one fault after the other until the time is over; heal at the end."""
-    order: list[str] = []
+    """Inject faults one at a time until the time is over; recover after each."""
+    pending: list[str] = []
     while time.monotonic() < schedule.until:
-        # Each fault comes as often as the list names it, in an order by the seed.
-        if not order:
-            order = schedule.random.sample(FAULTS, len(FAULTS))
+        # Each fault occurs as often as it is listed, in an order drawn by the seed.
+        if not pending:
+            pending = schedule.random.sample(FAULTS, len(FAULTS))
 
-        name = order.pop()
-        began = time.monotonic()
-        target = _make_fault(schedule, name)
+        name = pending.pop()
+        started_at = time.monotonic()
+        target = _inject_fault(schedule, name)
         if target:
-            schedule.faults.append(Fault(name, target, began, time.monotonic()))
+            schedule.faults.append(Fault(name, target, started_at, time.monotonic()))
 
         _wait_healthy(schedule)
 
     schedule.stopped = True
 
 
-def _make_fault(schedule: Schedule, name: str) -> str:
+def _inject_fault(schedule: Schedule, name: str) -> str:
     system = schedule.system
     leader = get_leader(system)
     entry = schedule.random.choice(schedule.entries)
@@ -113,25 +113,25 @@
         return ""
 
     if name == "kill leader":
-        return _kill(system, leader)
+        return _restart(system, leader)
 
     if name == "kill follower":
         others = [node for node in list_controls() if node != leader]
-        return _kill(system, schedule.random.choice(others))
+        return _restart(system, schedule.random.choice(others))
 
     if name == "kill entry":
-        return _kill(system, entry)
+        return _restart(system, entry)
 
     if name == "freeze leader":
         freeze(system, leader)
-        time.sleep(FROZEN)
+        time.sleep(PAUSE_SECONDS)
         thaw(system, leader)
         return leader
 
     if name == "cut off entry":
         schedule.cut_off = entry
         set_relays(system, entry, silence=True, blackhole=True)
-        time.sleep(CUT_OFF)
+        time.sleep(CUT_OFF_SECONDS)
         set_relays(system, entry, blackhole=False, cut=True)
         schedule.cut_off = ""
         return entry
@@ -140,22 +140,22 @@
     return entry
 
 
-def _kill(system: Deployment, name: str) -> str:
+def _restart(system: Deployment, name: str) -> str:
     kill_process(system, name)
     start_process(system, name)
     return name
 
 
 def _wait_healthy(schedule: Schedule) -> None:
-    deadline = time.monotonic() + READY_LIMIT
+    deadline = time.monotonic() + READY_TIMEOUT_SECONDS
     while time.monotonic() < deadline and not is_healthy(schedule):
         time.sleep(0.1)
 
-    time.sleep(SETTLED)
+    time.sleep(STABLE_SECONDS)
 
 
 def is_healthy(schedule: Schedule) -> bool:
-    """Tell whether every process serves and every member is up to date."""
+    """Return whether all processes are ready and all members are up to date."""
     statuses = [ask_admin(schedule.system, node, "status") for node in list_controls()]
     if any(status is None for status in statuses):
         return False
@@ -170,7 +170,7 @@
 
 
 def is_ready(system: Deployment, entry: str) -> bool:
-    """Tell whether an entry's health check is green."""
+    """Return whether an entry's readiness check succeeds."""
     port = system.ports[f"{entry}.callers"]
     return get_status(f"http://127.0.0.1:{port}/readyz") == 200
 
@@ -181,7 +181,7 @@
 
 
 def get_leader(system: Deployment) -> str:
-    """Return who leads now, or an empty text."""
+    """Return the current leader's name, or an empty string if there is none."""
     for node in list_controls():
         status = ask_admin(system, node, "status")
         if status is not None and status["leads"]:
@@ -191,27 +191,29 @@
 
 
 def run_changes(schedule: Schedule) -> None:
-    """Revise the workspace's answers again and again, as an operator would.
+    """Change the workspace's answers repeatedly, as an operator would.
 
-    A change is resent under its id until its outcome is known. Each accepted one is
-    the only child of the revision before it; a rival on the same revision must lose.
+    A change is sent again under its id until its outcome is known. For each revision,
+    exactly one change may be accepted; a competing one must be refused.
     """
     revision = 1
     while not schedule.stopped:
         outcome = _send(schedule, revision, "first")
         if outcome is None:
-            schedule.doubtful += 1
+            schedule.unresolved += 1
             continue
 
         if outcome["type"] != "Accepted":
-            raise RuntimeError(f"a lone change was not accepted: {outcome}")
+            raise RuntimeError(
+                f"a change without competitor was not accepted: {outcome}"
+            )
 
         accepted_at = time.monotonic()
         cut_off = bool(schedule.cut_off)
         rival = _send(schedule, revision, "rival")
         schedule.conflicts += rival is not None and rival["type"] == "Conflict"
         if rival is not None and rival["type"] == "Accepted":
-            raise RuntimeError(f"two changes on revision {revision}")
+            raise RuntimeError(f"two changes were accepted for revision {revision}")
 
         revision = outcome["revision"]
         version = outcome["config_version"]
@@ -221,7 +223,7 @@
         cut_off = cut_off or bool(schedule.cut_off)
         after = time.monotonic() - accepted_at
         schedule.changes.append(
-            ChangeSeen(revision, version, accepted_at, after, cut_off)
+            ObservedChange(revision, version, accepted_at, after, cut_off)
         )
 
 
@@ -237,7 +239,7 @@
         "answers": base64.b64encode(json.dumps(answers).encode()).decode(),
         "config": {"workspace": WORKSPACE, "revision": 1, "allowed": [], "kinds": []},
     }
-    deadline = time.monotonic() + READY_LIMIT
+    deadline = time.monotonic() + READY_TIMEOUT_SECONDS
     while time.monotonic() < deadline:
         for node in list_controls():
             status, outcome = post_command(schedule.system, node, command, 1.0)
@@ -250,11 +252,11 @@
 
 
 def is_in_force(system: Deployment, version: int) -> bool:
-    """Ask every control process in turn whether a version is in force."""
+    """Return whether a version is in force, by the first control that responds."""
     path = f"in-force?config_version={version}"
     for node in list_controls():
-        answer = ask_admin(system, node, path, 0.5)
-        if answer is not None:
-            return bool(answer.get("in_force"))
+        response = ask_admin(system, node, path, 0.5)
+        if response is not None:
+            return bool(response.get("in_force"))
 
     return False
--- a/bench/faults.py
+++ b/bench/faults.py
@@ -1,9 +1,9 @@
-"""The whole system under a seeded schedule of faults; every request is checked.
+"""Benchmark of the whole system under a seeded schedule of faults.
 
 ``python -m bench.faults SECONDS SEED RATE [FOLDER]`` runs 3 controls, 3 entries, 3
-engines and a service as processes on loopback, bounded by its seconds. Runs stay below
-110 s, so that every billing row is still held when it is compared. A folder keeps the
-logs.
+engines and a service as processes on loopback and checks every request. A run takes at
+most 110 s, so that no billing row expires before it is compared. If a folder is given,
+the logs are kept there.
 """
 
 from __future__ import annotations
@@ -50,17 +50,20 @@
 
 
 ENTRIES = name_nodes("entry", 3)
-LONGEST = 110.0
-LONGEST_LEASE = 5.0
-"""Seconds after a leader's fault in which its leases may still hold."""
-LONGEST_BEFORE = 1.0
-"""Seconds before a fault: what began earlier waits for something else."""
-AFFECTED = 2.0
-"""Seconds after a leader's fault within which new requests may meet it."""
+MAX_SECONDS = 110.0
+LEASE_SECONDS = 5.0
+"""Seconds after a leader's fault during which leases that it granted may hold."""
+LEAD_SECONDS = 1.0
+"""Seconds before a fault within which an affected request starts.
+
+Older requests that still wait do so for other reasons.
+"""
+AFFECTED_SECONDS = 2.0
+"""Seconds after a leader's fault during which it may affect new requests."""
 
 
 def run(folder: Path, seconds: float, seed: int, rate: float) -> int:
-    """Run once and print the figures; return the number of wrong requests."""
+    """Run once and print the results; return the number of violations and losses."""
     system = make_faulty(
         folder,
         entries=3,
@@ -74,9 +77,9 @@
         schedule = Schedule(
             system, ENTRIES, random.Random(seed), time.monotonic() + seconds
         )
-        calls = drive(system, schedule, seconds, seed, rate)
-        wait_until(lambda: has_settled(system), "all rows are closed")
-        breaches = list_breaches(system)
+        calls = run_load(system, schedule, seconds, seed, rate)
+        wait_until(lambda: all_rows_closed(system), "all rows are closed")
+        failed_invariants = list_failed_invariants(system)
         counts = read_counts(system)
     finally:
         codes = stop_all(system)
@@ -85,16 +88,16 @@
     findings = check_calls(calls, states[0], counts, schedule.faults)
     check_bills(findings, states[0])
     check_changes(findings, schedule, states)
-    findings.wrong += [f"invariant: {text}" for text in breaches]
-    report(calls, findings, schedule)
+    findings.violations += [f"invariant: {text}" for text in failed_invariants]
+    print_report(calls, findings, schedule)
     print("exit codes:", sorted(set(codes.values())))
-    return len(findings.wrong) + findings.lost + findings.cut
+    return len(findings.violations) + findings.lost + findings.cut
 
 
-def drive(
+def run_load(
     system: Deployment, schedule: Schedule, seconds: float, seed: int, rate: float
 ) -> list[Call]:
-    """Run traffic, faults and changes side by side; return the callers' view."""
+    """Run traffic, faults and changes concurrently; return the callers' records."""
     threads = [
         Thread(target=run_schedule, args=(schedule,), daemon=True),
         Thread(target=run_changes, args=(schedule,), daemon=True),
@@ -110,131 +113,146 @@
     return calls
 
 
-def has_settled(system: Deployment) -> bool:
-    """Tell whether the leader holds no open row."""
+def all_rows_closed(system: Deployment) -> bool:
+    """Return whether the leader has no open ledger row."""
     leader = get_leader(system)
     status = ask_admin(system, leader, "status") if leader else None
     return status is not None and status["open_rows"] == 0
 
 
-def list_breaches(system: Deployment) -> list[str]:
-    """Return the invariants that any process found broken."""
-    found = []
+def list_failed_invariants(system: Deployment) -> list[str]:
+    """Return the log lines that report a violated invariant or an internal fault."""
+    lines = []
     for name, process in system.processes.items():
         for line in process.log.read_text(errors="replace").splitlines():
             if "invariants: " in line or "Stopped by a fault" in line:
-                found.append(f"{name}: {line}")
+                lines.append(f"{name}: {line}")
 
-    return found
+    return lines
 
 
 def check_changes(
     findings: Findings, schedule: Schedule, states: list[ControlState]
 ) -> None:
-    """Every accepted change must stand in the end, on every member alike."""
+    """Check that every member has all accepted changes at the end."""
     accepted = [change.revision for change in schedule.changes]
     if accepted != list(range(2, len(accepted) + 2)):
-        findings.wrong.append(f"revisions are not a chain: {accepted}")
+        findings.violations.append(f"revisions are not a chain: {accepted}")
 
     for state in states:
         revision = state.config.revisions.get(name_workspace(WORKSPACE), 0)
         if accepted and revision < accepted[-1]:
-            findings.wrong.append(f"revision {revision} after {accepted[-1]}")
+            findings.violations.append(f"revision {revision} after {accepted[-1]}")
 
 
-def report(calls: list[Call], findings: Findings, schedule: Schedule) -> None:
-    """Print all figures of a run."""
-    billed_wrong = sum("billed" in text or "row" in text for text in findings.wrong)
+def print_report(calls: list[Call], findings: Findings, schedule: Schedule) -> None:
+    """Print all results of a run."""
+    billing_violations = sum(
+        "billed" in text or "row" in text for text in findings.violations
+    )
     print(
         f"requests {len(calls)}, tries {sum(len(call.attempts) for call in calls)}, "
-        f"lost {findings.lost}, doubled {findings.doubled}, cut {findings.cut} "
+        f"lost {findings.lost}, doubled {findings.duplicated}, cut {findings.cut} "
         f"(and {findings.cut_by_kill} by kill -9 of their entry), "
-        f"wrongly billed {billed_wrong}, wrong in all {len(findings.wrong)}, "
+        f"wrongly billed {billing_violations}, "
+        f"wrong in all {len(findings.violations)}, "
         f"compared with their bill {findings.billed}"
     )
-    for text in findings.wrong[:20]:
+    for text in findings.violations[:20]:
         print("WRONG", text)
 
-    print("ends:", dict(sorted(findings.ends.items())))
+    print("ends:", dict(sorted(findings.outcomes.items())))
     for fault in schedule.faults:
-        began = fault.began - calls[0].attempts[0].began
-        print(f"at {began:.2f} s, {datetime_of(fault)}: {fault.name}, {fault.target}")
+        started_at = fault.started_at - calls[0].attempts[0].started_at
+        print(
+            f"at {started_at:.2f} s, {format_start(fault)}: "
+            f"{fault.name}, {fault.target}"
+        )
 
     names = [fault.name for fault in schedule.faults]
     print("faults:", {name: names.count(name) for name in sorted(set(names))})
     for name in ("kill leader", "freeze leader"):
-        show(f"longest wait at a '{name}'", list_waits(calls, schedule, name))
+        print_seconds(f"longest wait at a '{name}'", list_waits(calls, schedule, name))
 
-    show_changes(schedule)
+    print_changes(schedule)
     print(f"changes {len(schedule.changes)}, rivals refused {schedule.conflicts}")
 
 
-def datetime_of(fault: Fault) -> str:
-    """Return a fault's beginning on the wall clock, as the logs have it."""
-    at = time.time() - time.monotonic() + fault.began
-    return time.strftime("%H:%M:%S", time.localtime(at)) + f"{at % 1:.2f}"[1:]
+def format_start(fault: Fault) -> str:
+    """Return the wall-clock time of a fault's start, as in the logs."""
+    wall_time = time.time() - time.monotonic() + fault.started_at
+    return (
+        time.strftime("%H:%M:%S", time.localtime(wall_time))
+        + f"{wall_time % 1:.2f}"[1:]
+    )
 
 
-def show_changes(schedule: Schedule) -> None:
-    """Print times from accepted to in force, by what happened meanwhile.
+def print_changes(schedule: Schedule) -> None:
+    """Print the times from acceptance to in force, grouped by concurrent faults.
 
-    A new leader claims nothing in force before the old one's leases have run out, so
-    each leader that falls meanwhile begins that wait anew.
+    A new leader reports nothing as in force before its predecessor's leases have
+    expired, so each leader failure meanwhile restarts that wait.
     """
     groups: dict[str, list[float]] = {}
     for change in schedule.changes:
-        falls = sum(
+        leader_faults = sum(
             fault.name in ("kill leader", "freeze leader")
-            and fault.began < change.accepted_at + change.in_force_after
-            and fault.ended + LONGEST_LEASE > change.accepted_at
+            and fault.started_at < change.accepted_at + change.in_force_after
+            and fault.ended_at + LEASE_SECONDS > change.accepted_at
             for fault in schedule.faults
         )
         place = "one entry cut off" if change.cut_off else "all entries"
-        name = f"{place}, {falls} leader faults before or meanwhile"
+        name = f"{place}, {leader_faults} leader faults before or meanwhile"
         groups.setdefault(name, []).append(change.in_force_after)
 
     for name, values in sorted(groups.items()):
-        show(f"accepted to in force, {name}", values)
+        print_seconds(f"accepted to in force, {name}", values)
 
-    show("accepted to in force", [item.in_force_after for item in schedule.changes])
+    print_seconds(
+        "accepted to in force", [item.in_force_after for item in schedule.changes]
+    )
 
 
 def list_waits(calls: list[Call], schedule: Schedule, name: str) -> list[float]:
-    """Return, for each fault of a name, the longest wait of a caller who met it.
+    """Return, for each fault of a name, the longest wait of an affected caller.
 
-    A wait counts from a caller's first try to its last, whatever became of it.
+    A wait lasts from a caller's first attempt to the end of its last one, successful
+    or not.
     """
     waits = []
     for fault in schedule.faults:
         if fault.name != name:
             continue
 
-        met = [
-            (call.attempts[-1].ended - call.attempts[0].began, call)
+        affected = [
+            (call.attempts[-1].ended_at - call.attempts[0].started_at, call)
             for call in calls
-            if fault.began - LONGEST_BEFORE < call.attempts[0].began
-            and call.attempts[0].began < fault.began + AFFECTED
-            and call.attempts[-1].ended > fault.began
+            if fault.started_at - LEAD_SECONDS < call.attempts[0].started_at
+            and call.attempts[0].started_at < fault.started_at + AFFECTED_SECONDS
+            and call.attempts[-1].ended_at > fault.started_at
         ]
-        longest, call = max(met, key=lambda item: item[0])
+        longest, call = max(affected, key=lambda item: item[0])
         waits.append(longest)
-        print(f"{name} of {fault.target}: {longest:.2f} s, {describe(call, fault)}")
+        print(
+            f"{name} of {fault.target}: {longest:.2f} s, "
+            f"{describe_attempts(call, fault)}"
+        )
 
     return waits
 
 
-def describe(call: Call, fault: Fault) -> str:
-    """Return a call's tries, with times from the fault's beginning."""
-    tries = [
-        f"{item.entry} {item.began - fault.began:.2f} to "
-        f"{item.ended - fault.began:.2f} s: {item.status} {item.code}"
+def describe_attempts(call: Call, fault: Fault) -> str:
+    """Return a call's attempts with times relative to the fault's start."""
+    attempts = [
+        f"{item.entry} {item.started_at - fault.started_at:.2f} to "
+        f"{item.ended_at - fault.started_at:.2f} s: {item.status} {item.code}"
         for item in call.attempts
     ]
-    return f"{call.name}: " + "; ".join(tries)
+    return f"{call.name}: " + "; ".join(attempts)
 
 
-def show(text: str, values: list[float]) -> None:
-    """Print p50 and maximum of some seconds."""
+def print_seconds(text: str, values: list[float]) -> None:
+    """Print the median and maximum of durations in seconds."""
     if not values:
         print(f"{text}: none")
         return
@@ -246,10 +264,10 @@
 
 
 def main() -> int:
-    """Run with the command line's arguments; 1 if anything was wrong."""
+    """Run with the arguments; return 1 for violations, 2 for a run that is too long."""
     seconds, seed, rate = (float(text) for text in sys.argv[1:4])
-    if seconds > LONGEST:
-        print(f"at most {LONGEST:.0f} s: later rows would be gone at the check")
+    if seconds > MAX_SECONDS:
+        print(f"at most {MAX_SECONDS:.0f} s: later rows would be gone at the check")
         return 2
 
     if len(sys.argv) > 4:
--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -1,7 +1,7 @@
-"""Resident memory of a gateway process with no, 200 and 800 streams under way.
+"""Resident memory of a gateway process with 0, 200 and 800 concurrent streams.
 
-``python -m bench gateway``, with the adapter's folder on the path. The gateway is a
-process of its own; upstreams and callers are those of the fault soak.
+``python -m bench gateway``, with the adapter's folder on the path. The gateway runs in
+its own process; upstreams and callers are those of the fault soak.
 """
 
 from __future__ import annotations
@@ -26,11 +26,11 @@
 
 
 STREAMS = (0, 200, 800)
-PACE_SECONDS = 0.35
-"""Between two events: twelve of them fit into a caller's five seconds."""
+EVENT_INTERVAL_SECONDS = 0.35
+"""Seconds between two events: twelve of them fit into a caller's 5 s budget."""
 SETTLE_SECONDS = 2.0
-"""After which all streams have begun and none has ended."""
-MB = 1024
+"""Seconds after which all streams have started and none has ended."""
+KB_PER_MB = 1024
 
 
 def read_memory(fleet: Fleet) -> float:
@@ -39,20 +39,20 @@
     assert process is not None
     for line in Path(f"/proc/{process.pid}/status").read_text().splitlines():
         if line.startswith("VmRSS:"):
-            return int(line.split()[1]) / MB
+            return int(line.split()[1]) / KB_PER_MB
 
-    raise RuntimeError("the gateway has ended")
+    raise RuntimeError("the gateway process has exited")
 
 
 async def measure(folder: Path) -> None:
-    """Print the memory at each number of streams."""
+    """Print the memory use for each number of streams."""
     stage = await open_stage(
         folder,
         random.Random(1),
         registries=3,
         gateways=1,
         upstreams_each=1,
-        pace=PACE_SECONDS,
+        pace=EVENT_INTERVAL_SECONDS,
     )
     background: list[asyncio.Task[None]] = []
     try:
@@ -66,7 +66,7 @@
 
 
 async def measure_streams(fleet: Fleet, journal: Journal, count: int) -> None:
-    """Print the memory while so many streams are under way."""
+    """Print the memory use with ``count`` streams open."""
     gateways = list_gateways(fleet)
     callers = [
         Caller(f"stream{count}-{number}", gateways, journal, random.Random(number))
@@ -75,13 +75,15 @@
     calls = [asyncio.create_task(call_once(one, "stream")) for one in callers]
     await asyncio.sleep(SETTLE_SECONDS)
     memory = read_memory(fleet)
-    asks = await asyncio.gather(*calls)
-    whole = sum(ask.whole for ask in asks)
-    print(f"{count} streams: {memory:.1f} MB resident, {whole} came whole", flush=True)
+    requests = await asyncio.gather(*calls)
+    complete = sum(request.whole for request in requests)
+    print(
+        f"{count} streams: {memory:.1f} MB resident, {complete} came whole", flush=True
+    )
 
 
 def main() -> None:
-    """Measure once."""
+    """Run the benchmark in a temporary folder."""
     with tempfile.TemporaryDirectory() as folder:
         asyncio.run(measure(Path(folder)))
 
--- a/bench/gateway_path.py
+++ b/bench/gateway_path.py
@@ -1,9 +1,9 @@
-"""The whole path of one gateway process against the bare hop, and what its log costs.
+"""The request path of one gateway process against the bare hop, and its log's cost.
 
 ``python -m bench.gateway_path [hop] [log] [profile]``, with the adapter's folder on the
-path; without a name, the first two. Registries and
-the gateway are the soak's; upstreams, the bare hop and the load are processes of their
-own. Answers have 500 bytes, streams 12 events of 10 ms; callers keep connections.
+path; without a name, the first two. Registries and the gateway are those of the soak;
+upstreams, the bare hop and the load run in their own processes. Responses have 500
+bytes, streams have 12 events at intervals of 10 ms; callers keep connections alive.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 from .bare_hop import CHATS
 from .gateway_process import TIMED
-from .load import WARM_UP
+from .load import WARM_UP_SECONDS
 from .load import Load
 from .load import run_load
 from .path import Figure
@@ -68,24 +68,24 @@
     from .soak.schedule import Stage
 
 
-SCRIPT = Path(__file__).resolve().parent / "gateway_process.py"
-ME = (sys.executable, "-m", "bench.gateway_path")
+GATEWAY_SCRIPT = Path(__file__).resolve().parent / "gateway_process.py"
+COMMAND = (sys.executable, "-m", "bench.gateway_path")
 HOP = "hop"
 LOOPBACK = "127.0.0.1"
-HOSTS = ("127.0.3.1", "127.0.3.2")
-"""Where the two upstreams of the soak's stage live."""
+UPSTREAM_HOSTS = ("127.0.3.1", "127.0.3.2")
+"""Addresses of the two upstreams of the soak's stage."""
 BODY_BYTES = 500
 IDLE_SECONDS = 2.0
 SECONDS = 5.0
-PACE_SECONDS = 0.01
+EVENT_INTERVAL_SECONDS = 0.01
 PATHS = {False: "/read/1", True: "/stream/1"}
-"""Of whole answers and of streams."""
+"""Paths of complete responses and of streams."""
 ROUNDS = 2
 
 
 @dataclass(frozen=True, slots=True)
-class Offer:
-    """A load, but for its server."""
+class Scenario:
+    """A load without its server."""
 
     title: str
     connections: int
@@ -93,23 +93,23 @@
     rate: float = 0.0
 
 
-OFFERS = (
-    Offer("whole answers, 8 callers", 8, stream=False),
-    Offer("whole answers, 100/s", 32, stream=False, rate=100),
-    Offer("streams, 96 callers", 96, stream=True),
-    Offer("streams, 20/s", 32, stream=True, rate=20),
+SCENARIOS = (
+    Scenario("whole answers, 8 callers", 8, stream=False),
+    Scenario("whole answers, 100/s", 32, stream=False, rate=100),
+    Scenario("streams, 96 callers", 96, stream=True),
+    Scenario("streams, 20/s", 32, stream=True, rate=20),
 )
-LOGGED = (
-    (OFFERS[0], ("file", "null", "none", "timed")),
-    (OFFERS[1], ("timed",)),
-    (OFFERS[3], ("timed",)),
+LOG_SCENARIOS = (
+    (SCENARIOS[0], ("file", "null", "none", "timed")),
+    (SCENARIOS[1], ("timed",)),
+    (SCENARIOS[3], ("timed",)),
 )
-"""Ways to log in turn; differences drown in the noise at a low rate."""
+"""Log modes to compare; at low rates, noise exceeds their differences."""
 
 
 @dataclass(frozen=True, slots=True)
 class Server:
-    """What a load goes to."""
+    """The process that serves a load, and its address."""
 
     name: str
     pid: int
@@ -117,8 +117,8 @@
     port: int
 
 
-class Elsewhere(Proxy):
-    """Stands for a listener of another process."""
+class ExternalListener(Proxy):
+    """Represents a listener in another process, in place of a proxy."""
 
     @property
     def port(self) -> int:
@@ -126,25 +126,25 @@
         return self.target[1]
 
 
-async def serve_all(port: int) -> None:
-    """Serve as every upstream, without work before an answer."""
+async def serve_upstreams(port: int) -> None:
+    """Serve as every upstream, without a delay before the response."""
 
     async def serve(reader: StreamReader, writer: StreamWriter) -> None:
         with contextlib.suppress(OSError):
             while (request := await read_head(reader)) is not None:
                 await read_body(reader, request)
-                await answer(request, writer)
+                await respond(request, writer)
 
         writer.close()
 
-    for host in (LOOPBACK, *HOSTS):
+    for host in (LOOPBACK, *UPSTREAM_HOSTS):
         await asyncio.start_server(serve, host, port)
 
     await asyncio.Event().wait()
 
 
-async def answer(request: Message, writer: StreamWriter) -> None:
-    """Answer one request; one without an id comes from the bare hop."""
+async def respond(request: Message, writer: StreamWriter) -> None:
+    """Respond to one request; one without an id comes from the bare hop."""
     sent = wire.read_sent(request.headers)
     sent = replace(sent, request_id=sent.request_id or make_id(0))
     run = Run(
@@ -157,12 +157,12 @@
     )
     upstream = Upstream(run.upstream, "", "", Journal(), random.Random(0), ())
     upstream.work = 0.0
-    upstream.pace = PACE_SECONDS
+    upstream.pace = EVENT_INTERVAL_SECONDS
     await work_on(upstream, sent, run, writer)
 
 
 def make_id(number: int) -> str:
-    """Return a request's id; its length makes the answer 500 bytes long."""
+    """Return a request's id; with its length, the response has 500 bytes."""
     return f"call-{number:09d}"
 
 
@@ -177,20 +177,25 @@
     return write_message(f"POST {path} HTTP/1.1", head, b"x" * BODY_BYTES)
 
 
-def run_offer(name: str, load: Load) -> None:
-    """Drive one load in this process, and print what it gave."""
+def run_scenario(name: str, load: Load) -> None:
+    """Run one load in this process and print its result as JSON."""
     make = partial(make_call, name, load.stream)
     print(json.dumps(run_load(load, make)))
 
 
-async def measure(server: Server, offer: Offer) -> Figure:
-    """Run one load in a process, and read the server's processor time around it."""
+async def measure(server: Server, scenario: Scenario) -> Figure:
+    """Run one load in its own process and measure the server's CPU time meanwhile."""
     load = Load(
-        server.port, offer.connections, SECONDS, offer.stream, server.host, offer.rate
+        server.port,
+        scenario.connections,
+        SECONDS,
+        scenario.stream,
+        server.host,
+        scenario.rate,
     )
     before = read_cpu(server.pid)
     process = await asyncio.create_subprocess_exec(
-        *ME,
+        *COMMAND,
         "load",
         server.name,
         json.dumps(asdict(load)),
@@ -200,19 +205,19 @@
     used = read_cpu(server.pid) - before
     return Figure(
         name=server.name,
-        cpu_share=used / (SECONDS + WARM_UP),
+        cpu_share=used / (SECONDS + WARM_UP_SECONDS),
         rss_mb=read_rss(server.pid),
         **json.loads(output),
     )
 
 
 async def start_gateway(stage: Stage, mode: str) -> Server:
-    """Start the gateway anew, with its log looked at, until it serves."""
+    """Restart the gateway with a log mode and wait until it serves."""
     member = stage.fleet.gateways[0]
     kill_member(member)
     member.record = replace(member.record, first_start=False)
     member.log.unlink(missing_ok=True)
-    start_member(member, (str(SCRIPT), mode))
+    start_member(member, (str(GATEWAY_SCRIPT), mode))
     missing = await await_service(stage, Journal(), START_SECONDS)
     assert member.process is not None
     if missing:
@@ -223,7 +228,7 @@
 
 
 async def stop_gateway(member: Member) -> str:
-    """Stop the gateway as planned, and return its log."""
+    """Stop the gateway with SIGTERM and return its log."""
     signal_member(member, signal.SIGTERM)
     while member.process is not None and member.process.poll() is None:
         await asyncio.sleep(0.1)
@@ -232,33 +237,33 @@
 
 
 async def compare_hop(stage: Stage, hops: dict[bool, Server]) -> None:
-    """Print each load through the bare hop and the gateway in turn, twice."""
+    """Measure each load through the bare hop and the gateway alternately, twice."""
     gateway = await start_gateway(stage, "file")
-    for offer in OFFERS:
-        servers = (hops[offer.stream], gateway) * 2
-        figures = [await measure(server, offer) for server in servers]
-        print(render(offer.title, figures), flush=True)
+    for scenario in SCENARIOS:
+        servers = (hops[scenario.stream], gateway) * 2
+        figures = [await measure(server, scenario) for server in servers]
+        print(render(scenario.title, figures), flush=True)
 
 
 async def compare_logs(stage: Stage) -> None:
-    """Print what a request takes of the gateway, by what becomes of its log lines."""
-    for offer, modes in LOGGED:
-        print(f"log, {offer.title}", flush=True)
+    """Print the gateway's CPU time per request for each log mode."""
+    for scenario, modes in LOG_SCENARIOS:
+        print(f"log, {scenario.title}", flush=True)
         for mode in modes * ROUNDS:
-            await measure_log(stage, offer, mode)
+            await measure_log(stage, scenario, mode)
 
 
-async def measure_log(stage: Stage, offer: Offer, mode: str) -> None:
-    """Print processor time and bytes a request, without what the gateway takes idle."""
+async def measure_log(stage: Stage, scenario: Scenario, mode: str) -> None:
+    """Print CPU time and log bytes per request, less the gateway's idle CPU time."""
     server = await start_gateway(stage, mode)
     member = stage.fleet.gateways[0]
     before = read_cpu(server.pid)
     await asyncio.sleep(IDLE_SECONDS)
     idle = (read_cpu(server.pid) - before) / IDLE_SECONDS
     size = member.log.stat().st_size
-    figure = await measure(server, offer)
+    figure = await measure(server, scenario)
     size = member.log.stat().st_size - size
-    used = (figure.cpu_share - idle) * (SECONDS + WARM_UP)
+    used = (figure.cpu_share - idle) * (SECONDS + WARM_UP_SECONDS)
     line = (
         f"  {mode:6} {figure.requests_per_s:6.0f} req/s {idle * 1e3:5.1f} ms/s idle "
         f"{used / figure.requests * 1e6:6.0f} us/req "
@@ -273,35 +278,35 @@
 
 
 async def profile(stage: Stage) -> None:
-    """Print where the gateway's time goes under whole answers, and under streams."""
-    for offer in (OFFERS[0], OFFERS[2]):
-        await measure(await start_gateway(stage, "profile"), offer)
+    """Print profiles of the gateway under complete responses and under streams."""
+    for scenario in (SCENARIOS[0], SCENARIOS[2]):
+        await measure(await start_gateway(stage, "profile"), scenario)
         log = await stop_gateway(stage.fleet.gateways[0])
-        print(f"profile, {offer.title}\n{log[log.rindex('function calls') :]}")
+        print(f"profile, {scenario.title}\n{log[log.rindex('function calls') :]}")
 
 
-async def run_parts(folder: Path, port: int, hops: dict[bool, Server]) -> None:
-    """Bring the system up, and measure the parts that the arguments name."""
+async def run_benches(folder: Path, port: int, hops: dict[bool, Server]) -> None:
+    """Start the system and run the benchmarks that the arguments name."""
     stage = await open_stage(
         folder, random.Random(1), registries=3, gateways=1, upstreams_each=1
     )
     background: list[asyncio.Task[None]] = []
     try:
         for upstream in stage.upstreams:
-            upstream.proxy = Elsewhere((upstream.host, port))
+            upstream.proxy = ExternalListener((upstream.host, port))
             upstream.born = time.time_ns() // 1_000_000
             upstream.up = True
             background.append(asyncio.create_task(beat_forever(upstream)))
 
         await begin(replace(stage, upstreams=[]), background, callers_each=0)
-        parts = sys.argv[1:] or ["hop", "log"]
-        if "hop" in parts:
+        names = sys.argv[1:] or ["hop", "log"]
+        if "hop" in names:
             await compare_hop(stage, hops)
 
-        if "log" in parts:
+        if "log" in names:
             await compare_logs(stage)
 
-        if "profile" in parts:
+        if "profile" in names:
             await profile(stage)
     finally:
         stop_fleet(stage.fleet)
@@ -310,18 +315,18 @@
 
 
 def main() -> None:
-    """Measure once."""
-    port, *own = find_ports((LOOPBACK, *HOSTS), 3)
-    processes = [subprocess.Popen([*ME, "serve", str(port)])]
+    """Start the upstreams and the hops, run the benchmarks and stop the processes."""
+    port, *hop_ports = find_ports((LOOPBACK, *UPSTREAM_HOSTS), 3)
+    processes = [subprocess.Popen([*COMMAND, "serve", str(port)])]
     hops = {}
-    for stream, hop in zip(PATHS, own, strict=True):
+    for stream, hop in zip(PATHS, hop_ports, strict=True):
         command = [sys.executable, "-m", "bench.bare_hop", str(hop), str(port)]
         processes.append(subprocess.Popen([*command, PATHS[stream]]))
         hops[stream] = Server(HOP, processes[-1].pid, LOOPBACK, hop)
 
     try:
         with tempfile.TemporaryDirectory() as folder:
-            asyncio.run(run_parts(Path(folder), port, hops))
+            asyncio.run(run_benches(Path(folder), port, hops))
     finally:
         for process in processes:
             process.kill()
@@ -330,8 +335,8 @@
 
 if __name__ == "__main__":
     if sys.argv[1:2] == ["serve"]:
-        asyncio.run(serve_all(int(sys.argv[2])))
+        asyncio.run(serve_upstreams(int(sys.argv[2])))
     elif sys.argv[1:2] == ["load"]:
-        run_offer(sys.argv[2], Load(**json.loads(sys.argv[3])))
+        run_scenario(sys.argv[2], Load(**json.loads(sys.argv[3])))
     else:
         main()
--- a/bench/gateway_process.py
+++ b/bench/gateway_process.py
@@ -1,7 +1,8 @@
-"""Starts a role as the platform does, with its log or its time looked at.
+"""Start a role as the platform does, with a log mode or under a profiler.
 
-``gateway_process.py file|null|none|timed|profile ROLE``: the log as it is, to nowhere,
-with no line made, with its processor time summed, and all of the process profiled.
+``gateway_process.py file|null|none|timed|profile ROLE``. ``file`` leaves the log as it
+is, ``null`` sends it to /dev/null, ``none`` creates no log lines, ``timed`` adds up the
+CPU time of log lines, and ``profile`` profiles the whole process.
 """
 
 from __future__ import annotations
@@ -16,14 +17,14 @@
 from typing import Any
 
 
-START = Path(__file__).resolve().parents[1] / "platform" / "start.py"
+START_SCRIPT = Path(__file__).resolve().parents[1] / "platform" / "start.py"
 TIMED = "seconds of log lines"
-"""Begins the line on standard error that tells the time."""
-TOP = 12
+"""Start of the line on standard error that reports the CPU time of log lines."""
+PROFILE_LINES = 12
 
 
-def leave_out() -> None:
-    """Make no line."""
+def disable_logging() -> None:
+    """Replace the log functions, so that no log line is created."""
     from loguru import logger
 
     from waxwingwell.adapters import events
@@ -33,43 +34,45 @@
     events.log_event = lambda event, **fields: None
 
 
-def take_times() -> list[float]:
-    """Sum the processor time of log lines in the one item of the result."""
+def time_logging() -> list[float]:
+    """Add up the CPU seconds of log lines in the only item of the returned list."""
     from waxwingwell.adapters import events
 
-    spent = [0.0]
+    seconds = [0.0]
     write = events.log_event
 
     def log_event(event: str, **fields: Any) -> None:
-        began = time.thread_time()
+        started = time.thread_time()
         write(event, **fields)
-        spent[0] += time.thread_time() - began
+        seconds[0] += time.thread_time() - started
 
     events.log_event = log_event
-    return spent
+    return seconds
 
 
 def main() -> None:
-    """Start the role."""
-    # As in the script that is started, whose own comes after these imports.
+    """Start the role with the mode of the first argument."""
+    # The started script does the same, but only after the imports of this one.
     sys.modules["OpenSSL"] = None  # type: ignore[assignment]
     mode = sys.argv.pop(1)
-    spent = take_times() if mode == "timed" else [0.0]
+    seconds = time_logging() if mode == "timed" else [0.0]
     if mode == "null":
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
     elif mode == "none":
-        leave_out()
+        disable_logging()
 
     profile = cProfile.Profile()
     if mode == "profile":
         profile.enable()
 
-    runpy.run_path(str(START), run_name="__main__")
+    runpy.run_path(str(START_SCRIPT), run_name="__main__")
     if mode == "timed":
-        print(TIMED, spent[0], file=sys.stderr)
+        print(TIMED, seconds[0], file=sys.stderr)
     elif mode == "profile":
         profile.disable()
-        pstats.Stats(profile, stream=sys.stderr).sort_stats("tottime").print_stats(TOP)
+        pstats.Stats(profile, stream=sys.stderr).sort_stats("tottime").print_stats(
+            PROFILE_LINES
+        )
 
 
 if __name__ == "__main__":
--- a/bench/load.py
+++ b/bench/load.py
@@ -1,8 +1,8 @@
-"""A load of chats over kept-alive connections, closed-loop or at a fixed rate.
+"""A load generator of chats on persistent connections, closed-loop or at a fixed rate.
 
-``python -m bench.load PORT CONNECTIONS SECONDS STREAM`` prints one JSON line. Bounded
-by its seconds and to loopback. Sockets without HTTP libraries, so that the
-generator costs less than what it measures.
+``python -m bench.load PORT CONNECTIONS SECONDS STREAM`` runs for the given seconds on
+loopback and prints one JSON line. It uses sockets without HTTP libraries, so that the
+generator uses less CPU time than the servers it measures.
 """
 
 from __future__ import annotations
@@ -24,26 +24,26 @@
 
 
 KEY = "caller-of-the-launcher"
-END = b"data: [DONE]\n\n"
-CHUNKED_END = b"0\r\n\r\n"
-WARM_UP = 1.0
-"""Seconds at the start that are not counted."""
+STREAM_END = b"data: [DONE]\n\n"
+LAST_CHUNK = b"0\r\n\r\n"
+WARM_UP_SECONDS = 1.0
+"""Seconds at the start that are excluded from the results."""
 
 
 @dataclass(slots=True)
-class Caller:
-    """One connection and the request under way on it."""
+class Connection:
+    """One connection and its current request."""
 
     sock: socket.socket
-    began: float = 0.0
-    first: float = 0.0
+    started_at: float = 0.0
+    first_byte_at: float = 0.0
     data: bytearray = b""  # type: ignore[assignment]
     length: int = -1
 
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """What to send."""
+    """Address, rate and kind of the requests of a load."""
 
     port: int
     connections: int
@@ -51,7 +51,7 @@
     stream: bool
     host: str = "127.0.0.1"
     rate: float = 0.0
-    """Requests offered in a second; 0: as soon as the answer before is whole."""
+    """Requests per second; 0 sends each after the previous response (closed loop)."""
 
 
 def make_request(load: Load) -> bytes:
@@ -72,105 +72,109 @@
 
 
 def run_load(
-    load: Load, make: Callable[[int], bytes] | None = None
+    load: Load, make_bytes: Callable[[int], bytes] | None = None
 ) -> dict[str, float]:
-    """Drive the load and return requests/s, latencies (ms) and events/s.
+    """Run the load and return requests/s, events/s, errors and latencies in ms.
 
-    ``make`` returns the bytes of each request by its number.
+    ``make_bytes`` returns the bytes of each request by its number.
     """
     chat = make_request(load)
-    make = make or (lambda _: chat)
-    chooser = selectors.DefaultSelector()
-    idle: deque[Caller] = deque()
+    make_bytes = make_bytes or (lambda _: chat)
+    selector = selectors.DefaultSelector()
+    idle: deque[Connection] = deque()
     for _ in range(load.connections):
         sock = socket.create_connection((load.host, load.port), timeout=10)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        caller = Caller(sock)
-        chooser.register(sock, selectors.EVENT_READ, caller)
-        idle.append(caller)
-
-    whole = HdrHistogram(1, 60_000_000, 3)
-    first = HdrHistogram(1, 60_000_000, 3)
-    done = events = errors = sent = answered = 0
-    began = due = now = time.monotonic()
-    while now < began + WARM_UP + load.seconds:
+        connection = Connection(sock)
+        selector.register(sock, selectors.EVENT_READ, connection)
+        idle.append(connection)
+
+    complete_us = HdrHistogram(1, 60_000_000, 3)
+    first_us = HdrHistogram(1, 60_000_000, 3)
+    counted = events = errors = sent = completed = 0
+    started = due = now = time.monotonic()
+    while now < started + WARM_UP_SECONDS + load.seconds:
         while idle and due <= now:
             sent += 1
-            # A late request counts from when it was due: waiting is latency too.
-            send(idle.popleft(), make(sent), due if load.rate else now)
+            # At a fixed rate, latency counts from the due time and so includes waiting.
+            send(idle.popleft(), make_bytes(sent), due if load.rate else now)
             due += 1 / load.rate if load.rate else 0.0
 
-        for key, _ in chooser.select(max(due - now, 0.0) if idle else 1.0):
-            caller = key.data
-            data = caller.sock.recv(262_144)
+        for key, _ in selector.select(max(due - now, 0.0) if idle else 1.0):
+            connection = key.data
+            data = connection.sock.recv(262_144)
             now = time.monotonic()
             if not data:
-                raise ConnectionError("the server closed a connection")
+                raise ConnectionError("the server closed a connection during the load")
 
-            caller.first = caller.first or now
-            caller.data += data
-            if not is_whole(caller):
+            connection.first_byte_at = connection.first_byte_at or now
+            connection.data += data
+            if not is_complete(connection):
                 continue
 
-            answered += 1
-            if now > began + WARM_UP:
-                done += 1
-                errors += not caller.data.startswith(b"HTTP/1.1 200")
-                events += caller.data.count(b"data: ")
-                whole.record_value(int((now - caller.began) * 1e6))
-                first.record_value(int((caller.first - caller.began) * 1e6))
+            completed += 1
+            if now > started + WARM_UP_SECONDS:
+                counted += 1
+                errors += not connection.data.startswith(b"HTTP/1.1 200")
+                events += connection.data.count(b"data: ")
+                complete_us.record_value(int((now - connection.started_at) * 1e6))
+                first_us.record_value(
+                    int((connection.first_byte_at - connection.started_at) * 1e6)
+                )
 
-            idle.append(caller)
+            idle.append(connection)
 
         now = time.monotonic()
 
     return {
-        "requests": answered,
-        "requests_per_s": done / load.seconds,
+        "requests": completed,
+        "requests_per_s": counted / load.seconds,
         "events_per_s": events / load.seconds,
         "errors": errors,
-        "p50_ms": whole.get_value_at_percentile(50) / 1000,
-        "p99_ms": whole.get_value_at_percentile(99) / 1000,
-        "first_p50_ms": first.get_value_at_percentile(50) / 1000,
-        "first_p99_ms": first.get_value_at_percentile(99) / 1000,
+        "p50_ms": complete_us.get_value_at_percentile(50) / 1000,
+        "p99_ms": complete_us.get_value_at_percentile(99) / 1000,
+        "first_p50_ms": first_us.get_value_at_percentile(50) / 1000,
+        "first_p99_ms": first_us.get_value_at_percentile(99) / 1000,
     }
 
 
-def send(caller: Caller, request: bytes, began: float) -> None:
-    """Send one more request."""
-    caller.began = began
-    caller.first = 0.0
-    caller.data = bytearray()
-    caller.length = -1
-    caller.sock.sendall(request)
+def send(connection: Connection, request: bytes, started_at: float) -> None:
+    """Send the next request on a connection."""
+    connection.started_at = started_at
+    connection.first_byte_at = 0.0
+    connection.data = bytearray()
+    connection.length = -1
+    connection.sock.sendall(request)
 
 
-def is_whole(caller: Caller) -> bool:
-    """Tell whether the answer under way has ended."""
-    if caller.length < 0:
-        head = caller.data.find(b"\r\n\r\n")
-        if head < 0:
+def is_complete(connection: Connection) -> bool:
+    """Return whether the current response is complete."""
+    if connection.length < 0:
+        head_length = connection.data.find(b"\r\n\r\n")
+        if head_length < 0:
             return False
 
-        caller.length = read_length(bytes(caller.data[:head]).lower(), head)
+        connection.length = read_length(
+            bytes(connection.data[:head_length]).lower(), head_length
+        )
 
-    if caller.length:
-        return len(caller.data) >= caller.length
+    if connection.length:
+        return len(connection.data) >= connection.length
 
-    return caller.data.endswith(CHUNKED_END)
+    return connection.data.endswith(LAST_CHUNK)
 
 
-def read_length(headers: bytes, head: int) -> int:
-    """Return the whole answer's length, or 0 for a chunked one."""
-    place = headers.find(b"content-length: ")
-    if place < 0:
+def read_length(headers: bytes, head_length: int) -> int:
+    """Return the length of a response with its headers; 0 if it is chunked."""
+    offset = headers.find(b"content-length: ")
+    if offset < 0:
         return 0
 
-    return head + 4 + int(headers[place + 16 :].split(b"\r\n", 1)[0])
+    return head_length + 4 + int(headers[offset + 16 :].split(b"\r\n", 1)[0])
 
 
 def main() -> None:
-    """Run the load that the arguments describe."""
+    """Run the load that the arguments describe and print its result."""
     port, connections, seconds, stream = sys.argv[1:5]
     load = Load(int(port), int(connections), float(seconds), stream == "stream")
     print(json.dumps(run_load(load)))
--- a/bench/path.py
+++ b/bench/path.py
@@ -1,7 +1,7 @@
-"""The whole path against a bare klein and treq hop, in one run.
+"""The whole request path against a bare hop of klein and treq, in the same run.
 
-Requests/s and p99 of whole answers, and what one forwarded event costs the entry:
-processor time over events at a fixed offered rate.
+Measures requests/s and p99 of complete responses, and the entry's CPU time per
+forwarded event at a fixed event rate.
 """
 
 from __future__ import annotations
@@ -33,20 +33,20 @@
 
 CONNECTIONS = 32
 SECONDS = 6.0
-RSS_EVERY = 0.1
+RSS_INTERVAL_SECONDS = 0.1
 STREAM_LOADS = ((200, 0.01), (100, 0.1), (800, 0.1))
-"""Streams at once, and seconds between two events of each."""
+"""Numbers of concurrent streams with the seconds between two events of each."""
 EVENTS = 50
-WHOLE_EVENTS = 16
+COMPLETE_EVENTS = 16
 
 
 @dataclass(frozen=True, slots=True)
 class Figure:
-    """What one load over one server gave."""
+    """Results of one load on one server."""
 
     name: str
     requests: int
-    """Answered ones, those of the warm-up too."""
+    """Completed requests, including those of the warm-up."""
     requests_per_s: float
     events_per_s: float
     errors: float
@@ -55,18 +55,18 @@
     first_p50_ms: float
     first_p99_ms: float
     cpu_share: float
-    """Processor time of the server over the time of the load."""
+    """CPU time of the server divided by the duration of the load."""
     rss_mb: float
-    """Most resident memory seen during the load."""
+    """Peak resident memory in MB, as sampled during the load."""
 
     @property
     def cpu_us_per_request(self) -> float:
-        """Microseconds of the server's processor time for one request."""
+        """CPU time of the server per request in microseconds."""
         return self.cpu_share * 1e6 / max(self.requests_per_s, 1e-9)
 
     @property
     def cpu_us_per_event(self) -> float:
-        """Microseconds of the server's processor time for one event."""
+        """CPU time of the server per event in microseconds."""
         if not self.events_per_s:
             return 0.0
 
@@ -74,7 +74,7 @@
 
 
 def start_servers(deployment: Deployment, interval: float, events: int) -> None:
-    """Start engine, bare hop, control and entry."""
+    """Start engine, bare hop, control and entry; wait until they serve chats."""
     engine = reserve_port(deployment, "engine")
     hop = reserve_port(deployment, "hop")
     add_controls(deployment, 1)
@@ -93,17 +93,17 @@
     body = {"messages": [{"role": "user", "content": "ready?"}]}
     for port in (hop, deployment.ports["entry-1.callers"]):
         url = f"http://127.0.0.1:{port}/v1/chat/completions"
-        wait_until(partial(_answers, url, body), url)
+        wait_until(partial(_responds, url, body), url)
 
 
-def _answers(url: str, body: Any) -> bool:
+def _responds(url: str, body: Any) -> bool:
     return get_status(url, key=CALLER_KEY, body=body) == 200
 
 
 def measure(
     deployment: Deployment, name: str, port: int, *, connections: int, stream: bool
 ) -> Figure:
-    """Run one load and read the server's processor time around it."""
+    """Run one load in its own process and measure the server meanwhile."""
     process = deployment.processes[name].popen
     assert process is not None
     before = read_cpu(process.pid)
@@ -122,17 +122,20 @@
     rss = 0.0
     while load.poll() is None:
         rss = max(rss, read_rss(process.pid))
-        time.sleep(RSS_EVERY)
+        time.sleep(RSS_INTERVAL_SECONDS)
 
     output, _ = load.communicate(timeout=SECONDS * 10)
-    used = read_cpu(process.pid) - before
+    cpu_seconds = read_cpu(process.pid) - before
     return Figure(
-        name=name, cpu_share=used / (SECONDS + 1.0), rss_mb=rss, **json.loads(output)
+        name=name,
+        cpu_share=cpu_seconds / (SECONDS + 1.0),
+        rss_mb=rss,
+        **json.loads(output),
     )
 
 
 def read_cpu(pid: int) -> float:
-    """Return a process's processor seconds so far."""
+    """Return the CPU seconds that a process has used so far."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
@@ -146,7 +149,7 @@
 def compare(
     stream: bool, connections: int, interval: float, events: int
 ) -> list[Figure]:
-    """Measure the bare hop and the entry in turn, twice, and keep the better half."""
+    """Measure the bare hop and the entry alternately, twice each."""
     with tempfile.TemporaryDirectory() as folder:
         deployment = open_deployment(Path(folder))
         try:
@@ -169,7 +172,7 @@
 
 
 def render(title: str, figures: list[Figure]) -> str:
-    """Return a table of figures and the ratios entry to hop."""
+    """Return lines of the results and their ratios to those of the bare hop."""
     lines = [title]
     for item in figures:
         lines.append(
@@ -183,28 +186,28 @@
         )
 
     hops = [item for item in figures if item.name == "hop"]
-    ours = [item for item in figures if item.name != "hop"]
+    targets = [item for item in figures if item.name != "hop"]
     lines.append(
         "  ratio entry/hop: "
-        f"requests/s {_mean_ratio(ours, hops, 'requests_per_s'):.2f}, "
-        f"p99 {_mean_ratio(ours, hops, 'p99_ms'):.2f}, "
-        f"first event {_mean_ratio(ours, hops, 'first_p50_ms'):.2f}, "
-        f"its p99 {_mean_ratio(ours, hops, 'first_p99_ms'):.2f}, "
-        f"us/event {_mean_ratio(ours, hops, 'cpu_us_per_event'):.2f}"
+        f"requests/s {_mean_ratio(targets, hops, 'requests_per_s'):.2f}, "
+        f"p99 {_mean_ratio(targets, hops, 'p99_ms'):.2f}, "
+        f"first event {_mean_ratio(targets, hops, 'first_p50_ms'):.2f}, "
+        f"its p99 {_mean_ratio(targets, hops, 'first_p99_ms'):.2f}, "
+        f"us/event {_mean_ratio(targets, hops, 'cpu_us_per_event'):.2f}"
     )
     return "\n".join(lines)
 
 
-def _mean_ratio(ours: list[Figure], hops: list[Figure], name: str) -> float:
-    upper = sum(getattr(item, name) for item in ours)
-    lower = sum(getattr(item, name) for item in hops)
-    return float(upper / lower) if lower else 0.0
+def _mean_ratio(targets: list[Figure], hops: list[Figure], name: str) -> float:
+    target_sum = sum(getattr(item, name) for item in targets)
+    hop_sum = sum(getattr(item, name) for item in hops)
+    return float(target_sum / hop_sum) if hop_sum else 0.0
 
 
 def main() -> None:
-    """Print whole answers, then streams at a fixed offered rate."""
-    whole = compare(False, CONNECTIONS, 0.0, WHOLE_EVENTS)
-    print(render(f"whole answers, {CONNECTIONS} connections", whole))
+    """Measure and print complete responses, then streams at fixed event rates."""
+    complete = compare(False, CONNECTIONS, 0.0, COMPLETE_EVENTS)
+    print(render(f"whole answers, {CONNECTIONS} connections", complete))
     for count, interval in STREAM_LOADS:
         streams = compare(True, count, interval, EVENTS)
         print(render(f"streams, {count} at {1 / interval:.0f} events/s", streams))
--- a/bench/state.py
+++ b/bench/state.py
@@ -1,7 +1,7 @@
-"""Cost of the state layer: time, bytes on the wire and memory for each unit.
+"""Cost of the state layer: time, bytes on the wire and memory per unit.
 
-Run ``python -m bench.state [--json FILE]``. Commands are encoded and decoded as they
-are on the wire, outside of the timed part. Times include garbage collection.
+Run ``python -m bench.state [--json FILE]``. Commands are encoded and decoded as on the
+wire, outside of the timed sections. Times include garbage collection.
 """
 
 from __future__ import annotations
@@ -63,30 +63,30 @@
 UPSTREAM_SIZES = (12, 120, 1_200, 12_000)
 WORKSPACE_SIZES = (10, 100, 1_000)
 VERSIONS = tuple(VersionId(f"heron@{number}") for number in range(8))
-TIMED = 2_000
-"""Operations timed at each size."""
+TIMED_OPERATIONS = 2_000
+"""Number of operations timed for each size."""
 
-COMMANDS = msgspec.msgpack.Decoder(Command)
-ANNOUNCEMENTS = msgspec.msgpack.Decoder(Announcement)
+COMMAND_DECODER = msgspec.msgpack.Decoder(Command)
+ANNOUNCEMENT_DECODER = msgspec.msgpack.Decoder(Announcement)
 
 
 @dataclass(frozen=True, slots=True)
 class Cost:
-    """One measured line."""
+    """One row of the results."""
 
     what: str
     held: int
-    """Units held while it was measured."""
+    """Number of units in the state during the measurement."""
     micros: float
-    """Mean microseconds for one operation; 0 where only memory was measured."""
+    """Mean microseconds per operation; 0 if only memory was measured."""
     wire: float
-    """Bytes of the message as sent; 0 where there is none."""
+    """Encoded size of the message in bytes; 0 if there is none."""
     memory: float
-    """Bytes of memory for one unit held; 0 where only time was measured."""
+    """Bytes of memory per unit; 0 if only time was measured."""
 
 
 def make_workspace(number: int) -> ApplyAnswers:
-    """Return the first answers of a workspace of usual size."""
+    """Return the first answers of a workspace of typical size."""
     workspace = WorkspaceId(f"workspace-{number}")
     kinds = tuple(WorkKind(p.value, p, 0.8) for p in Priority)
     keys = tuple(KeyHash(f"key-{place}", "0123456789abcdef" * 4) for place in range(4))
@@ -101,7 +101,7 @@
 
 
 def make_reserve(number: int, *, repeatable: bool) -> Reserve:
-    """Return a reservation with ids of usual length."""
+    """Return a reservation with ids of typical length."""
     return Reserve(
         row=LedgerRow(
             workspace=WorkspaceId(f"workspace-{number % 10}"),
@@ -118,7 +118,7 @@
 
 
 def make_settle(number: int) -> Settle:
-    """Return the settling of a request with an answer of 300 bytes."""
+    """Return the settle command of a request with a response of 300 bytes."""
     return Settle(
         workspace=WorkspaceId(f"workspace-{number % 10}"),
         key=f"key-{number:032}",
@@ -133,7 +133,7 @@
 
 
 def make_pin(number: int) -> PinSession:
-    """Return the pinning of a session."""
+    """Return the command that pins a session."""
     return PinSession(
         workspace=WorkspaceId(f"workspace-{number % 10}"),
         session=f"session-{number:016}",
@@ -161,27 +161,27 @@
     )
 
 
-def send(command: Command) -> Command:
-    """Return the command as it arrives: decoded, sharing nothing with the sender."""
-    return COMMANDS.decode(msgspec.msgpack.encode(command))
+def transfer(command: Command) -> Command:
+    """Return a command as received: decoded, without objects shared with the sender."""
+    return COMMAND_DECODER.decode(msgspec.msgpack.encode(command))
 
 
 def measure_wire(message: object) -> float:
-    """Return the bytes of a message as sent."""
+    """Return the encoded size of a message in bytes."""
     return float(len(msgspec.msgpack.encode(message)))
 
 
 def time_each(operations: Sequence[Callable[[], object]]) -> float:
-    """Return mean microseconds of the operations, each run once."""
-    begin = time.perf_counter()
+    """Run each operation once; return the mean time in microseconds."""
+    started = time.perf_counter()
     for operation in operations:
         operation()
 
-    return (time.perf_counter() - begin) / len(operations) * 1e6
+    return (time.perf_counter() - started) / len(operations) * 1e6
 
 
 def measure_memory(fill: Callable[[], object], count: int) -> float:
-    """Return bytes of memory that ``fill`` keeps for each of ``count`` units."""
+    """Return the bytes of memory per unit of the ``count`` units that ``fill`` creates."""
     gc.collect()
     tracemalloc.start()
     kept = fill()
@@ -206,27 +206,27 @@
         apply_command(state, change)
 
     for number in range(workspaces):
-        apply_command(state, send(make_workspace(number)))
+        apply_command(state, transfer(make_workspace(number)))
 
     return state
 
 
 def apply_all(state: ControlState, commands: Sequence[Command]) -> ControlState:
-    """Apply commands as they arrive; return the state."""
+    """Apply commands as received; return the state."""
     for command in commands:
-        apply_command(state, send(command))
+        apply_command(state, transfer(command))
 
     return state
 
 
 def time_commands(state: ControlState, commands: Sequence[Command]) -> float:
-    """Return mean microseconds to apply one of the commands."""
-    arrived = [send(command) for command in commands]
-    return time_each([lambda c=c: apply_command(state, c) for c in arrived])  # type: ignore[misc]
+    """Return the mean microseconds to apply one of the commands."""
+    received = [transfer(command) for command in commands]
+    return time_each([lambda c=c: apply_command(state, c) for c in received])  # type: ignore[misc]
 
 
 def measure_configuration() -> list[Cost]:
-    """Measure changes, snapshots for entries, and memory of a workspace."""
+    """Measure changes, snapshots for entries and the memory per workspace."""
     costs = []
     for size in WORKSPACE_SIZES:
         state = make_control(size)
@@ -236,7 +236,7 @@
                 change_id=f"again-{number:012}",
                 expected_revision=1 + number // size,
             )
-            for number in range(TIMED)
+            for number in range(TIMED_OPERATIONS)
         ]
         micros = time_commands(state, changes)
         costs.append(
@@ -259,26 +259,26 @@
 
 
 def measure_ledger() -> list[Cost]:
-    """Measure reservations and settles, and memory of open and settled rows."""
+    """Measure reservations, settles and the memory per row and ended attempt."""
     costs = []
     for size in ROW_SIZES:
-        held = [make_reserve(n, repeatable=False) for n in range(size)]
-        state = apply_all(make_control(), held)
-        more = range(size, size + TIMED)
-        reserves = [make_reserve(n, repeatable=False) for n in more]
+        reserves_held = [make_reserve(n, repeatable=False) for n in range(size)]
+        state = apply_all(make_control(), reserves_held)
+        numbers = range(size, size + TIMED_OPERATIONS)
+        reserves = [make_reserve(n, repeatable=False) for n in numbers]
         micros = time_commands(state, reserves)
         costs.append(Cost("reservation", size, micros, measure_wire(reserves[0]), 0))
-        settles = [make_settle(n) for n in more]
+        settles = [make_settle(n) for n in numbers]
         micros = time_commands(state, settles)
         costs.append(Cost("settle", size, micros, measure_wire(settles[0]), 0))
-        brought = [
+        settles_with_row = [
             msgspec.structs.replace(
                 make_settle(n), row=make_reserve(n, repeatable=True).row
             )
-            for n in range(size + TIMED, size + 2 * TIMED)
+            for n in range(size + TIMED_OPERATIONS, size + 2 * TIMED_OPERATIONS)
         ]
-        micros = time_commands(state, brought)
-        wire = measure_wire(brought[0])
+        micros = time_commands(state, settles_with_row)
+        wire = measure_wire(settles_with_row[0])
         costs.append(Cost("settle that brings its row", size, micros, wire, 0))
         costs += measure_rows(size)
         costs.append(Cost("memory: ended attempt", size, 0, 0, measure_ended(size)))
@@ -287,7 +287,7 @@
 
 
 def measure_ended(size: int) -> float:
-    """Return bytes of memory for the remembered id of an ended attempt."""
+    """Return the bytes of memory per recorded id of an ended attempt."""
 
     def fill() -> Ledger:
         ledger = Ledger()
@@ -300,18 +300,18 @@
 
 
 def measure_rows(size: int) -> list[Cost]:
-    """Measure the memory of rows by their standing."""
+    """Measure the memory per row by status and stored response."""
 
     def fill(*, repeatable: bool, settled: bool) -> ControlState:
         state = ControlState()
         for number in range(size):
             reserve = make_reserve(number, repeatable=repeatable)
-            apply_command(state, send(reserve))
+            apply_command(state, transfer(reserve))
             if settled:
                 settle = make_settle(number)
                 answer = None if repeatable else settle.answer
                 settle = msgspec.structs.replace(settle, answer=answer)
-                apply_command(state, send(settle))
+                apply_command(state, transfer(settle))
 
         return state
 
@@ -335,19 +335,19 @@
     ]
 
 
-def measure_images() -> list[Cost]:
-    """Measure saving and loading a state of settled rows; bytes for each row."""
+def measure_saved_states() -> list[Cost]:
+    """Measure saving and loading a state of settled rows, per row."""
     costs = []
     for size in ROW_SIZES:
         state = ControlState()
         for number in range(size):
-            apply_command(state, send(make_reserve(number, repeatable=False)))
-            apply_command(state, send(make_settle(number)))
+            apply_command(state, transfer(make_reserve(number, repeatable=False)))
+            apply_command(state, transfer(make_settle(number)))
 
-        image = save_state(state)
+        saved = save_state(state)
         saving = time_each([lambda state=state: save_state(state)] * 3)  # type: ignore[misc]
-        loading = time_each([lambda image=image: load_state(image)] * 3)  # type: ignore[misc]
-        wire = len(image) / size
+        loading = time_each([lambda saved=saved: load_state(saved)] * 3)  # type: ignore[misc]
+        wire = len(saved) / size
         costs.append(Cost("image saved, for each row", size, saving / size, wire, 0))
         costs.append(Cost("image loaded, for each row", size, loading / size, wire, 0))
 
@@ -355,14 +355,14 @@
 
 
 def measure_pins() -> list[Cost]:
-    """Measure session pins."""
+    """Measure the time and memory of session pins."""
     costs = []
     for size in ROW_SIZES:
-        pins = [make_pin(number) for number in range(size + TIMED)]
+        pins = [make_pin(number) for number in range(size + TIMED_OPERATIONS)]
         state = apply_all(make_control(), pins[:size])
         micros = time_commands(state, pins[size:])
         costs.append(Cost("session pin", size, micros, measure_wire(pins[0]), 0))
-        micros = time_commands(state, pins[:TIMED])
+        micros = time_commands(state, pins[:TIMED_OPERATIONS])
         costs.append(Cost("session pin used again", size, micros, 0, 0))
         base = make_control()
         memory = measure_memory(
@@ -375,43 +375,47 @@
 
 
 def fill_upstreams(size: int) -> Tables:
-    """Return tables that heard from ``size`` upstreams."""
+    """Return tables with announcements of ``size`` upstreams."""
     tables = Tables()
     for number in range(size):
-        said = make_announcement(number, 0, loaded=True)
-        arrived = ANNOUNCEMENTS.decode(msgspec.msgpack.encode(said))
-        take_announcement(tables, arrived, 0.0, 100.0)
+        announcement = make_announcement(number, 0, loaded=True)
+        received = ANNOUNCEMENT_DECODER.decode(msgspec.msgpack.encode(announcement))
+        take_announcement(tables, received, 0.0, 100.0)
 
     return tables
 
 
-def _bind_taking(tables: Tables, said: Announcement) -> Callable[[], object]:
-    """Return the taking in of one announcement."""
-    return lambda: take_announcement(tables, said, 0.1, 101.0)
+def _bind_announcement(
+    tables: Tables, announcement: Announcement
+) -> Callable[[], object]:
+    """Return a function that applies one announcement."""
+    return lambda: take_announcement(tables, announcement, 0.1, 101.0)
 
 
 def measure_upstreams() -> list[Cost]:
-    """Measure announcements with and without a load report, and their spread."""
+    """Measure announcements with and without load reports, and spreading them."""
     costs = []
     for size in UPSTREAM_SIZES:
         tables = fill_upstreams(size)
-        for place, (name, loaded) in enumerate(
+        for batch, (name, loaded) in enumerate(
             (("announcement", False), ("announcement with load report", True))
         ):
-            rounds = range(TIMED)
-            sequences = [1 + place * TIMED + number // size for number in rounds]
-            said = [
+            rounds = range(TIMED_OPERATIONS)
+            sequences = [
+                1 + batch * TIMED_OPERATIONS + number // size for number in rounds
+            ]
+            announcements = [
                 make_announcement(number % size, sequence, loaded=loaded)
                 for number, sequence in zip(rounds, sequences, strict=True)
             ]
-            micros = time_each([_bind_taking(tables, a) for a in said])
-            costs.append(Cost(name, size, micros, measure_wire(said[0]), 0))
+            micros = time_each([_bind_announcement(tables, a) for a in announcements])
+            costs.append(Cost(name, size, micros, measure_wire(announcements[0]), 0))
 
-        def spread(tables: Tables = tables) -> bytes:
+        def encode_spread(tables: Tables = tables) -> bytes:
             return msgspec.msgpack.encode(list_spread(tables, 0.0, 101.0))
 
-        micros = time_each([spread] * 20) / size
-        wire = len(spread()) / size
+        micros = time_each([encode_spread] * 20) / size
+        wire = len(encode_spread()) / size
         costs.append(Cost("spread, for each upstream", size, micros, wire, 0))
         memory = measure_memory(lambda size=size: fill_upstreams(size), size)  # type: ignore[misc]
         costs.append(Cost("memory: upstream", size, 0, 0, memory))
@@ -420,13 +424,13 @@
 
 
 def main(arguments: Sequence[str]) -> None:
-    """Measure everything, print a table, and write JSON where asked."""
+    """Run all measurements, print a table and write JSON if requested."""
     costs = [
         *measure_configuration(),
         *measure_upstreams(),
         *measure_ledger(),
         *measure_pins(),
-        *measure_images(),
+        *measure_saved_states(),
     ]
     costs.sort(key=lambda cost: (cost.what, cost.held))
     rows = [asdict(cost) for cost in costs]
--- a/bench/upstream.py
+++ b/bench/upstream.py
@@ -1,7 +1,8 @@
-"""A canned engine for benches: as little work as HTTP allows, numbered events.
+"""An engine for benchmarks with canned responses and numbered events.
 
-``python -m bench.upstream PORT INTERVAL EVENTS [ENTRY_URL NAME]`` serves until it is
-told to stop; with an entry's address it announces itself there.
+It does as little work as HTTP allows. ``python -m bench.upstream PORT INTERVAL EVENTS
+[ENTRY_URL NAME]`` serves until it is terminated; given an entry's URL, it announces
+itself there under NAME.
 """
 
 from __future__ import annotations
@@ -29,7 +30,7 @@
 VERSION = "swift@1"
 VERSIONS = ("swift@1", "swift@2", "heron@1", "heron@2")
 PATH = "/v1/chat/completions"
-WHOLE = msgspec.json.encode(
+COMPLETE = msgspec.json.encode(
     {
         "id": "chatcmpl-bench",
         "object": "chat.completion",
@@ -59,7 +60,7 @@
 
 
 class CannedEngine(Resource):
-    """Answers every chat with the same text, at once or event by event."""
+    """Responds to every chat with the same text, at once or as a stream of events."""
 
     isLeaf = True  # noqa: N815
 
@@ -69,19 +70,19 @@
         self.events = events
 
     def render_POST(self, request: Any) -> Any:  # noqa: N802
-        """Answer a chat."""
+        """Respond to a chat."""
         name = request.getHeader("x-request-id") or "req-bench"
         request.setHeader("x-request-id", name)
         if b'"stream":true' not in request.content.read().replace(b" ", b""):
             request.setHeader("content-type", "application/json")
-            return WHOLE
+            return COMPLETE
 
         request.setHeader("content-type", "text/event-stream")
-        self.stream(request, name.encode())
+        self.write_stream(request, name.encode())
         return NOT_DONE_YET
 
-    def stream(self, request: Any, name: bytes) -> None:
-        """Write an event each interval, then the end."""
+    def write_stream(self, request: Any, name: bytes) -> None:
+        """Write one event per interval, then usage and the end of the stream."""
         sent = [0]
         loop = LoopingCall(lambda: step())
 
@@ -106,7 +107,7 @@
 
 
 def main() -> None:
-    """Serve until told to stop."""
+    """Serve until terminated."""
     port, interval, events = sys.argv[1:4]
     engine = CannedEngine(float(interval), int(events))
     site: Any = Site(engine)
--- a/bench/versions.py
+++ b/bench/versions.py
@@ -1,7 +1,7 @@
-"""Time of one choice of a version, with few and with many workspaces.
+"""Time to choose a version, with few and with many workspaces.
 
-Run as ``python -m bench.versions``. The baseline of the same run is a plain search for
-the cheapest allowed version; each figure is the median of several rounds, in
+Run as ``python -m bench.versions``. The baseline of the same run is a linear search for
+the cheapest allowed version. Each result is the median of several rounds in
 microseconds.
 """
 
@@ -32,12 +32,12 @@
 ROUNDS = 7
 CHOICES = 2000
 RATINGS = 40
-"""Ratings of each version for each workspace and kind."""
+"""Number of ratings of each version for each workspace and kind."""
 NOW = 10.0
 
 
 def make_rated_world(size: int) -> World:
-    """Return a world whose every version was rated for every workspace and kind."""
+    """Return a world with ratings of each version for each workspace and kind."""
     world = make_world("entoto", 0, workspaces=size)
     for name in world.tables.workspaces:
         for kind in KINDS:
@@ -52,32 +52,32 @@
 
 
 def time_choices(world: World, kind: WorkKind, rng: Random) -> float:
-    """Return the microseconds of one choice."""
+    """Return the mean microseconds of one choice."""
     names = list(world.tables.workspaces)
     works = [
         make_request(rng.choice(names), kind, str(number)) for number in range(CHOICES)
     ]
     draws = [rng.random() for _ in works]
-    begun = time.perf_counter()
+    started = time.perf_counter()
     for work, draw in zip(works, draws, strict=True):
         choose_version(world.tables, work, now=NOW, draw=draw)
 
-    return (time.perf_counter() - begun) / CHOICES * 1e6
+    return (time.perf_counter() - started) / CHOICES * 1e6
 
 
 def time_cheapest(world: World) -> float:
-    """Return the microseconds of a plain search for the cheapest allowed version."""
+    """Return the mean microseconds of a search for the cheapest allowed version."""
     configs = list(world.tables.workspaces.values())
-    begun = time.perf_counter()
+    started = time.perf_counter()
     for number in range(CHOICES):
         config = configs[number % len(configs)]
         min(config.allowed, key=lambda item: world.tables.versions[item].price_out)
 
-    return (time.perf_counter() - begun) / CHOICES * 1e6
+    return (time.perf_counter() - started) / CHOICES * 1e6
 
 
 def main() -> None:
-    """Print the table."""
+    """Measure each number of workspaces and print the table."""
     rows = []
     for size in SIZES:
         world = make_rated_world(size)
--- a/scripts/launcher.py
+++ b/scripts/launcher.py
@@ -174,7 +174,7 @@
     for process in deployment.processes.values():
         if process.popen is not None and process.popen.poll() is not None:
             tail = process.log.read_text(errors="replace")[-LOG_TAIL_CHARACTERS:]
-            raise RuntimeError(f"process {process.name} exited unexpectedly:\n{tail}")
+            raise RuntimeError(f"{process.name} exited unexpectedly:\n{tail}")
 
 
 def get_status(
