--- a/bench/fault_callers.py
+++ b/bench/fault_callers.py
@@ -221,7 +221,7 @@
 
 
 def make_call(rng: random.Random, seed: int, number: int) -> Call:
-    """Return a random request: 40 % streams, 40 % complete, 20 % orders."""
+    """Return a random request: 2 in 5 streams, 2 in 5 complete, 1 in 5 an order."""
     kind = rng.choice(
         (Kind.STREAM, Kind.STREAM, Kind.COMPLETE, Kind.COMPLETE, Kind.ORDER)
     )
--- a/bench/faults.py
+++ b/bench/faults.py
@@ -243,12 +243,12 @@
 
 def describe_attempts(call: Call, fault: Fault) -> str:
     """Return a call's attempts with times relative to the fault's start."""
-    attempts = [
+    texts = [
         f"{item.entry} {item.started_at - fault.started_at:.2f} to "
         f"{item.ended_at - fault.started_at:.2f} s: {item.status} {item.code}"
         for item in call.attempts
     ]
-    return f"{call.name}: " + "; ".join(attempts)
+    return f"{call.name}: " + "; ".join(texts)
 
 
 def print_seconds(text: str, values: list[float]) -> None:
--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -76,10 +76,8 @@
     await asyncio.sleep(SETTLE_SECONDS)
     memory = read_memory(fleet)
     requests = await asyncio.gather(*calls)
-    complete = sum(request.whole for request in requests)
-    print(
-        f"{count} streams: {memory:.1f} MB resident, {complete} came whole", flush=True
-    )
+    whole = sum(request.whole for request in requests)
+    print(f"{count} streams: {memory:.1f} MB resident, {whole} came whole", flush=True)
 
 
 def main() -> None:
--- a/bench/load.py
+++ b/bench/load.py
@@ -35,8 +35,8 @@
     """One connection and its current request."""
 
     sock: socket.socket
-    started_at: float = 0.0
-    first_byte_at: float = 0.0
+    started: float = 0.0
+    first_byte: float = 0.0
     data: bytearray = b""  # type: ignore[assignment]
     length: int = -1
 
@@ -89,8 +89,8 @@
         selector.register(sock, selectors.EVENT_READ, connection)
         idle.append(connection)
 
-    complete_us = HdrHistogram(1, 60_000_000, 3)
-    first_us = HdrHistogram(1, 60_000_000, 3)
+    complete = HdrHistogram(1, 60_000_000, 3)
+    first_byte = HdrHistogram(1, 60_000_000, 3)
     counted = events = errors = sent = completed = 0
     started = due = now = time.monotonic()
     while now < started + WARM_UP_SECONDS + load.seconds:
@@ -107,7 +107,7 @@
             if not data:
                 raise ConnectionError("the server closed a connection during the load")
 
-            connection.first_byte_at = connection.first_byte_at or now
+            connection.first_byte = connection.first_byte or now
             connection.data += data
             if not is_complete(connection):
                 continue
@@ -117,9 +117,9 @@
                 counted += 1
                 errors += not connection.data.startswith(b"HTTP/1.1 200")
                 events += connection.data.count(b"data: ")
-                complete_us.record_value(int((now - connection.started_at) * 1e6))
-                first_us.record_value(
-                    int((connection.first_byte_at - connection.started_at) * 1e6)
+                complete.record_value(int((now - connection.started) * 1e6))
+                first_byte.record_value(
+                    int((connection.first_byte - connection.started) * 1e6)
                 )
 
             idle.append(connection)
@@ -131,17 +131,17 @@
         "requests_per_s": counted / load.seconds,
         "events_per_s": events / load.seconds,
         "errors": errors,
-        "p50_ms": complete_us.get_value_at_percentile(50) / 1000,
-        "p99_ms": complete_us.get_value_at_percentile(99) / 1000,
-        "first_p50_ms": first_us.get_value_at_percentile(50) / 1000,
-        "first_p99_ms": first_us.get_value_at_percentile(99) / 1000,
+        "p50_ms": complete.get_value_at_percentile(50) / 1000,
+        "p99_ms": complete.get_value_at_percentile(99) / 1000,
+        "first_p50_ms": first_byte.get_value_at_percentile(50) / 1000,
+        "first_p99_ms": first_byte.get_value_at_percentile(99) / 1000,
     }
 
 
-def send(connection: Connection, request: bytes, started_at: float) -> None:
+def send(connection: Connection, request: bytes, started: float) -> None:
     """Send the next request on a connection."""
-    connection.started_at = started_at
-    connection.first_byte_at = 0.0
+    connection.started = started
+    connection.first_byte = 0.0
     connection.data = bytearray()
     connection.length = -1
     connection.sock.sendall(request)
--- a/bench/state.py
+++ b/bench/state.py
@@ -181,7 +181,7 @@
 
 
 def measure_memory(fill: Callable[[], object], count: int) -> float:
-    """Return the bytes of memory per unit of the ``count`` units that ``fill`` creates."""
+    """Return the bytes of memory per unit if ``fill`` creates ``count`` units."""
     gc.collect()
     tracemalloc.start()
     kept = fill()
