--- a/bench/state.py
+++ b/bench/state.py
@@ -89,7 +89,7 @@
     """Return the first answers of a workspace of typical size."""
     workspace = WorkspaceId(f"workspace-{number}")
     kinds = tuple(WorkKind(p.value, p, 0.8) for p in Priority)
-    keys = tuple(KeyHash(f"key-{place}", "0123456789abcdef" * 4) for place in range(4))
+    keys = tuple(KeyHash(f"key-{index}", "0123456789abcdef" * 4) for index in range(4))
     return ApplyAnswers(
         change_id=f"change-{number:012}",
         operator="operator",
