--- a/src/waxwingwell/experiments/__init__.py
+++ b/src/waxwingwell/experiments/__init__.py
@@ -1,1 +1,1 @@
-"""Seeded experiments that drive the real decisions over table-level fakes."""
+"""Seeded experiments that run the real decision code on simulated components."""
--- a/src/waxwingwell/experiments/calls.py
+++ b/src/waxwingwell/experiments/calls.py
@@ -1,4 +1,4 @@
-"""What becomes of one caller's request at an entry and its engines."""
+"""The life cycle of a caller's request at an entry and its engines."""
 
 from __future__ import annotations
 
@@ -24,30 +24,34 @@
 from .engines import Job
 from .engines import cancel_job
 from .engines import submit_job
-from .entries import PATIENCE
+from .entries import CALLER_TIMEOUT_SECONDS
 from .entries import VERSION
-from .entries import hide_parts
+from .entries import apply_ablation
 from .events import call_at
 from .world import Call
 
 
 if TYPE_CHECKING:
     from .entries import Entry
-    from .world import Seen
+    from .world import RequestRecord
     from .world import World
 
 
-PROGRESS_DEADLINE = 3.0
-"""Seconds without a first token after which a dispatched request counts as silent."""
+FIRST_TOKEN_TIMEOUT_SECONDS = 3.0
+"""Seconds without a first token after which a request's engine is checked."""
 
 
-def start_call(world: World, seen: Seen) -> None:
-    """Let a caller send its request to an entry."""
-    seen.attempts += 1
-    request = hide_parts(world.policy, seen.request)
-    call = Call(seen, request, world.entries[request.entry])
+def start_call(world: World, record: RequestRecord) -> None:
+    """Send a caller's request to an entry."""
+    record.attempts += 1
+    request = apply_ablation(world.policy, record.request)
+    call = Call(record, request, world.entries[request.entry])
     world.calls[request.work.request] = call
-    call_at(world.clock, world.clock.now + PATIENCE, lambda: lose_patience(world, call))
+    call_at(
+        world.clock,
+        world.clock.now + CALLER_TIMEOUT_SECONDS,
+        lambda: abandon_call(world, call),
+    )
     if world.policy.rule is not None:
         engines = list(world.engines.values())
         name = world.policy.rule(call.entry, engines, request, world.random)
@@ -57,7 +61,7 @@
     now = world.clock.now
     note_request(call.entry.budget, now)
     if isinstance(admit(call.entry.tables, request.work, now), Refusal):
-        end_caller(world, call, "refused")
+        record_outcome(world, call, "refused")
         return
 
     draw = world.random.random()
@@ -71,7 +75,7 @@
 
 
 def dispatch_waiting(world: World, entry: Entry) -> None:
-    """Dispatch every waiting request that has room somewhere."""
+    """Dispatch every queued request for which an engine has capacity."""
     while True:
         taken = take_next(entry.tables, world.clock.now, world.random.random())
         if taken is None:
@@ -88,67 +92,71 @@
     """Send a call to an engine."""
     entry = call.entry
     engine = world.engines[name]
-    way = entry.tables.distances[engine.data_centre]
-    world.numbers += 1
-    world.remote_sends += engine.data_centre != entry.data_centre
+    one_way = entry.tables.distances[engine.data_centre]
+    world.dispatches += 1
+    world.remote_dispatches += engine.data_centre != entry.data_centre
     clock = world.clock
     job = Job(
-        call.seen.request,
-        world.numbers,
-        lambda: call_at(clock, clock.now + way, lambda: see_first(world, call, job)),
-        lambda whole: call_at(
-            clock, clock.now + way, lambda: see_end(world, call, job, whole)
+        call.record.request,
+        world.dispatches,
+        lambda: call_at(
+            clock, clock.now + one_way, lambda: record_first_token(world, call, job)
+        ),
+        lambda complete: call_at(
+            clock,
+            clock.now + one_way,
+            lambda: finish_attempt(world, call, job, complete),
         ),
     )
     call.engine = engine
     call.job = job
-    call.seen.sends += 1
+    call.record.sends += 1
     entry.in_flight[name] = entry.in_flight.get(name, 0) + 1
     if world.policy.rule is None:
         work = call.request.work
         note_dispatch(entry.tables, UpstreamId(name), work, now=clock.now)
 
-    call_at(clock, clock.now + way, lambda: submit_job(engine, job))
-    at = clock.now + PROGRESS_DEADLINE
+    call_at(clock, clock.now + one_way, lambda: submit_job(engine, job))
+    at = clock.now + FIRST_TOKEN_TIMEOUT_SECONDS
     call_at(clock, at, lambda: check_progress(world, call, job))
 
 
-def see_first(world: World, call: Call, job: Job) -> None:
-    """Let the caller see its first token."""
-    if call.job is job and not call.over and not call.seen.first_at:
-        call.seen.first_at = world.clock.now
+def record_first_token(world: World, call: Call, job: Job) -> None:
+    """Record the time of the caller's first token."""
+    if call.job is job and not call.finished and not call.record.first_at:
+        call.record.first_at = world.clock.now
 
 
-def see_end(world: World, call: Call, job: Job, whole: bool) -> None:
-    """End an attempt at an engine: an answer, or another try if that is safe."""
-    if call.job is not job or call.over:
+def finish_attempt(world: World, call: Call, job: Job, complete: bool) -> None:
+    """Finish the call if its attempt succeeded; otherwise retry it if that is safe."""
+    if call.job is not job or call.finished:
         return
 
-    leave_engine(world, call, failed=not whole)
-    if whole:
+    release_engine(world, call, failed=not complete)
+    if complete:
         finish_call(world, call, "done")
     else:
         retry_call(world, call, DispatchState.REFUSED)
 
 
 def check_progress(world: World, call: Call, job: Job) -> None:
-    """Treat a request without a first token as silent, when its engine is."""
-    if call.job is not job or call.over or call.seen.first_at:
+    """Fail over a request that has no first token if its engine is unresponsive."""
+    if call.job is not job or call.finished or call.record.first_at:
         return
 
-    if call.engine is None or not call.engine.silent:
+    if call.engine is None or not call.engine.unresponsive:
         return
 
     if world.policy.rule is None:
         name = UpstreamId(call.engine.name)
         note_silence(call.entry.tables, name, now=world.clock.now)
 
-    leave_engine(world, call, failed=True)
+    release_engine(world, call, failed=True)
     retry_call(world, call, DispatchState.SENT)
 
 
-def leave_engine(world: World, call: Call, *, failed: bool) -> None:
-    """Take a call off the counts of its engine."""
+def release_engine(world: World, call: Call, *, failed: bool) -> None:
+    """Remove a call from the in-flight counts of its engine."""
     engine = call.engine
     if engine is None:
         return
@@ -163,7 +171,7 @@
 
 
 def retry_call(world: World, call: Call, state: DispatchState) -> None:
-    """Try a failed request once more if that is safe and within the budget."""
+    """Retry a failed request if that is safe and within the retry budget."""
     now = world.clock.now
     entry = call.entry
     work = call.request.work
@@ -184,44 +192,48 @@
     dispatch_call(world, call, choice.upstream)
 
 
-def lose_patience(world: World, call: Call) -> None:
-    """Let a caller without a first token go, and cancel its work."""
-    if call.over or call.seen.first_at:
+def abandon_call(world: World, call: Call) -> None:
+    """Abandon a call whose caller got no first token in time, and cancel its job."""
+    if call.finished or call.record.first_at:
         return
 
     if call.engine is not None and call.job is not None:
         cancel_job(call.engine, call.job)
-        leave_engine(world, call, failed=False)
+        release_engine(world, call, failed=False)
 
     remove_waiting(call.entry.tables, call.request.work.request)
     finish_call(world, call, "abandoned")
 
 
 def finish_call(world: World, call: Call, outcome: str) -> None:
-    """Release an admitted call, end it for the caller and use the room it leaves."""
-    if call.over:
+    """Release an admitted call, record its outcome and dispatch queued requests."""
+    if call.finished:
         return
 
     if world.policy.rule is None:
         release(call.entry.tables, call.request.work, world.clock.now)
 
-    end_caller(world, call, outcome)
+    record_outcome(world, call, outcome)
     if world.policy.rule is None:
         dispatch_waiting(world, call.entry)
 
 
-def end_caller(world: World, call: Call, outcome: str) -> None:
-    """Record what the caller saw; in a storm it may come back."""
-    call.over = True
-    seen = call.seen
-    seen.outcome = outcome
-    seen.ended_at = world.clock.now
-    storm = world.storm
-    if storm is None or outcome == "done" or seen.attempts >= storm.attempts:
+def record_outcome(world: World, call: Call, outcome: str) -> None:
+    """Record the outcome for the caller, who may retry in a retry storm."""
+    call.finished = True
+    record = call.record
+    record.outcome = outcome
+    record.ended_at = world.clock.now
+    retry_storm = world.retry_storm
+    if (
+        retry_storm is None
+        or outcome == "done"
+        or record.attempts >= retry_storm.attempts
+    ):
         return
 
-    seen.outcome = ""
-    pause = storm.pause * world.random.uniform(0.5, 1.5)
-    again = replace(seen.request, entry=world.random.randrange(len(world.entries)))
-    seen.request = again
-    call_at(world.clock, world.clock.now + pause, lambda: start_call(world, seen))
+    record.outcome = ""
+    pause = retry_storm.pause * world.random.uniform(0.5, 1.5)
+    again = replace(record.request, entry=world.random.randrange(len(world.entries)))
+    record.request = again
+    call_at(world.clock, world.clock.now + pause, lambda: start_call(world, record))
--- a/src/waxwingwell/experiments/engines.py
+++ b/src/waxwingwell/experiments/engines.py
@@ -1,9 +1,9 @@
-"""A table-level fake of a model engine with continuous batching.
+"""A simulated model engine with continuous batching.
 
-Requests take a place, their prompts are read in chunks one after the other (higher
-priorities first, cached prefixes skipped), then all that hold a place write their
-answers side by side. Up to ``capacity`` places the speed falls little; beyond it the
-whole engine becomes slower, as engines do that must swap their KV cache.
+Requests take a batch slot. Their prompts are prefilled in chunks one after the other
+(higher priorities first, cached prefixes skipped); then all requests that hold a slot
+decode concurrently. Up to ``capacity`` slots the speed falls little; beyond it the
+whole engine becomes slower, like engines that must swap their KV cache.
 """
 
 from __future__ import annotations
@@ -22,14 +22,15 @@
 
 
 CHUNK_TOKENS = 512
-MAX_BATCH = 1.5
-"""Places of an engine as a multiple of its capacity."""
-LIGHT_SLOWING = 0.15
-"""Loss of decode speed between an empty and a full batch."""
-HEAVY_SLOWING = 0.3
-"""Loss of the whole engine's speed for each capacity's worth of places beyond."""
-READING_SLOWING = 0.2
-"""Loss of decode speed while a prompt is read."""
+MAX_BATCH_RATIO = 1.5
+"""Batch slots of an engine as a multiple of its capacity."""
+BATCH_SLOWDOWN = 0.15
+"""Relative loss of decode speed between an empty and a full batch."""
+OVERLOAD_SLOWDOWN = 0.3
+"""Relative loss of the engine's total speed for each multiple of its capacity by
+which the batch exceeds the capacity."""
+PREFILL_SLOWDOWN = 0.2
+"""Relative loss of decode speed during a prefill."""
 
 
 @dataclass(slots=True)
@@ -38,13 +39,13 @@
 
     request: Request
     number: int
-    on_first: Callable[[], None]
+    on_first_token: Callable[[], None]
     on_end: Callable[[bool], None]
-    """Called with True when the answer is whole, with False when it failed."""
-    to_read: float = -1.0
-    """Prompt tokens still to be read; below zero before it has a place."""
+    """Called with True when the response is complete, with False when it failed."""
+    prefill_left: float = -1.0
+    """Prompt tokens left to prefill; negative until the job has a slot."""
     cancelled: bool = False
-    has_place: bool = False
+    has_slot: bool = False
 
 
 @dataclass(slots=True)
@@ -59,31 +60,32 @@
     cache_tokens: int
     clock: Clock
     waiting: list[tuple[int, int, Job]] = field(default_factory=list)
-    to_read: list[tuple[int, int, Job]] = field(default_factory=list)
-    reading: bool = False
+    prefill_queue: list[tuple[int, int, Job]] = field(default_factory=list)
+    prefilling: bool = False
     decoding: list[tuple[float, int, Job]] = field(default_factory=list)
-    """By the position (tokens written by each request so far) at which they end."""
+    """A heap by end position; see ``position``."""
     position: float = 0.0
+    """Tokens decoded so far by a request that has been in the batch throughout."""
     position_at: float = 0.0
-    places: int = 0
+    used_slots: int = 0
     decode_event: int = 0
     cache: dict[str, int] = field(default_factory=dict)
-    """Prefix digest to the tokens that it adds, the least lately used first."""
+    """Tokens that each prefix digest adds, least recently used first."""
     cached: int = 0
     evicted: list[str] = field(default_factory=list)
-    """Digests dropped since the last cache event."""
+    """Digests evicted since the last cache event."""
     stored: list[str] = field(default_factory=list)
-    silent: bool = False
-    """Takes requests and never answers."""
+    unresponsive: bool = False
+    """Accepts requests and never responds."""
     failing: bool = False
-    """Answers each request with an error."""
-    read_tokens: int = 0
-    asked_tokens: int = 0
+    """Responds to each request with an error."""
+    prefilled_tokens: int = 0
+    requested_tokens: int = 0
 
 
 def submit_job(engine: Engine, job: Job) -> None:
-    """Take a request; its callbacks tell what becomes of it."""
-    if engine.silent:
+    """Accept a request; its callbacks report its progress and outcome."""
+    if engine.unresponsive:
         return
 
     if engine.failing:
@@ -92,43 +94,45 @@
 
     entry = (RANK[job.request.work.priority], job.number, job)
     heapq.heappush(engine.waiting, entry)
-    fill_places(engine)
+    fill_slots(engine)
 
 
 def cancel_job(engine: Engine, job: Job) -> None:
-    """Drop a request; its place is free once the engine comes across it."""
+    """Cancel a request; a queued or prefilling one is dropped on its next turn."""
     job.cancelled = True
-    if job.has_place and job.to_read <= 0.0:
+    if job.has_slot and job.prefill_left <= 0.0:
         advance(engine)
         kept = [item for item in engine.decoding if item[2] is not job]
         if len(kept) < len(engine.decoding):
             heapq.heapify(kept)
             engine.decoding = kept
-            engine.places -= 1
-            plan_decode(engine)
-            fill_places(engine)
+            engine.used_slots -= 1
+            schedule_decode_end(engine)
+            fill_slots(engine)
 
 
-def fill_places(engine: Engine) -> None:
-    """Give free places to waiting requests."""
-    while engine.waiting and engine.places < int(engine.capacity * MAX_BATCH):
+def fill_slots(engine: Engine) -> None:
+    """Give free slots to queued requests."""
+    while engine.waiting and engine.used_slots < int(engine.capacity * MAX_BATCH_RATIO):
         rank, number, job = heapq.heappop(engine.waiting)
         if job.cancelled:
             continue
 
-        engine.places += 1
-        job.has_place = True
+        engine.used_slots += 1
+        job.has_slot = True
         work = job.request.work
-        job.to_read = max(work.prompt_tokens - find_cached(engine, job.request), 1)
-        engine.asked_tokens += work.prompt_tokens
-        engine.read_tokens += int(job.to_read)
-        heapq.heappush(engine.to_read, (rank, number, job))
+        job.prefill_left = max(
+            work.prompt_tokens - use_cached_tokens(engine, job.request), 1
+        )
+        engine.requested_tokens += work.prompt_tokens
+        engine.prefilled_tokens += int(job.prefill_left)
+        heapq.heappush(engine.prefill_queue, (rank, number, job))
 
-    read_chunk(engine)
+    prefill_chunk(engine)
 
 
-def find_cached(engine: Engine, request: Request) -> int:
-    """Return the prompt tokens in the cache, and touch their prefixes."""
+def use_cached_tokens(engine: Engine, request: Request) -> int:
+    """Return the cached prompt tokens, and mark their prefixes as recently used."""
     work = request.work
     best = 0
     pairs = list(zip(work.prefixes, work.prefix_tokens, strict=True))
@@ -142,8 +146,8 @@
     return best
 
 
-def count_cached(engine: Engine, request: Request) -> int:
-    """Return the prompt tokens in the cache without touching it."""
+def count_cached_tokens(engine: Engine, request: Request) -> int:
+    """Return the cached prompt tokens without changing the order of eviction."""
     work = request.work
     best = 0
     pairs = list(zip(work.prefixes, work.prefix_tokens, strict=True))
@@ -157,7 +161,7 @@
 
 
 def store_prefixes(engine: Engine, request: Request) -> None:
-    """Put the prompt's prefixes into the cache and evict what no longer fits."""
+    """Cache the prompt's prefixes and evict what no longer fits."""
     work = request.work
     below = 0
     pairs = list(zip(work.prefixes, work.prefix_tokens, strict=True))
@@ -178,72 +182,76 @@
         engine.evicted.append(digest)
 
 
-def read_chunk(engine: Engine) -> None:
-    """Read the next chunk of the prompt whose turn it is."""
-    if engine.reading:
+def prefill_chunk(engine: Engine) -> None:
+    """Start to prefill the next chunk of the first prompt in the queue."""
+    if engine.prefilling:
         return
 
-    while engine.to_read:
-        rank, number, job = heapq.heappop(engine.to_read)
+    while engine.prefill_queue:
+        rank, number, job = heapq.heappop(engine.prefill_queue)
         if job.cancelled:
-            engine.places -= 1
+            engine.used_slots -= 1
             continue
 
         advance(engine)
-        engine.reading = True
-        plan_decode(engine)
-        chunk = min(job.to_read, CHUNK_TOKENS)
+        engine.prefilling = True
+        schedule_decode_end(engine)
+        chunk = min(job.prefill_left, CHUNK_TOKENS)
         at = engine.clock.now + chunk / engine.prefill_rate
-        call_at(engine.clock, at, partial(end_chunk, engine, rank, number, job, chunk))
+        call_at(
+            engine.clock, at, partial(finish_chunk, engine, rank, number, job, chunk)
+        )
         return
 
-    if engine.waiting and engine.places < int(engine.capacity * MAX_BATCH):
-        fill_places(engine)
+    if engine.waiting and engine.used_slots < int(engine.capacity * MAX_BATCH_RATIO):
+        fill_slots(engine)
 
 
-def end_chunk(engine: Engine, rank: int, number: int, job: Job, chunk: float) -> None:
-    """Go on with the next chunk, or let the answer begin."""
+def finish_chunk(
+    engine: Engine, rank: int, number: int, job: Job, chunk: float
+) -> None:
+    """Continue with the next chunk, or start to decode after the last one."""
     advance(engine)
-    engine.reading = False
-    job.to_read -= chunk
+    engine.prefilling = False
+    job.prefill_left -= chunk
     if job.cancelled:
-        engine.places -= 1
-    elif job.to_read > 0.0:
-        heapq.heappush(engine.to_read, (rank, number, job))
+        engine.used_slots -= 1
+    elif job.prefill_left > 0.0:
+        heapq.heappush(engine.prefill_queue, (rank, number, job))
     else:
         store_prefixes(engine, job.request)
         step = 1.0 / get_decode_rate(engine)
-        call_at(engine.clock, engine.clock.now + step, job.on_first)
-        end = engine.position + job.request.answer
+        call_at(engine.clock, engine.clock.now + step, job.on_first_token)
+        end = engine.position + job.request.output_tokens
         heapq.heappush(engine.decoding, (end, number, job))
 
-    plan_decode(engine)
-    read_chunk(engine)
+    schedule_decode_end(engine)
+    prefill_chunk(engine)
 
 
 def get_decode_rate(engine: Engine) -> float:
-    """Return the tokens a second of each answer being written."""
+    """Return the current tokens a second of each decoding request."""
     count = max(len(engine.decoding), 1)
-    filled = count / engine.capacity
-    rate = engine.decode_rate / (1.0 + LIGHT_SLOWING * min(filled, 1.0))
-    if filled > 1.0:
-        rate *= (1.0 - HEAVY_SLOWING * (filled - 1.0)) / filled
+    fill_ratio = count / engine.capacity
+    rate = engine.decode_rate / (1.0 + BATCH_SLOWDOWN * min(fill_ratio, 1.0))
+    if fill_ratio > 1.0:
+        rate *= (1.0 - OVERLOAD_SLOWDOWN * (fill_ratio - 1.0)) / fill_ratio
 
-    if engine.reading:
-        rate *= 1.0 - READING_SLOWING
+    if engine.prefilling:
+        rate *= 1.0 - PREFILL_SLOWDOWN
 
     return rate
 
 
 def advance(engine: Engine) -> None:
-    """Bring the position of the answers up to the present."""
+    """Advance the decode position to the current time."""
     now = engine.clock.now
     engine.position += (now - engine.position_at) * get_decode_rate(engine)
     engine.position_at = now
 
 
-def plan_decode(engine: Engine) -> None:
-    """Plan the end of the answer that ends first at the present speed."""
+def schedule_decode_end(engine: Engine) -> None:
+    """Schedule the end of the response that ends first at the current speed."""
     engine.decode_event += 1
     event = engine.decode_event
     if not engine.decoding:
@@ -251,28 +259,28 @@
 
     left = max(engine.decoding[0][0] - engine.position, 0.0)
     at = engine.clock.now + left / get_decode_rate(engine)
-    call_at(engine.clock, at, lambda: end_decode(engine, event))
+    call_at(engine.clock, at, lambda: finish_decode(engine, event))
 
 
-def end_decode(engine: Engine, event: int) -> None:
-    """End the first answer, unless the plan has changed meanwhile."""
+def finish_decode(engine: Engine, event: int) -> None:
+    """Finish the first response, unless its end has been rescheduled meanwhile."""
     if event != engine.decode_event:
         return
 
     advance(engine)
     _, _, job = heapq.heappop(engine.decoding)
-    engine.places -= 1
-    plan_decode(engine)
+    engine.used_slots -= 1
+    schedule_decode_end(engine)
     job.on_end(True)
-    fill_places(engine)
+    fill_slots(engine)
 
 
 def report_load(engine: Engine) -> LoadReport:
-    """Return the engine's load as it stands now."""
-    backlog = sum(job.to_read for _, _, job in engine.to_read)
+    """Return the engine's current load."""
+    backlog = sum(job.prefill_left for _, _, job in engine.prefill_queue)
     backlog += sum(job.request.work.prompt_tokens / 2 for _, _, job in engine.waiting)
     return LoadReport(
-        running=engine.places,
+        running=engine.used_slots,
         queued=len(engine.waiting),
         backlog_tokens=int(backlog),
         tokens_per_second=get_decode_rate(engine),
--- a/src/waxwingwell/experiments/entries.py
+++ b/src/waxwingwell/experiments/entries.py
@@ -1,4 +1,4 @@
-"""Entries of the experiment: the real tables and decisions, or a baseline's rule."""
+"""Simulated entries that use either the real decisions or a baseline policy."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from ..records import WorkspaceConfig
 from ..records import WorkspaceId
 from .engines import Engine
-from .engines import count_cached
+from .engines import count_cached_tokens
 from .fleet_traffic import Request
 
 
@@ -31,28 +31,28 @@
 
 
 VERSION = VersionId("assistant@1")
-NEVER = 1e12
-PATIENCE = 8.0
+NO_EXPIRY = 1e12
+CALLER_TIMEOUT_SECONDS = 8.0
 """Seconds that a caller waits for the first token."""
 LIMITS = Limits(requests_per_second=10_000.0, max_in_flight=10_000, max_wait=5.0)
-"""Wide limits: the experiments are about the engines' bounds, not a workspace's."""
+"""Limits wide enough that the engines' capacity, not a workspace's limit, binds."""
 
 
 @dataclass(slots=True)
 class Entry:
-    """One entry: the tables of the real decisions, and plain counts for baselines."""
+    """One entry: the tables of the real decisions, and counters for the baselines."""
 
     number: int
     data_centre: str
     tables: Tables
     budget: RetryBudget = field(default_factory=RetryBudget)
     in_flight: dict[str, int] = field(default_factory=dict)
-    turn: int = 0
+    next_index: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Policy:
-    """How entries choose; without a rule the real decisions are used."""
+    """How entries choose an engine; without a rule the real decisions are used."""
 
     name: str
     rule: Callable[[Entry, list[Engine], Request, Random], str] | None = None
@@ -62,7 +62,7 @@
 
 
 def make_entry(profile: Profile, number: int, engines: list[Engine]) -> Entry:
-    """Return an entry that knows every engine and workspace."""
+    """Return an entry configured with every engine and workspace."""
     data_centre = profile.data_centres[number % len(profile.data_centres)]
     tables = Tables(
         distances={
@@ -84,7 +84,7 @@
     for engine in engines:
         upstream = UpstreamId(engine.name)
         tables.upstreams[upstream] = UpstreamRow(
-            announcement=announce_engine(engine), expires_at=NEVER, heard_at=0.0
+            announcement=announce_engine(engine), expires_at=NO_EXPIRY, heard_at=0.0
         )
 
     return Entry(number, data_centre, tables)
@@ -100,14 +100,14 @@
         data_centre=engine.data_centre,
         host="127.0.0.1",
         port=1,
-        lease=NEVER,
+        lease=NO_EXPIRY,
         versions=(VERSION,),
         capacity=engine.capacity,
     )
 
 
-def hide_parts(policy: Policy, request: Request) -> Request:
-    """Return the request as a policy with parts left out gets to see it."""
+def apply_ablation(policy: Policy, request: Request) -> Request:
+    """Return the request without the fields that an ablation policy hides."""
     work = request.work
     if policy.hide_prefixes:
         work = replace(work, prefixes=(), prefix_tokens=())
@@ -120,15 +120,15 @@
 def pick_round_robin(
     entry: Entry, engines: list[Engine], request: Request, random: Random
 ) -> str:
-    """Go round all engines in turn, each entry by itself."""
-    entry.turn += 1
-    return engines[(entry.turn + entry.number) % len(engines)].name
+    """Pick all engines in rotation, independently at each entry."""
+    entry.next_index += 1
+    return engines[(entry.next_index + entry.number) % len(engines)].name
 
 
 def pick_least_in_flight(
     entry: Entry, engines: list[Engine], request: Request, random: Random
 ) -> str:
-    """Pick the engine with the fewest of this entry's requests; ties are drawn."""
+    """Pick the engine with the fewest of this entry's requests; ties are random."""
     least = min(entry.in_flight.get(engine.name, 0) for engine in engines)
     names = [
         engine.name
@@ -152,14 +152,17 @@
 def pick_by_hash(
     entry: Entry, engines: list[Engine], request: Request, random: Random
 ) -> str:
-    """Pick the session's home, or the next one while it has 1.25 times its share."""
+    """Pick the session's engine by rendezvous hash, with bounded loads.
+
+    An engine that has ``HASH_BOUND`` times its fair share is skipped.
+    """
     names = [engine.name for engine in engines]
     total = sum(entry.in_flight.get(name, 0) for name in names) + 1
     bound = max(HASH_BOUND * total / len(names), 1.0)
     work = request.work
     while names:
-        home = find_home(work, (UpstreamId(name) for name in names))
-        name = home or random.choice(names)
+        preferred = find_home(work, (UpstreamId(name) for name in names))
+        name = preferred or random.choice(names)
         if entry.in_flight.get(name, 0) < bound:
             return name
 
@@ -168,22 +171,26 @@
     return pick_least_in_flight(entry, engines, request, random)
 
 
-def pick_by_truth(
+def pick_by_oracle(
     entry: Entry, engines: list[Engine], request: Request, random: Random
 ) -> str:
-    """Pick the engine with the soonest first token by its true state (the oracle)."""
+    """Pick the engine with the earliest first token by its true state (an oracle)."""
     distances = entry.tables.distances
     rank = list(type(request.work.priority)).index(request.work.priority)
 
-    def measure(engine: Engine) -> float:
-        ahead = sum(job.to_read for order, _, job in engine.to_read if order <= rank)
-        new = request.work.prompt_tokens - count_cached(engine, request)
-        over = max(engine.places + len(engine.waiting) + 1 - engine.capacity, 0)
-        wait = over * request.work.answer_tokens / engine.decode_rate / engine.capacity
-        way = 2.0 * distances[engine.data_centre]
-        return way + wait + (ahead + new) / engine.prefill_rate
+    def estimate_first_token(engine: Engine) -> float:
+        ahead = sum(
+            job.prefill_left for order, _, job in engine.prefill_queue if order <= rank
+        )
+        new = request.work.prompt_tokens - count_cached_tokens(engine, request)
+        excess = max(engine.used_slots + len(engine.waiting) + 1 - engine.capacity, 0)
+        wait = (
+            excess * request.work.answer_tokens / engine.decode_rate / engine.capacity
+        )
+        round_trip = 2.0 * distances[engine.data_centre]
+        return round_trip + wait + (ahead + new) / engine.prefill_rate
 
-    return min(engines, key=measure).name
+    return min(engines, key=estimate_first_token).name
 
 
 HASH_BOUND = 1.25
@@ -194,7 +201,7 @@
     LEAST_IN_FLIGHT,
     Policy("random of two", pick_of_two),
     Policy("hash, bounded", pick_by_hash),
-    Policy("oracle", pick_by_truth),
+    Policy("oracle", pick_by_oracle),
 )
 ABLATIONS = (
     Policy("without prefixes", hide_prefixes=True),
--- a/src/waxwingwell/experiments/events.py
+++ b/src/waxwingwell/experiments/events.py
@@ -1,4 +1,4 @@
-"""A discrete-event clock: callbacks in order of time over one heap."""
+"""A discrete-event scheduler: callbacks in order of time on one heap."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True)
 class Clock:
-    """Simulated seconds and the callbacks that are still to come."""
+    """The simulated time in seconds and the pending callbacks."""
 
     now: float = 0.0
     count: int = 0
@@ -18,7 +18,7 @@
 
 
 def call_at(clock: Clock, at: float, callback: Callable[[], None]) -> None:
-    """Call ``callback`` at a time; equal times keep the order of their calls."""
+    """Schedule ``callback``; callbacks due at the same time run in FIFO order."""
     clock.count += 1
     heapq.heappush(clock.events, (at, clock.count, callback))
 
--- a/src/waxwingwell/experiments/fleet.py
+++ b/src/waxwingwell/experiments/fleet.py
@@ -33,7 +33,7 @@
 
 HIGHER_IS_BETTER = frozenset({"goodput", "answers"})
 MIN_SEEDS = 20
-"""Seeds below which a report says that it is only a trial."""
+"""Number of seeds below which a report is marked as a trial."""
 COLUMNS = (
     ("first p50", "first_p50"),
     ("first p95", "first_p95"),
@@ -49,7 +49,7 @@
 )
 
 Runs = dict[tuple[str, float, str], list[Measures]]
-"""By scenario, load and policy; one item for each seed, in order."""
+"""Measures by scenario, load and policy; one item for each seed, in order."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Goal:
-    """A goal and what was reached, over all seeds."""
+    """A goal and the value reached, over all seeds."""
 
     name: str
     policy: str
@@ -107,12 +107,12 @@
 
 
 def run_fleet(
-    profile: str, seeds: int, *, note: Callable[[str], None] | None = None
+    profile: str, seeds: int, *, report_progress: Callable[[str], None] | None = None
 ) -> FleetReport:
     """Run every scenario with every policy over ``seeds`` seeds.
 
-    ``note`` is called with a line of progress after each scenario. An unknown profile
-    raises ``ValueError``.
+    ``report_progress`` is called with a line of text after each scenario. An unknown
+    profile, or fewer than one seed, raises ``ValueError``.
     """
     if profile not in PROFILES:
         known = ", ".join(sorted(PROFILES))
@@ -129,17 +129,17 @@
                 for seed in range(seeds)
             ]
 
-        if note is not None:
-            note(f"{profile}: {scenario.name} at {scenario.load:g} done")
+        if report_progress is not None:
+            report_progress(f"{profile}: {scenario.name} at {scenario.load:g} done")
 
     rows = tuple(
         Row(*key, figures=spread_figures(measures)) for key, measures in runs.items()
     )
-    return FleetReport(profile, seeds, judge_goals(runs), rows)
+    return FleetReport(profile, seeds, evaluate_goals(runs), rows)
 
 
 def spread_figures(measures: Sequence[Measures]) -> dict[str, Spread]:
-    """Return every figure's median and worst."""
+    """Return the median and the worst value of every figure."""
     return {
         item.name: spread_values(
             [getattr(one, item.name) for one in measures],
@@ -149,8 +149,8 @@
     }
 
 
-def judge_goals(runs: Runs) -> tuple[Goal, ...]:
-    """Return the goals with what was reached; each ratio is taken within a seed."""
+def evaluate_goals(runs: Runs) -> tuple[Goal, ...]:
+    """Return the goals with the values reached; each ratio is taken within a seed."""
     goals = []
     sessions = runs["sessions", SESSION_LOAD, LEAST_IN_FLIGHT.name]
     for (scenario, _, policy), measures in runs.items():
@@ -165,12 +165,12 @@
         goals.append(Goal(name, policy, 0.7, True, spread_values(ratios)))
 
     for policy in (REAL.name, LEAST_IN_FLIGHT.name):
-        goals += judge_overload(runs, policy)
+        goals += evaluate_overload(runs, policy)
 
     return tuple(goals)
 
 
-def judge_overload(runs: Runs, policy: str) -> list[Goal]:
+def evaluate_overload(runs: Runs, policy: str) -> list[Goal]:
     """Return the goals about orders and goodput for one policy."""
     light = runs["light", LIGHT_LOAD, policy]
     double = runs["sweep", DOUBLE_LOAD, policy]
@@ -187,17 +187,17 @@
 
     sweeps = [runs["sweep", load, policy] for load in SWEEP_LOADS]
     by_seed = [[one.goodput for one in seed] for seed in zip(*sweeps, strict=True)]
-    past = sum(1 for load in SWEEP_LOADS if load <= SATURATION)
-    lows = [min(row[past:]) / max(row) for row in by_seed]
-    storm = [
+    below_saturation = sum(1 for load in SWEEP_LOADS if load <= SATURATION)
+    goodput_ratios = [min(row[below_saturation:]) / max(row) for row in by_seed]
+    storm_ratios = [
         one.goodput / max(row)
         for one, row in zip(
             runs["retry storm", STORM_LOAD, policy], by_seed, strict=True
         )
     ]
     for name, values in (
-        ("goodput past saturation over its peak", lows),
-        ("goodput in a retry storm over the peak", storm),
+        ("goodput past saturation over its peak", goodput_ratios),
+        ("goodput in a retry storm over the peak", storm_ratios),
     ):
         reached = spread_values(values, higher_is_better=True)
         goals.append(Goal(name, policy, 0.95, False, reached))
@@ -238,7 +238,7 @@
 
 
 def render_spread(spread: Spread) -> str:
-    """Return a median with the worst in brackets."""
+    """Return a median with the worst value in brackets."""
     if spread.median >= 100.0:
         return f"{spread.median:.0f} ({spread.worst:.0f})"
 
--- a/src/waxwingwell/experiments/fleet_traffic.py
+++ b/src/waxwingwell/experiments/fleet_traffic.py
@@ -1,4 +1,4 @@
-"""Traffic of the experiments: sessions with growing prompts, orders, tags, reports."""
+"""Synthetic traffic: sessions with growing prompts, orders, tags and reports."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 
 @dataclass(frozen=True, slots=True)
 class KindShape:
-    """Sizes of one kind of work, in tokens; means of exponential parts."""
+    """Mean sizes of one kind of work, in tokens."""
 
     priority: Priority
     share: float
-    """Of the requests, sessions' later turns included."""
+    """Share of all requests, including the later turns of sessions."""
     prompt: int
-    answer: int
+    output_tokens: int
     turns: int = 1
     """Turns of a session; 1 for work without one."""
     spread: float = 1.0
-    """Exponential part of the answer's length; the rest is fixed."""
+    """Exponentially distributed share of the output length; the rest is fixed."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,31 +38,31 @@
     name: str
     data_centres: tuple[str, ...]
     one_way: float
-    """Seconds between two data centres."""
+    """One-way latency between two data centres, in seconds."""
     engines: int
     entries: int
     capacity: int
-    """Requests that one engine runs side by side at full speed."""
+    """Requests that one engine runs concurrently at full speed."""
     decode_rate: float
     """Tokens a second of one request at light load."""
     prefill_rate: float
     cache_tokens: int
-    """Prefix cache of one engine."""
+    """Size of one engine's prefix cache."""
     shapes: tuple[KindShape, ...]
     workspaces: int = 10
     think_time: float = 12.0
-    """Seconds between two turns of a session."""
+    """Mean seconds between two turns of a session."""
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """One request of the traffic, the same for every policy of a seed."""
+    """One request; for a seed, every policy gets the same requests."""
 
     at: float
     work: Work
     entry: int
-    answer: int
-    """Tokens that the answer has; the policies know only the kind's mean."""
+    output_tokens: int
+    """Tokens of the response; the policies know only the mean of its kind of work."""
 
 
 ENTOTO = Profile(
@@ -101,20 +101,22 @@
 )
 PROFILES = {profile.name: profile for profile in (ENTOTO, FRIO)}
 TEMPLATE_TOKENS = 250
-"""Tokens of the workspace's own instructions at the start of each prompt."""
-FULL_SPEED = 0.78
-"""Decode speed of an engine that is full and reads prompts most of the time."""
+"""Tokens of the workspace's instructions at the start of each prompt."""
+FULL_BATCH_SPEED_SHARE = 0.78
+"""Relative decode speed of an engine with a full batch that prefills most of the
+time."""
 TURN_TOKENS = 60
 """Tokens that a caller adds in each later turn."""
 
 
 def compute_capacity(profile: Profile, shapes: Sequence[KindShape]) -> float:
-    """Return the requests a second that full batches bear, were ``shapes`` all.
+    """Return the requests a second that full batches sustain with only ``shapes``.
 
-    The shares of ``shapes`` need not add up to 1: the result is for all shares.
+    The shares of ``shapes`` need not add up to 1: the result is scaled to the requests
+    of all shares.
     """
-    rate = profile.decode_rate * FULL_SPEED
-    seconds = sum(shape.share * shape.answer / rate for shape in shapes)
+    rate = profile.decode_rate * FULL_BATCH_SPEED_SHARE
+    seconds = sum(shape.share * shape.output_tokens / rate for shape in shapes)
     return profile.engines * profile.capacity / seconds
 
 
@@ -126,7 +128,7 @@
     duration: float,
     only_sessions: bool = False,
 ) -> list[Request]:
-    """Return requests at ``load`` times what the engines can bear, by time."""
+    """Return requests at ``load`` times the engines' capacity, in order of time."""
     requests: list[Request] = []
     shapes = [shape for shape in profile.shapes if shape.turns > 1 or not only_sessions]
     per_second = compute_capacity(profile, shapes) * load
@@ -155,7 +157,7 @@
     at = start
     for turn in range(shape.turns):
         varied = shape.spread * random.expovariate(1.0)
-        answer = max(int(shape.answer * (1.0 - shape.spread + varied)), 4)
+        output_tokens = max(int(shape.output_tokens * (1.0 - shape.spread + varied)), 4)
         if 0.0 <= at < duration:
             work = Work(
                 request=f"{name}.{turn}",
@@ -166,16 +168,18 @@
                 stream=True,
                 repeatable=shape.priority is not Priority.ORDER,
                 prompt_tokens=tokens[-1],
-                answer_tokens=shape.answer,
+                answer_tokens=shape.output_tokens,
                 prefixes=(*reversed(digests), f"template.{workspace}"),
                 prefix_tokens=(*reversed(tokens), TEMPLATE_TOKENS),
             )
             requests.append(
-                Request(at, work, random.randrange(profile.entries), answer)
+                Request(at, work, random.randrange(profile.entries), output_tokens)
             )
 
-        at += answer / profile.decode_rate + random.expovariate(1 / profile.think_time)
-        tokens.append(tokens[-1] + answer + TURN_TOKENS)
+        at += output_tokens / profile.decode_rate + random.expovariate(
+            1 / profile.think_time
+        )
+        tokens.append(tokens[-1] + output_tokens + TURN_TOKENS)
         digests.append(f"{name}.{turn + 1}")
 
     return requests
--- a/src/waxwingwell/experiments/gateways.py
+++ b/src/waxwingwell/experiments/gateways.py
@@ -1,4 +1,4 @@
-"""``waxwingwell experiment gateways``: how evenly many gateways use a few engines."""
+"""``waxwingwell experiment gateways``: how many gateways balance over few engines."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 from ..routing.placement import scatter
 from ..routing.placement import weigh_upstream
 from .measures import pick_quantile
-from .placing import Choose
 from .placing import Deployment
-from .placing import Kind
-from .placing import Play
-from .placing import play_placing
+from .placing import PlacementPolicy
+from .placing import PlacementRun
+from .placing import StreamKind
+from .placing import simulate_placement
 
 
 if TYPE_CHECKING:
@@ -31,21 +31,21 @@
     from ..routing.fleet import Announcement
 
 
-SECONDS = 30.0
-WARM_UP = 6.0
-GATEWAYS = (6, 195, 1_000)
+SIMULATED_SECONDS = 30.0
+WARM_UP_SECONDS = 6.0
+GATEWAY_COUNTS = (6, 195, 1_000)
 PROFILES = {
     "entoto": Deployment(
         data_centres=5,
         engines=39,
         slots=32,
         memory_tokens=505_000,
-        read_ms=(0.009, 0.055),
-        step_ms=(3.1, 6.2),
+        prefill_ms=(0.009, 0.055),
+        decode_ms=(3.1, 6.2),
         kinds=(
-            Kind(42.0, 512, 4_870, 6_610, 437, 384),
-            Kind(58.0, 119, 79, 628, 609, 294),
-            Kind(65.0, 341, 227, 1_800, 1_019, 24),
+            StreamKind(42.0, 512, 4_870, 6_610, 437, 384),
+            StreamKind(58.0, 119, 79, 628, 609, 294),
+            StreamKind(65.0, 341, 227, 1_800, 1_019, 24),
         ),
     ),
     "frio": Deployment(
@@ -53,12 +53,12 @@
         engines=45,
         slots=64,
         memory_tokens=455_000,
-        read_ms=(0.009, 0.055),
-        step_ms=(3.8, 7.6),
+        prefill_ms=(0.009, 0.055),
+        decode_ms=(3.8, 7.6),
         kinds=(
-            Kind(45.0, 512, 4_870, 6_610, 300, 380),
-            Kind(70.0, 119, 79, 628, 500, 290),
-            Kind(64.0, 341, 227, 1_800, 800, 25),
+            StreamKind(45.0, 512, 4_870, 6_610, 300, 380),
+            StreamKind(70.0, 119, 79, 628, 500, 290),
+            StreamKind(64.0, 341, 227, 1_800, 800, 25),
         ),
     ),
 }
@@ -67,83 +67,83 @@
 def place_at_random(
     demand: Demand,
     candidates: list[Announcement],
-    around: Surroundings,
+    context: Surroundings,
     now: float,
     draw: Callable[[], float],
 ) -> Placement | None:
-    """Take any engine of the pool."""
-    kept = list_kept(demand, candidates)
-    chosen = kept[int(draw() * len(kept))]
-    return weigh_upstream(demand, chosen, around, now, preferred="")
+    """Choose any engine of the pool at random."""
+    pool = list_kept(demand, candidates)
+    chosen = pool[int(draw() * len(pool))]
+    return weigh_upstream(demand, chosen, context, now, preferred="")
 
 
 def place_least_running(
     demand: Demand,
     candidates: list[Announcement],
-    around: Surroundings,
+    context: Surroundings,
     now: float,
     draw: Callable[[], float],
 ) -> Placement | None:
-    """Take the engine of the pool with the fewest requests, by the sums."""
-    kept = list_kept(demand, candidates)
-    chosen = min(kept, key=lambda one: read_use(around.load, one.upstream).running)
-    return weigh_upstream(demand, chosen, around, now, preferred="")
+    """Choose the engine of the pool with the fewest requests by the totals."""
+    pool = list_kept(demand, candidates)
+    chosen = min(pool, key=lambda one: read_use(context.load, one.upstream).running)
+    return weigh_upstream(demand, chosen, context, now, preferred="")
 
 
 def place_by_sample(
     demand: Demand,
     candidates: list[Announcement],
-    around: Surroundings,
+    context: Surroundings,
     now: float,
     draw: Callable[[], float],
 ) -> Placement | None:
-    """Choose between two engines of the pool, drawn by lot."""
-    kept = list_kept(demand, candidates)
-    pair = [kept[int(draw() * len(kept))] for _ in range(2)]
-    return place_request(demand, pair, around, now, draw)
+    """Choose between two random engines of the pool by the product's rule."""
+    pool = list_kept(demand, candidates)
+    pair = [pool[int(draw() * len(pool))] for _ in range(2)]
+    return place_request(demand, pair, context, now, draw)
 
 
-def place_at_best_of_all(
+def place_at_lowest_cost(
     demand: Demand,
     candidates: list[Announcement],
-    around: Surroundings,
+    context: Surroundings,
     now: float,
     draw: Callable[[], float],
 ) -> Placement | None:
-    """Take the engine with the least cost of all, scattered by a tenth."""
-    preferred = prefer_for(demand, candidates, around.data_centre)
-    weighed = [
-        weigh_upstream(demand, one, around, now, preferred=preferred)
+    """Choose the engine with the lowest cost of all, with jitter on each cost."""
+    preferred = prefer_for(demand, candidates, context.data_centre)
+    estimates = [
+        weigh_upstream(demand, one, context, now, preferred=preferred)
         for one in candidates
     ]
-    return min(weighed, key=lambda placement: placement.cost * scatter(draw))
+    return min(estimates, key=lambda placement: placement.cost * scatter(draw))
 
 
-POLICIES: dict[str, Choose] = {
+POLICIES: dict[str, PlacementPolicy] = {
     "random": place_at_random,
     "least running": place_least_running,
     "sample of two": place_by_sample,
-    "best of all": place_at_best_of_all,
+    "best of all": place_at_lowest_cost,
     "product": place_request,
 }
 
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """Means over the seeds of one policy with a number of gateways."""
+    """Means over the seeds for one policy and number of gateways."""
 
     policy: str
     gateways: int
     busiest: float
-    """Sends to the busiest engine of a pool, over the pool's mean."""
+    """Requests to the busiest engine, over the mean of all engines."""
     first_p50: float
-    """Seconds until the first event of a send."""
+    """Seconds until the first event of a request."""
     first_p95: float
     first_p99: float
     found: float
-    """Share of the shared tokens of prompts that engines had kept."""
+    """Share of the shared prompt tokens that engines had cached."""
     far: float
-    """Share of sends to another data centre."""
+    """Share of requests placed in another data centre."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -174,7 +174,10 @@
 
 
 def run_gateways(profile: str, seeds: int) -> GatewaysReport:
-    """Play each policy with each number of gateways; ``ValueError``: bad argument."""
+    """Simulate each policy with each number of gateways.
+
+    Raises ``ValueError`` for an unknown profile or fewer than one seed.
+    """
     if profile not in PROFILES:
         raise ValueError(f"profile: {profile!r} is not one of {sorted(PROFILES)}")
 
@@ -183,7 +186,7 @@
 
     rows = tuple(
         measure_policy(PROFILES[profile], name, gateways, seeds)
-        for gateways in GATEWAYS
+        for gateways in GATEWAY_COUNTS
         for name in POLICIES
     )
     return GatewaysReport(profile, seeds, rows)
@@ -192,13 +195,13 @@
 def measure_policy(
     deployment: Deployment, policy: str, gateways: int, seeds: int
 ) -> Row:
-    """Return the means over the seeds."""
-    plays = [
-        play_placing(
+    """Simulate a policy with every seed; return the means."""
+    runs = [
+        simulate_placement(
             deployment,
             POLICIES[policy],
             gateways=gateways,
-            seconds=SECONDS,
+            seconds=SIMULATED_SECONDS,
             seed=seed,
         )
         for seed in range(seeds)
@@ -206,32 +209,34 @@
     return Row(
         policy=policy,
         gateways=gateways,
-        busiest=mean(map(find_busiest, plays)),
-        first_p50=mean(find_wait(play, 0.5) for play in plays),
-        first_p95=mean(find_wait(play, 0.95) for play in plays),
-        first_p99=mean(find_wait(play, 0.99) for play in plays),
-        found=mean(map(find_found, plays)),
-        far=mean(map(find_far, plays)),
+        busiest=mean(map(compute_busiest_ratio, runs)),
+        first_p50=mean(compute_wait(run, 0.5) for run in runs),
+        first_p95=mean(compute_wait(run, 0.95) for run in runs),
+        first_p99=mean(compute_wait(run, 0.99) for run in runs),
+        found=mean(map(compute_cached_share, runs)),
+        far=mean(map(compute_remote_share, runs)),
     )
 
 
-def find_busiest(play: Play) -> float:
-    """Return the sends to the busiest engine over the mean of all."""
-    sends = [engine.sends for engine in play.engines.values()]
+def compute_busiest_ratio(run: PlacementRun) -> float:
+    """Return the requests to the busiest engine over the mean of all engines."""
+    sends = [engine.sends for engine in run.engines.values()]
     return max(sends) / max(mean(sends), 1.0)
 
 
-def find_wait(play: Play, share: float) -> float:
-    """Return a quantile of the waits for first events, in seconds."""
-    return pick_quantile([one.wait for one in play.sent if one.at >= WARM_UP], share)
+def compute_wait(run: PlacementRun, share: float) -> float:
+    """Return a quantile of the seconds until the first event, after the warm-up."""
+    return pick_quantile(
+        [one.wait for one in run.placed if one.at >= WARM_UP_SECONDS], share
+    )
 
 
-def find_found(play: Play) -> float:
-    """Return the share of shared tokens that were kept."""
-    late = [one for one in play.sent if one.at >= WARM_UP]
+def compute_cached_share(run: PlacementRun) -> float:
+    """Return the share of shared prompt tokens that were cached, after the warm-up."""
+    late = [one for one in run.placed if one.at >= WARM_UP_SECONDS]
     return sum(one.found for one in late) / max(sum(one.shared for one in late), 1)
 
 
-def find_far(play: Play) -> float:
-    """Return the share of sends to another data centre."""
-    return sum(one.far for one in play.sent) / max(len(play.sent), 1)
+def compute_remote_share(run: PlacementRun) -> float:
+    """Return the share of requests placed in another data centre."""
+    return sum(one.far for one in run.placed) / max(len(run.placed), 1)
--- a/src/waxwingwell/experiments/measures.py
+++ b/src/waxwingwell/experiments/measures.py
@@ -1,4 +1,4 @@
-"""What is measured of one simulated run, and medians over seeds."""
+"""Measurements of one simulated run, and their medians over seeds."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     from collections.abc import Iterable
     from collections.abc import Sequence
 
-    from .world import Seen
+    from .world import RequestRecord
     from .world import World
 
 
@@ -26,71 +26,77 @@
     first_p99: float
     order_first_p99: float
     order_p99: float
-    """Whole answers of orders, from the caller's first attempt."""
+    """Seconds from the caller's first attempt to the complete response of an order."""
     goodput: float
-    """Answer tokens a second of whole answers that began within the patience."""
+    """Output tokens a second of complete responses; a call whose first token comes
+    too late for its caller is abandoned and does not count."""
     answers: float
-    """Whole answers a second."""
+    """Complete responses a second."""
     refused: float
-    """Share of requests that ended with a refusal, a failure or in vain."""
+    """Share of requests that were refused, failed or abandoned by the caller."""
     order_refused: float
     report_refused: float
     sends: float
     """Dispatches to engines for each request."""
     read_share: float
-    """Prompt tokens read over prompt tokens asked: what caching did not save."""
+    """Prefilled prompt tokens over all prompt tokens: the share missed by caches."""
     remote_share: float
-    """Share of dispatches that crossed to another data centre."""
+    """Share of dispatches to another data centre."""
 
 
 def measure_run(world: World, warm_up: float, end: float) -> Measures:
-    """Return the figures of a run that has ended."""
-    seen = [one for one in world.seen if one.request.at >= warm_up]
-    firsts = list_firsts(seen)
-    orders = [one for one in seen if has_priority(one, Priority.ORDER)]
-    reports = [one for one in seen if has_priority(one, Priority.REPORT)]
+    """Return the figures of a finished run."""
+    request_records = [one for one in world.records if one.request.at >= warm_up]
+    first_token_seconds = list_first_token_seconds(request_records)
+    orders = [one for one in request_records if has_priority(one, Priority.ORDER)]
+    reports = [one for one in request_records if has_priority(one, Priority.REPORT)]
     done = [
         one
-        for one in world.seen
+        for one in world.records
         if one.outcome == "done" and warm_up <= one.ended_at <= end
     ]
     span = end - warm_up
     engines = world.engines.values()
-    asked = sum(engine.asked_tokens for engine in engines)
+    requested = sum(engine.requested_tokens for engine in engines)
     return Measures(
-        first_p50=pick_quantile(firsts, 0.5),
-        first_p95=pick_quantile(firsts, 0.95),
-        first_p99=pick_quantile(firsts, 0.99),
-        order_first_p99=pick_quantile(list_firsts(orders), 0.99),
+        first_p50=pick_quantile(first_token_seconds, 0.5),
+        first_p95=pick_quantile(first_token_seconds, 0.95),
+        first_p99=pick_quantile(first_token_seconds, 0.99),
+        order_first_p99=pick_quantile(list_first_token_seconds(orders), 0.99),
         order_p99=pick_quantile(
             [one.ended_at - one.request.at for one in orders if one.outcome == "done"],
             0.99,
         ),
-        goodput=sum(one.request.answer for one in done) / span,
+        goodput=sum(one.request.output_tokens for one in done) / span,
         answers=len(done) / span,
-        refused=count_unserved(seen),
-        order_refused=count_unserved(orders),
-        report_refused=count_unserved(reports),
-        sends=sum(one.sends for one in seen) / max(len(seen), 1),
-        read_share=sum(engine.read_tokens for engine in engines) / max(asked, 1),
-        remote_share=world.remote_sends / max(world.numbers, 1),
+        refused=compute_unserved_share(request_records),
+        order_refused=compute_unserved_share(orders),
+        report_refused=compute_unserved_share(reports),
+        sends=sum(one.sends for one in request_records) / max(len(request_records), 1),
+        read_share=sum(engine.prefilled_tokens for engine in engines)
+        / max(requested, 1),
+        remote_share=world.remote_dispatches / max(world.dispatches, 1),
     )
 
 
-def has_priority(seen: Seen, priority: Priority) -> bool:
+def has_priority(record: RequestRecord, priority: Priority) -> bool:
     """Return whether a request has this priority."""
-    return seen.request.work.priority is priority
+    return record.request.work.priority is priority
 
 
-def list_firsts(seen: Iterable[Seen]) -> list[float]:
-    """Return the seconds to the first token of those that saw one."""
-    return [one.first_at - one.request.at for one in seen if one.first_at]
+def list_first_token_seconds(request_records: Iterable[RequestRecord]) -> list[float]:
+    """Return the seconds to the first token, for requests that got one."""
+    return [one.first_at - one.request.at for one in request_records if one.first_at]
 
 
-def count_unserved(seen: Sequence[Seen]) -> float:
-    """Return the share that ended without an answer."""
-    bad = sum(1 for one in seen if one.outcome in ("refused", "failed", "abandoned"))
-    return bad / max(len(seen), 1)
+def compute_unserved_share(request_records: Sequence[RequestRecord]) -> float:
+    """Return the share of requests that ended without a response."""
+    bad = sum(
+        1
+        for one in request_records
+        if one.outcome in ("refused", "failed", "abandoned")
+    )
+    return bad / max(len(request_records), 1)
 
 
 def pick_quantile(values: Sequence[float], share: float) -> float:
@@ -104,7 +110,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Spread:
-    """A figure over all seeds: its median and its worst."""
+    """The median and the worst value of a figure over all seeds."""
 
     median: float
     worst: float
--- a/src/waxwingwell/experiments/placing.py
+++ b/src/waxwingwell/experiments/placing.py
@@ -1,8 +1,8 @@
-"""Many gateways that place streams on a few engines, without a network.
+"""A simulation of many gateways that place streams on few engines.
 
-Gateways run the product's own tables and choice. They tell each other what they sent in
-sums that lag, as over the controls; engines read prompts one after the other and keep
-the parts that they have read.
+Gateways use the product's own tables and placement. They exchange their load in totals
+that arrive late, as through the controls; engines prefill prompts one after the other
+and cache their prompt blocks. There is no network.
 """
 
 from __future__ import annotations
@@ -39,63 +39,64 @@
 from ..routing.reports import add_use
 
 
-SUM_SECONDS = 0.25
-"""Between two sums; each holds reports that are as old at most."""
+TOTALS_INTERVAL_SECONDS = 0.25
+"""Seconds between two totals, and the delay of each."""
 FIRST_EVENT_SECONDS = 0.025
-"""To connect, begin and make the first event of an empty prompt."""
+"""Seconds to connect and to produce the first event of an empty prompt."""
 MODELS = ("small", "large")
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
-    """Streams of one kind."""
+class StreamKind:
+    """Rate and sizes of one kind of stream."""
 
     rate: float
-    """A second, over all gateways."""
-    first_part: int
-    """Tokens that all requests share."""
-    subject_part: int
-    """Tokens that requests on the same subject share."""
-    own_part: int
+    """Requests a second, over all gateways."""
+    common_tokens: int
+    """Prompt tokens that all requests share."""
+    subject_tokens: int
+    """Prompt tokens that requests on the same subject share."""
+    own_tokens: int
+    """Prompt tokens of this request only."""
     subjects: int
-    answer: int
-    """Tokens."""
+    """Number of different subjects."""
+    output_tokens: int
 
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """Engines and traffic."""
+    """The engines and the traffic of a simulation."""
 
     data_centres: int
     engines: int
     slots: int
     memory_tokens: int
-    read_ms: tuple[float, float]
-    """Milliseconds that a prompt token takes the small and the large model."""
-    step_ms: tuple[float, float]
-    """Milliseconds of a generated token, by model."""
-    kinds: tuple[Kind, ...]
-    unsure: float = 0.5
-    """Share of small answers that are asked again of the large model."""
+    prefill_ms: tuple[float, float]
+    """Milliseconds to prefill a prompt token, for the small and the large model."""
+    decode_ms: tuple[float, float]
+    """Milliseconds to decode a token, by model, on an idle engine."""
+    kinds: tuple[StreamKind, ...]
+    escalation_share: float = 0.5
+    """Share of the small model's requests that escalate to the large model."""
 
 
 @dataclass(slots=True)
 class Engine:
-    """One engine: what it reads, and what it keeps."""
+    """One engine with its prefill queue and its prefix cache."""
 
-    news: Announcement
-    free_at: float = 0.0
-    """When all prompts that wait will have been read."""
+    announcement: Announcement
+    prefill_done_at: float = 0.0
+    """Time at which the prefill of all queued prompts will be finished."""
     running: int = 0
     sends: int = 0
-    read_tokens: int = 0
-    kept: OrderedDict[tuple[str, str], int] = field(default_factory=OrderedDict)
-    kept_tokens: int = 0
+    prefilled_tokens: int = 0
+    cached: OrderedDict[tuple[str, str], int] = field(default_factory=OrderedDict)
+    cached_tokens: int = 0
 
 
 @dataclass(slots=True)
 class Gateway:
-    """One gateway's tables."""
+    """The tables of one gateway."""
 
     data_centre: str
     load: LoadTable = field(default_factory=LoadTable)
@@ -105,31 +106,32 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sent:
-    """One stream as it was placed."""
+class PlacedStream:
+    """One placed stream."""
 
     at: float
     wait: float
-    """Seconds until its first event."""
+    """Seconds until the first event."""
     shared: int
-    """Tokens of its prompt that others share."""
+    """Prompt tokens that other requests share."""
     found: int
-    """Those that its engine had kept."""
+    """Shared prompt tokens that the engine had cached."""
     far: bool
+    """Whether the engine is in another data centre than the gateway."""
 
 
-Choose = Callable[
+PlacementPolicy = Callable[
     [Demand, list[Announcement], Surroundings, float, Callable[[], float]],
     Placement | None,
 ]
 
 
 @dataclass(slots=True)
-class Play:
-    """One run; events are callables by the time at which they are due."""
+class PlacementRun:
+    """The state of one run, with a heap of events by the time at which they are due."""
 
     deployment: Deployment
-    choose: Choose
+    policy: PlacementPolicy
     random: random.Random
     engines: dict[str, Engine] = field(default_factory=dict)
     gateways: list[Gateway] = field(default_factory=list)
@@ -137,47 +139,47 @@
         default_factory=list
     )
     counter: int = 0
-    sent: list[Sent] = field(default_factory=list)
+    placed: list[PlacedStream] = field(default_factory=list)
 
 
-def play_placing(
+def simulate_placement(
     deployment: Deployment,
-    choose: Choose,
+    policy: PlacementPolicy,
     *,
     gateways: int,
     seconds: float,
     seed: int,
-) -> Play:
-    """Play some seconds of traffic; raises ``ValueError`` if there is none."""
+) -> PlacementRun:
+    """Simulate traffic; ``ValueError`` without gateways or without time."""
     if gateways < 1 or seconds <= 0:
         raise ValueError("gateways and seconds must be above 0")
 
-    play = Play(deployment, choose, random.Random(seed))
-    for place in range(deployment.engines):
-        engine = make_engine(deployment, place)
-        play.engines[engine.news.upstream] = engine
+    run = PlacementRun(deployment, policy, random.Random(seed))
+    for number in range(deployment.engines):
+        engine = make_engine(deployment, number)
+        run.engines[engine.announcement.upstream] = engine
 
-    for place in range(gateways):
-        name = f"dc{place % deployment.data_centres}"
-        play.gateways.append(Gateway(name))
+    for number in range(gateways):
+        name = f"dc{number % deployment.data_centres}"
+        run.gateways.append(Gateway(name))
 
     for kind in deployment.kinds:
-        plan_arrival(play, kind, 0.0)
+        schedule_arrival(run, kind, 0.0)
 
-    plan(play, SUM_SECONDS, lambda now: share_sums(play, now))
-    run_events(play, seconds)
-    return play
+    schedule(run, TOTALS_INTERVAL_SECONDS, lambda now: exchange_totals(run, now))
+    run_events(run, seconds)
+    return run
 
 
-def make_engine(deployment: Deployment, place: int) -> Engine:
-    """Return an engine; engines are spread over the data centres."""
+def make_engine(deployment: Deployment, number: int) -> Engine:
+    """Return an engine; engines are distributed over the data centres in rotation."""
     return Engine(
         Announcement(
-            upstream=f"engine-{place}",
+            upstream=f"engine-{number}",
             service="chat",
             host="127.0.0.1",
-            port=9_000 + place,
-            data_centre=f"dc{place % deployment.data_centres}",
+            port=9_000 + number,
+            data_centre=f"dc{number % deployment.data_centres}",
             version="v1",
             slots=deployment.slots,
             state=UpstreamState.SERVING,
@@ -187,53 +189,53 @@
     )
 
 
-def plan(play: Play, at: float, run: Callable[[float], None]) -> None:
-    """Run something at a time."""
-    play.counter += 1
-    heapq.heappush(play.events, (at, play.counter, run))
+def schedule(run: PlacementRun, at: float, callback: Callable[[float], None]) -> None:
+    """Schedule an event at a time."""
+    run.counter += 1
+    heapq.heappush(run.events, (at, run.counter, callback))
 
 
-def run_events(play: Play, until: float) -> None:
+def run_events(run: PlacementRun, until: float) -> None:
     """Run all events that are due before a time."""
-    while play.events and play.events[0][0] < until:
-        at, _, run = heapq.heappop(play.events)
-        run(at)
+    while run.events and run.events[0][0] < until:
+        at, _, callback = heapq.heappop(run.events)
+        callback(at)
 
 
-def plan_arrival(play: Play, kind: Kind, now: float) -> None:
-    """Plan the next request of a kind."""
+def schedule_arrival(run: PlacementRun, kind: StreamKind, now: float) -> None:
+    """Schedule the next request of a kind."""
 
     def arrive(at: float) -> None:
-        gateway = play.random.choice(play.gateways)
-        parts = draw_parts(play, kind)
-        send(play, gateway, kind, parts, MODELS[0], at)
-        plan_arrival(play, kind, at)
+        gateway = run.random.choice(run.gateways)
+        blocks = draw_blocks(run, kind)
+        send(run, gateway, kind, blocks, MODELS[0], at)
+        schedule_arrival(run, kind, at)
 
-    plan(play, now + play.random.expovariate(kind.rate), arrive)
+    schedule(run, now + run.random.expovariate(kind.rate), arrive)
 
 
-def draw_parts(play: Play, kind: Kind) -> tuple[Part, ...]:
-    """Return a request's prompt."""
-    subject = play.random.randrange(kind.subjects)
+def draw_blocks(run: PlacementRun, kind: StreamKind) -> tuple[Part, ...]:
+    """Return the prompt blocks of a new request."""
+    subject = run.random.randrange(kind.subjects)
     return (
-        (f"{kind.rate}", kind.first_part),
-        (f"{kind.rate}/{subject}", kind.subject_part),
-        (f"own-{play.counter}", kind.own_part),
+        (f"{kind.rate}", kind.common_tokens),
+        (f"{kind.rate}/{subject}", kind.subject_tokens),
+        (f"own-{run.counter}", kind.own_tokens),
     )
 
 
 def send(
-    play: Play,
+    run: PlacementRun,
     gateway: Gateway,
-    kind: Kind,
-    parts: tuple[Part, ...],
+    kind: StreamKind,
+    blocks: tuple[Part, ...],
     model: str,
     now: float,
 ) -> None:
-    """Place a request, and plan what its engine does."""
-    deployment = play.deployment
-    place = MODELS.index(model)
-    pool = list_pool(list(play.engines), Pool.LARGE if place else Pool.SMALL)
+    """Place a request, and schedule its first event and its end."""
+    deployment = run.deployment
+    model_index = MODELS.index(model)
+    pool = list_pool(list(run.engines), Pool.LARGE if model_index else Pool.SMALL)
     demand = Demand(
         service=Service(
             name="chat",
@@ -241,115 +243,119 @@
             memory_tokens=deployment.memory_tokens,
         ),
         model=model,
-        prompt_tokens=sum(tokens for _, tokens in parts),
-        parts=parts,
-        token_ms=deployment.read_ms[place],
+        prompt_tokens=sum(tokens for _, tokens in blocks),
+        parts=blocks,
+        token_ms=deployment.prefill_ms[model_index],
         pool=pool,
     )
-    around = Surroundings(
+    context = Surroundings(
         data_centre=gateway.data_centre,
         load=gateway.load,
         health=gateway.health,
         prefixes=gateway.prefixes,
     )
-    candidates = [one.news for one in play.engines.values()]
-    placement = play.choose(demand, candidates, around, now, play.random.random)
+    candidates = [one.announcement for one in run.engines.values()]
+    placement = run.policy(demand, candidates, context, now, run.random.random)
     if placement is None:
         return
 
-    engine = play.engines[placement.upstream.upstream]
-    found = read_prompt(engine, deployment, model, parts)
+    engine = run.engines[placement.upstream.upstream]
+    found = prefill_prompt(engine, deployment, model, blocks)
     uncached = demand.prompt_tokens - found
-    begin_use(gateway.load, engine.news.upstream, placement.work)
-    engine.free_at = max(engine.free_at, now) + uncached * demand.token_ms / 1000
-    first_at = engine.free_at + FIRST_EVENT_SECONDS
-    note_sent(play, gateway, engine, parts, first_at - now, found, now)
-    asks_again = place == 0 and play.random.random() < deployment.unsure
-
-    def begin(at: float) -> None:
-        end_prefill(gateway.load, engine.news.upstream, placement.work)
-        note_parts(gateway.prefixes, engine.news.upstream, model, parts, at)
-        if asks_again:
-            end(at)
-            send(play, gateway, kind, parts, MODELS[1], at)
+    begin_use(gateway.load, engine.announcement.upstream, placement.work)
+    engine.prefill_done_at = (
+        max(engine.prefill_done_at, now) + uncached * demand.token_ms / 1000
+    )
+    first_at = engine.prefill_done_at + FIRST_EVENT_SECONDS
+    record_placement(run, gateway, engine, blocks, first_at - now, found, now)
+    escalates = model_index == 0 and run.random.random() < deployment.escalation_share
+
+    def on_first_event(at: float) -> None:
+        end_prefill(gateway.load, engine.announcement.upstream, placement.work)
+        note_parts(gateway.prefixes, engine.announcement.upstream, model, blocks, at)
+        if escalates:
+            on_end(at)
+            send(run, gateway, kind, blocks, MODELS[1], at)
             return
 
-        pace = deployment.step_ms[place] * (1 + engine.running / deployment.slots)
-        plan(play, at + kind.answer * pace / 1000, end)
+        token_interval_ms = deployment.decode_ms[model_index] * (
+            1 + engine.running / deployment.slots
+        )
+        schedule(run, at + kind.output_tokens * token_interval_ms / 1000, on_end)
 
-    def end(at: float) -> None:
+    def on_end(at: float) -> None:
         engine.running -= 1
-        end_use(gateway.load, engine.news.upstream)
+        end_use(gateway.load, engine.announcement.upstream)
 
-    plan(play, first_at, begin)
+    schedule(run, first_at, on_first_event)
 
 
-def note_sent(
-    play: Play,
+def record_placement(
+    run: PlacementRun,
     gateway: Gateway,
     engine: Engine,
-    parts: tuple[Part, ...],
+    blocks: tuple[Part, ...],
     wait: float,
     found: int,
     now: float,
 ) -> None:
-    """Count a stream that was placed."""
+    """Record a placed stream."""
     engine.running += 1
     engine.sends += 1
-    play.sent.append(
-        Sent(
+    run.placed.append(
+        PlacedStream(
             at=now,
             wait=wait,
-            shared=sum(tokens for _, tokens in parts[:-1]),
+            shared=sum(tokens for _, tokens in blocks[:-1]),
             found=found,
-            far=engine.news.data_centre != gateway.data_centre,
+            far=engine.announcement.data_centre != gateway.data_centre,
         )
     )
 
 
-def read_prompt(
-    engine: Engine, deployment: Deployment, model: str, parts: tuple[Part, ...]
+def prefill_prompt(
+    engine: Engine, deployment: Deployment, model: str, blocks: tuple[Part, ...]
 ) -> int:
-    """Read a prompt; return the tokens that were kept of it."""
+    """Prefill a prompt, update the cache, and return the tokens found in it."""
     found = 0
     missed = False
-    for part, tokens in parts:
-        key = (model, part)
-        missed = missed or key not in engine.kept
+    for block, tokens in blocks:
+        key = (model, block)
+        missed = missed or key not in engine.cached
         if not missed:
             found += tokens
-            engine.kept.move_to_end(key)
+            engine.cached.move_to_end(key)
             continue
 
-        engine.read_tokens += tokens
-        if key not in engine.kept:
-            engine.kept[key] = tokens
-            engine.kept_tokens += tokens
+        engine.prefilled_tokens += tokens
+        if key not in engine.cached:
+            engine.cached[key] = tokens
+            engine.cached_tokens += tokens
 
-    while engine.kept_tokens > deployment.memory_tokens:
-        _, tokens = engine.kept.popitem(last=False)
-        engine.kept_tokens -= tokens
+    while engine.cached_tokens > deployment.memory_tokens:
+        _, tokens = engine.cached.popitem(last=False)
+        engine.cached_tokens -= tokens
 
     return found
 
 
-def share_sums(play: Play, now: float) -> None:
-    """Let all gateways report, and tell each the sum after the time it takes."""
-    told: list[int] = []
-    for gateway in play.gateways:
+def exchange_totals(run: PlacementRun, now: float) -> None:
+    """Collect the reports of all gateways, and send each the totals after a delay."""
+    reported_blocks: list[int] = []
+    for gateway in run.gateways:
         gateway.reported = list_use(gateway.load)
-        news = list_news(gateway.prefixes)
-        drop_news(gateway.prefixes, news)
-        told += news
+        unreported = list_news(gateway.prefixes)
+        drop_news(gateway.prefixes, unreported)
+        reported_blocks += unreported
 
-    reported = [gateway.reported for gateway in play.gateways]
+    reported = [gateway.reported for gateway in run.gateways]
     total = add_use(use for one in reported for use in one)
 
-    def tell(at: float) -> None:
-        for gateway, ours in zip(play.gateways, reported, strict=True):
-            count = len(play.gateways)
+    def deliver(at: float) -> None:
+        for gateway, ours in zip(run.gateways, reported, strict=True):
+            count = len(run.gateways)
             take_sum(gateway.load, total, ours, work=0.0, gateways=count, now=at)
-            take_told(gateway.prefixes, told, at)
+            take_told(gateway.prefixes, reported_blocks, at)
 
-    plan(play, now + SUM_SECONDS, tell)
-    plan(play, now + SUM_SECONDS, lambda at: share_sums(play, at))
+    schedule(run, now + TOTALS_INTERVAL_SECONDS, deliver)
+    schedule(run, now + TOTALS_INTERVAL_SECONDS, lambda at: exchange_totals(run, at))
--- a/src/waxwingwell/experiments/plots.py
+++ b/src/waxwingwell/experiments/plots.py
@@ -21,7 +21,7 @@
 
 
 def plot_fleet(report: FleetReport, folder: Path, stem: str) -> list[Path]:
-    """Draw each figure of the load sweep against the load; return the files."""
+    """Plot each figure of the load sweep against the load; return the files."""
     import matplotlib as mpl
 
     mpl.use("Agg")
@@ -30,8 +30,8 @@
     drawn = []
     sweep = [row for row in report.rows if row.scenario == "sweep"]
     for name, figure, label in PLOTS:
-        figure_area = pyplot.figure(figsize=(6, 4))
-        axes = figure_area.add_subplot()
+        canvas = pyplot.figure(figsize=(6, 4))
+        axes = canvas.add_subplot()
         for policy in dict.fromkeys(row.policy for row in sweep):
             rows = [row for row in sweep if row.policy == policy]
             loads = [row.load for row in rows]
@@ -41,13 +41,13 @@
         axes.set_ylabel(label)
         axes.legend()
         path = folder / f"{stem}-{name}.png"
-        figure_area.savefig(path, dpi=120, bbox_inches="tight")
-        pyplot.close(figure_area)
+        canvas.savefig(path, dpi=120, bbox_inches="tight")
+        pyplot.close(canvas)
         drawn.append(path)
 
     return drawn
 
 
 def list_medians(rows: list[Row], figure: str) -> list[float]:
-    """Return the medians of one figure."""
+    """Return the median of one figure in each row."""
     return [row.figures[figure].median for row in rows]
--- a/src/waxwingwell/experiments/quality.py
+++ b/src/waxwingwell/experiments/quality.py
@@ -1,8 +1,9 @@
-"""The experiment on versions: cost at the quality target, and bad versions.
+"""The quality experiment: cost at the quality target, and exposure to bad versions.
 
-``run_quality`` drives the product's choice of version and judgement of roll-outs
-over fakes with hidden truth, beside always best, always cheapest, a fixed-share
-canary and an oracle. No network and no cluster takes part.
+``run_quality`` runs the product's choice of version and evaluation of roll-outs on
+simulated versions whose true quality is hidden, and compares them with the policies
+"always best" and "always cheapest", a fixed-share canary and an oracle. It uses no
+network and no cluster.
 """
 
 from __future__ import annotations
@@ -15,24 +16,24 @@
 from .quality_report import RolloutFigures
 from .quality_report import SeedFigures
 from .quality_report import TrafficFigures
-from .rollout_runs import FIRST_BAD
-from .rollout_runs import LAST_BAD
-from .rollout_runs import Case
+from .rollout_runs import MAX_BAD_LOSS
+from .rollout_runs import MIN_BAD_LOSS
+from .rollout_runs import RolloutCase
 from .rollout_runs import run_canary
 from .rollout_runs import run_staged
 from .traffic import POLICIES
-from .traffic import Tally
+from .traffic import TrafficTotals
 from .traffic import run_traffic
 from .worlds import WEIGHINGS
 from .worlds import make_world
 
 
 FIRST_SEED = 2000
-"""Lower seeds were used to tune the policy; the report's are fresh."""
-GOOD_ROLLOUTS = 25
-"""Roll-outs of a candidate as good as its incumbent, for each seed."""
-BAD_ROLLOUTS = 4
-TURNING_ROLLOUTS = 1
+"""Lower seeds were used to tune the policy, so reports don't use them."""
+GOOD_ROLLOUTS_PER_SEED = 25
+"""Roll-outs of a candidate as good as its incumbent, per seed."""
+BAD_ROLLOUTS_PER_SEED = 4
+DEGRADING_ROLLOUTS_PER_SEED = 1
 
 
 def run_quality(profile: str, seeds: int) -> QualityReport:
@@ -54,9 +55,9 @@
 
 
 def run_seed(profile: str, seed: int) -> SeedFigures:
-    """Run every policy over one seed's traffic, and its roll-outs."""
+    """Run every policy over the traffic of one seed, and its roll-outs."""
     traffic = {
-        name: _sum_up(run_traffic(make_world(profile, seed), name, seed))
+        name: _summarise(run_traffic(make_world(profile, seed), name, seed))
         for name in POLICIES
     }
     return SeedFigures(seed, traffic, run_rollouts(profile, seed))
@@ -66,54 +67,58 @@
     profile: str,
     seed: int,
     *,
-    good: int = GOOD_ROLLOUTS,
-    bad: int = BAD_ROLLOUTS,
-    turning: int = TURNING_ROLLOUTS,
+    good: int = GOOD_ROLLOUTS_PER_SEED,
+    bad: int = BAD_ROLLOUTS_PER_SEED,
+    turning: int = DEGRADING_ROLLOUTS_PER_SEED,
 ) -> RolloutFigures:
-    """Run one seed's roll-outs of good, bad and turning candidates."""
+    """Run a seed's roll-outs of good, bad and degrading candidates."""
     rng = random.Random(f"rollouts/{profile}/{seed}")
-    fine = [run_staged(Case(profile, f"{seed}/good/{n}")) for n in range(good)]
+    good_runs = [
+        run_staged(RolloutCase(profile, f"{seed}/good/{n}")) for n in range(good)
+    ]
     cases = [
-        Case(profile, f"{seed}/bad/{n}", rng.uniform(FIRST_BAD, LAST_BAD))
+        RolloutCase(profile, f"{seed}/bad/{n}", rng.uniform(MIN_BAD_LOSS, MAX_BAD_LOSS))
         for n in range(bad)
     ]
-    poor = [run_staged(case) for case in cases]
+    bad_runs = [run_staged(case) for case in cases]
     canaries = [[run_canary(case, window) for case in cases] for window in WINDOWS]
-    turned = [
+    degraded_runs = [
         run_staged(
-            Case(
+            RolloutCase(
                 profile,
                 f"{seed}/turn/{n}",
-                rng.uniform(FIRST_BAD, LAST_BAD),
-                turns=True,
+                rng.uniform(MIN_BAD_LOSS, MAX_BAD_LOSS),
+                degrades=True,
             )
         )
         for n in range(turning)
     ]
     return RolloutFigures(
         good=good,
-        good_withdrawn=sum(run.withdrawn for run in fine),
-        good_completed=sum(run.completed for run in fine),
+        good_withdrawn=sum(run.withdrawn for run in good_runs),
+        good_completed=sum(run.completed for run in good_runs),
         bad=bad,
-        bad_withdrawn=sum(run.withdrawn for run in poor),
-        bad_completed=sum(run.completed for run in poor),
-        bad_answers=sum(run.bad for run in poor),
+        bad_withdrawn=sum(run.withdrawn for run in bad_runs),
+        bad_completed=sum(run.completed for run in bad_runs),
+        bad_answers=sum(run.bad for run in bad_runs),
         canary_answers=tuple(sum(run.bad for run in runs) for runs in canaries),
         canary_withdrawn=tuple(sum(run.withdrawn for run in runs) for runs in canaries),
         turning=turning,
-        turning_withdrawn=sum(run.withdrawn for run in turned),
-        turning_answers=sum(run.bad for run in turned),
-        good_seconds=statistics.median(run.ended_at for run in fine) if fine else 0.0,
+        turning_withdrawn=sum(run.withdrawn for run in degraded_runs),
+        turning_answers=sum(run.bad for run in degraded_runs),
+        good_seconds=statistics.median(run.ended_at for run in good_runs)
+        if good_runs
+        else 0.0,
     )
 
 
-def _sum_up(tally: Tally) -> TrafficFigures:
+def _summarise(totals: TrafficTotals) -> TrafficFigures:
     return TrafficFigures(
-        cost=tally.cost / tally.requests,
+        cost=totals.cost / totals.requests,
         least_surplus=min(
-            total / count - tally.targets[cell[1]]
-            for cell, (total, count) in tally.quality.items()
+            total / count - totals.targets[cell[1]]
+            for cell, (total, count) in totals.quality.items()
         ),
-        waits=tally.waits / tally.requests,
-        bad=tally.exposed,
+        waits=totals.waits / totals.requests,
+        bad=totals.exposed,
     )
--- a/src/waxwingwell/experiments/quality_report.py
+++ b/src/waxwingwell/experiments/quality_report.py
@@ -1,4 +1,4 @@
-"""The report of the experiment on versions: goals, tables, JSON and a plot."""
+"""The report of the quality experiment: goals, tables, JSON and a plot."""
 
 from __future__ import annotations
 
@@ -19,28 +19,28 @@
 
 
 WINDOWS = (20_000, 10_000, 5_000)
-"""Sessions after which a fixed canary is tested; the first one is the baseline."""
+"""Sessions after which a fixed canary is evaluated; the first is the baseline."""
 NOISE = 0.005
-"""Shortfall of a mean of 5,000 answers that chance explains; 2.4 standard errors."""
+"""Shortfall in the mean of 5,000 responses within noise: 2.4 standard errors."""
 
 
 @dataclass(frozen=True, slots=True)
 class TrafficFigures:
-    """One policy over one seed's traffic."""
+    """Figures of one policy over the traffic of one seed."""
 
     cost: float
-    """Mean cost of a request, in units of the cheapest version's answer."""
+    """Mean cost of a request, in units of the cheapest version's price."""
     least_surplus: float
     """Mean quality minus target, in the worst workspace and kind."""
     waits: float
-    """Answers awaited before the served one, in the mean."""
+    """Mean number of responses awaited before the served one."""
     bad: int
-    """Answers by the version that turned bad."""
+    """Responses served by the version that degraded."""
 
 
 @dataclass(frozen=True, slots=True)
 class RolloutFigures:
-    """All roll-outs of one seed."""
+    """Figures of all roll-outs of one seed."""
 
     good: int
     good_withdrawn: int
@@ -50,18 +50,18 @@
     bad_completed: int
     bad_answers: int
     canary_answers: tuple[int, ...]
-    """Answers by bad candidates under the canary, for each of ``WINDOWS``."""
+    """Responses served by bad candidates under the canary, for each of ``WINDOWS``."""
     canary_withdrawn: tuple[int, ...]
     turning: int
     turning_withdrawn: int
     turning_answers: int
     good_seconds: float
-    """Median time until a good candidate's roll-out ended."""
+    """Median seconds until the roll-out of a good candidate ended."""
 
 
 @dataclass(frozen=True, slots=True)
 class SeedFigures:
-    """All that one seed gave."""
+    """All figures of one seed."""
 
     seed: int
     traffic: dict[str, TrafficFigures]
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Goal:
-    """A goal beside what was reached."""
+    """A goal and the values reached."""
 
     name: str
     goal: str
@@ -108,18 +108,18 @@
         return msgspec.json.format(msgspec.json.encode(body)).decode()
 
     def plot(self, path: Path) -> None:
-        """Write a plot of cost, and of answers by bad versions, over the seeds."""
+        """Write a plot of the cost and of the exposure to bad versions, by seed."""
         import matplotlib
 
         matplotlib.use("Agg")
         from matplotlib import pyplot
 
         figure, (left, right) = pyplot.subplots(1, 2, figsize=(10, 4))
-        costs = sorted(_ratios(self, "oracle"))
+        costs = sorted(_compute_cost_ratios(self, "oracle"))
         left.plot(costs, marker="o")
         left.axhline(1.10, linestyle="--")
         left.set(xlabel="seed, sorted", ylabel="cost / oracle's", title="cost")
-        shares = sorted(_exposures(self, 0))
+        shares = sorted(_compute_exposure_ratios(self, 0))
         right.plot(shares, marker="o")
         right.axhline(0.2, linestyle="--")
         right.set(xlabel="seed, sorted", ylabel="bad answers / canary's")
@@ -130,10 +130,10 @@
 
 
 def list_goals(report: QualityReport) -> list[Goal]:
-    """Return every goal with the median and the worst seed."""
-    oracle = _ratios(report, "oracle")
-    best = _ratios(report, "always best")
-    exposure = _exposures(report, 0)
+    """Return every goal with the values of the median and the worst seed."""
+    oracle = _compute_cost_ratios(report, "oracle")
+    best = _compute_cost_ratios(report, "always best")
+    exposure = _compute_exposure_ratios(report, 0)
     least = [seed.traffic["router"].least_surplus for seed in report.seeds]
     met = statistics.mean(float(item >= -NOISE) for item in least)
     strict = statistics.mean(float(item >= 0.0) for item in least)
@@ -173,13 +173,13 @@
     return Goal(name, f"<= {most}", median, max(values), median <= most)
 
 
-def _ratios(report: QualityReport, base: str) -> list[float]:
+def _compute_cost_ratios(report: QualityReport, base: str) -> list[float]:
     return [
         seed.traffic["router"].cost / seed.traffic[base].cost for seed in report.seeds
     ]
 
 
-def _exposures(report: QualityReport, window: int) -> list[float]:
+def _compute_exposure_ratios(report: QualityReport, window: int) -> list[float]:
     return [
         seed.rollouts.bad_answers / max(1, seed.rollouts.canary_answers[window])
         for seed in report.seeds
@@ -240,14 +240,14 @@
         statistics.median(item.good_seconds for item in found),
     )
     rows: list[tuple[object, ...]] = [staged]
-    for place, window in enumerate(WINDOWS):
+    for index, window in enumerate(WINDOWS):
         rows.append(
             (
                 f"canary, {window} sessions",
-                f"{sum(item.canary_withdrawn[place] for item in found)} of "
+                f"{sum(item.canary_withdrawn[index] for item in found)} of "
                 f"{sum(item.bad for item in found)}",
-                statistics.median(item.canary_answers[place] for item in found),
-                max(item.canary_answers[place] for item in found),
+                statistics.median(item.canary_answers[index] for item in found),
+                max(item.canary_answers[index] for item in found),
                 "",
                 "",
                 "",
--- a/src/waxwingwell/experiments/rollout_runs.py
+++ b/src/waxwingwell/experiments/rollout_runs.py
@@ -1,8 +1,8 @@
-"""Many roll-outs over fakes: who is withdrawn, and how many answers were bad.
+"""Simulated roll-outs: whether the candidate is withdrawn, and the bad responses.
 
-New sessions of one request each arrive at a fixed rate, in many workspaces and
-kinds of unlike size. The candidate's offer, the evidence and the judgement are the
-product's; only the versions' quality and the ratings are fakes.
+New sessions of one request each arrive at a fixed rate, in many workspaces and kinds of
+work of different sizes. Offers of the candidate, evidence and the evaluation are the
+product's; only the quality of the versions and the ratings are simulated.
 """
 
 from __future__ import annotations
@@ -33,8 +33,8 @@
 from ..records import WorkKind
 from ..records import WorkspaceConfig
 from ..records import WorkspaceId
-from .worlds import DEVIATION
 from .worlds import KINDS
+from .worlds import STANDARD_DEVIATION
 from .worlds import WEIGHINGS
 from .worlds import Cell
 from .worlds import clip
@@ -45,179 +45,200 @@
 CANDIDATE = VersionId("m@2")
 WORKSPACES = 10
 SESSIONS = 40_000
-"""New sessions in the life of one roll-out."""
-RATE = 20.0
+"""New sessions during one roll-out."""
+SESSIONS_PER_SECOND = 20.0
 """New sessions a second."""
-LOOK_EVERY = 10.0
-"""Seconds between two judgements."""
-RATING_LAG = 10.0
-MISSING = 0.05
-SAMPLE = 0.1
-"""Share of the incumbent's answers that is rated."""
-HISTORY = 9000
-"""Ratings of the incumbent before the roll-out, over all workspaces and kinds."""
+EVALUATION_INTERVAL_SECONDS = 10.0
+"""Seconds between two evaluations."""
+MEAN_RATING_DELAY_SECONDS = 10.0
+MISSING_SHARE = 0.05
+SAMPLE_SHARE = 0.1
+"""Share of the incumbent's responses that is rated."""
+HISTORY_RATINGS = 9000
+"""Ratings of the incumbent before the roll-out, over all workspaces and kinds of
+work."""
 CANARY_SHARE = 0.1
-TURN_STAGE = 3
-"""Stage, from 0, at whose beginning a turning candidate becomes bad."""
-FIRST_BAD = 0.1
-LAST_BAD = 0.4
+DEGRADATION_STAGE = 3
+"""Stage, counted from 0, at the start of which a degrading candidate becomes bad."""
+MIN_BAD_LOSS = 0.1
+MAX_BAD_LOSS = 0.4
 
 
 @dataclass(frozen=True, slots=True)
-class Case:
-    """One roll-out's hidden truth."""
+class RolloutCase:
+    """The hidden quality of one roll-out's candidate."""
 
     profile: str
     seed: str
     loss: float = 0.0
-    """What the candidate loses against the incumbent, 0 if it is as good."""
-    turns: bool = False
-    """The loss begins only at ``TURN_STAGE``."""
+    """Quality that the candidate lacks against the incumbent; 0 if it is as good."""
+    degrades: bool = False
+    """Whether the loss starts only at ``DEGRADATION_STAGE``."""
 
 
 @dataclass(slots=True)
-class Run:
-    """What one roll-out came to."""
+class RolloutResult:
+    """The outcome of one roll-out."""
 
     withdrawn: bool = False
     completed: bool = False
     bad: int = 0
-    """Answers by the candidate while it was bad."""
+    """Responses served by the candidate while it was bad."""
     ended_at: float = 0.0
 
 
 @dataclass(slots=True)
-class Scene:
-    """Tables, truth and ratings under way of one run."""
+class RolloutSimulation:
+    """The tables, the true quality and the pending ratings of one run."""
 
-    case: Case
+    case: RolloutCase
     rng: random.Random
     tables: Tables
     cells: list[tuple[WorkspaceConfig, WorkKind]]
     weights: list[float]
     means: dict[Cell, float]
     rollout: Rollout
-    lost: float = 0.0
-    """Present loss of the candidate."""
-    waiting: list[tuple[float, int]] = field(default_factory=list)
+    current_loss: float = 0.0
+    """Current loss of the candidate."""
+    pending_ratings: list[tuple[float, int]] = field(default_factory=list)
     answers: list[tuple[Work, VersionId, float, bool]] = field(default_factory=list)
 
 
-def run_staged(case: Case) -> Run:
-    """Run the product's staged roll-out to its end or the end of the sessions."""
-    scene = _make_scene(case)
-    run = Run()
-    look = LOOK_EVERY
+def run_staged(case: RolloutCase) -> RolloutResult:
+    """Run the product's staged roll-out until it, or the traffic, ends."""
+    simulation = _make_simulation(case)
+    result = RolloutResult()
+    evaluate_at = EVALUATION_INTERVAL_SECONDS
     for number in range(SESSIONS):
-        now = 1.0 + number / RATE
-        _deliver(scene, now)
-        work = _draw_work(scene, number)
-        config = scene.tables.workspaces[work.workspace]
-        offered = is_candidate_open(scene.tables, config, work, scene.rollout, now)
-        _answer(scene, run, work, now, candidate=offered or run.completed)
-        if now < look or run.withdrawn:
+        now = 1.0 + number / SESSIONS_PER_SECOND
+        _deliver_ratings(simulation, now)
+        work = _draw_work(simulation, number)
+        config = simulation.tables.workspaces[work.workspace]
+        offered = is_candidate_open(
+            simulation.tables, config, work, simulation.rollout, now
+        )
+        _serve(simulation, result, work, now, candidate=offered or result.completed)
+        if now < evaluate_at or result.withdrawn:
             continue
 
-        look = now + LOOK_EVERY
-        _look(scene, run, now)
-        if run.withdrawn or (run.completed and not case.loss):
+        evaluate_at = now + EVALUATION_INTERVAL_SECONDS
+        _evaluate(simulation, result, now)
+        if result.withdrawn or (result.completed and not case.loss):
             break
 
-    return run
+    return result
 
 
-def run_canary(case: Case, window: int) -> Run:
-    """Give a tenth of the sessions to the candidate; test once after ``window``.
+def run_canary(case: RolloutCase, window: int) -> RolloutResult:
+    """Give a tenth of the sessions to the candidate; evaluate once after ``window``.
 
-    A bad candidate that passes is not counted beyond the window, which favours the
-    canary. A turning one turns when it has passed.
+    The responses of a bad candidate that passes are not counted beyond the window,
+    which favours the canary. A degrading candidate degrades once it has passed.
     """
-    scene = _make_scene(case)
-    run = Run()
+    simulation = _make_simulation(case)
+    result = RolloutResult()
     for number in range(SESSIONS):
-        now = 1.0 + number / RATE
-        _deliver(scene, now)
-        work = _draw_work(scene, number)
-        share = 1.0 if run.completed else CANARY_SHARE
-        _answer(scene, run, work, now, candidate=scene.rng.random() < share)
+        now = 1.0 + number / SESSIONS_PER_SECOND
+        _deliver_ratings(simulation, now)
+        work = _draw_work(simulation, number)
+        share = 1.0 if result.completed else CANARY_SHARE
+        _serve(simulation, result, work, now, candidate=simulation.rng.random() < share)
         if number + 1 != window:
             continue
 
         verdict = judge_rollout(
-            scene.rollout, _rows(scene, CANDIDATE), _rows(scene, INCUMBENT), now
+            simulation.rollout,
+            _list_evidence(simulation, CANDIDATE),
+            _list_evidence(simulation, INCUMBENT),
+            now,
         )
-        run.ended_at = now
-        run.withdrawn = verdict.action is RolloutAction.ROLL_BACK
-        run.completed = not run.withdrawn
-        if run.withdrawn or not case.turns:
+        result.ended_at = now
+        result.withdrawn = verdict.action is RolloutAction.ROLL_BACK
+        result.completed = not result.withdrawn
+        if result.withdrawn or not case.degrades:
             break
 
-        scene.lost = case.loss
+        simulation.current_loss = case.loss
 
-    return run
+    return result
 
 
-def _look(scene: Scene, run: Run, now: float) -> None:
-    rows = scene.tables.evidence.values()
-    for step in step_rollouts({"m": scene.rollout}, rows, now):
-        advanced = step.stage > scene.rollout.stage
-        scene.rollout = replace(
-            scene.rollout,
+def _evaluate(simulation: RolloutSimulation, result: RolloutResult, now: float) -> None:
+    rows = simulation.tables.evidence.values()
+    for step in step_rollouts({"m": simulation.rollout}, rows, now):
+        advanced = step.stage > simulation.rollout.stage
+        simulation.rollout = replace(
+            simulation.rollout,
             stage=step.stage,
             status=step.status,
             stage_at=now,
-            base=take_base(scene.rollout, rows) if advanced else scene.rollout.base,
+            base=take_base(simulation.rollout, rows)
+            if advanced
+            else simulation.rollout.base,
         )
-        scene.tables.rollouts["m"] = scene.rollout
-        if scene.case.turns and step.stage >= TURN_STAGE:
-            scene.lost = scene.case.loss
+        simulation.tables.rollouts["m"] = simulation.rollout
+        if simulation.case.degrades and step.stage >= DEGRADATION_STAGE:
+            simulation.current_loss = simulation.case.loss
 
-    run.withdrawn = scene.rollout.status is RolloutStatus.ROLLED_BACK
-    if scene.rollout.status is not RolloutStatus.RUNNING and not run.ended_at:
-        run.ended_at = now
+    result.withdrawn = simulation.rollout.status is RolloutStatus.ROLLED_BACK
+    if simulation.rollout.status is not RolloutStatus.RUNNING and not result.ended_at:
+        result.ended_at = now
 
-    run.completed = scene.rollout.status is RolloutStatus.COMPLETED
+    result.completed = simulation.rollout.status is RolloutStatus.COMPLETED
 
 
-def _answer(scene: Scene, run: Run, work: Work, now: float, *, candidate: bool) -> None:
+def _serve(
+    simulation: RolloutSimulation,
+    result: RolloutResult,
+    work: Work,
+    now: float,
+    *,
+    candidate: bool,
+) -> None:
     version = CANDIDATE if candidate else INCUMBENT
-    mean = scene.means[work.workspace, work.kind.name]
+    mean = simulation.means[work.workspace, work.kind.name]
     if candidate:
-        mean -= scene.lost
-        run.bad += int(scene.lost > 0.0)
+        mean -= simulation.current_loss
+        result.bad += int(simulation.current_loss > 0.0)
 
-    rate = candidate or scene.rng.random() < SAMPLE
-    note_sent(scene.tables, work, version, rate=rate, now=now)
+    rate = candidate or simulation.rng.random() < SAMPLE_SHARE
+    note_sent(simulation.tables, work, version, rate=rate, now=now)
     if not rate:
         return
 
-    rating = clip(scene.rng.gauss(mean, DEVIATION))
-    due = now + scene.rng.expovariate(1.0 / RATING_LAG)
-    heapq.heappush(scene.waiting, (due, len(scene.answers)))
-    scene.answers.append((work, version, rating, scene.rng.random() < MISSING))
+    rating = clip(simulation.rng.gauss(mean, STANDARD_DEVIATION))
+    due = now + simulation.rng.expovariate(1.0 / MEAN_RATING_DELAY_SECONDS)
+    heapq.heappush(simulation.pending_ratings, (due, len(simulation.answers)))
+    simulation.answers.append(
+        (work, version, rating, simulation.rng.random() < MISSING_SHARE)
+    )
 
 
-def _deliver(scene: Scene, now: float) -> None:
-    while scene.waiting and scene.waiting[0][0] <= now:
-        due, place = heapq.heappop(scene.waiting)
-        work, version, rating, missing = scene.answers[place]
+def _deliver_ratings(simulation: RolloutSimulation, now: float) -> None:
+    while simulation.pending_ratings and simulation.pending_ratings[0][0] <= now:
+        due, index = heapq.heappop(simulation.pending_ratings)
+        work, version, rating, missing = simulation.answers[index]
         if missing:
-            note_unrated(scene.tables, work.workspace, work.kind, version)
+            note_unrated(simulation.tables, work.workspace, work.kind, version)
         else:
-            note_rating(scene.tables, work.workspace, work.kind, version, rating, due)
+            note_rating(
+                simulation.tables, work.workspace, work.kind, version, rating, due
+            )
 
 
-def _draw_work(scene: Scene, number: int) -> Work:
-    (cell,) = scene.rng.choices(scene.cells, cum_weights=scene.weights)
+def _draw_work(simulation: RolloutSimulation, number: int) -> Work:
+    (cell,) = simulation.rng.choices(simulation.cells, cum_weights=simulation.weights)
     config, kind = cell
     return Work(str(number), config.workspace, kind, kind.priority)
 
 
-def _rows(scene: Scene, version: VersionId) -> list[Evidence]:
-    return [row for row in scene.tables.evidence.values() if row.version == version]
+def _list_evidence(simulation: RolloutSimulation, version: VersionId) -> list[Evidence]:
+    return [
+        row for row in simulation.tables.evidence.values() if row.version == version
+    ]
 
 
-def _make_scene(case: Case) -> Scene:
+def _make_simulation(case: RolloutCase) -> RolloutSimulation:
     rng = random.Random(f"{case.profile}/{case.seed}")
     tables = Tables(rating_heard_at=1.0)
     for version, status in (
@@ -228,43 +249,45 @@
 
     configs = [
         WorkspaceConfig(
-            workspace=WorkspaceId(f"w{place}"),
+            workspace=WorkspaceId(f"w{index}"),
             revision=1,
             allowed=(INCUMBENT, CANDIDATE),
             kinds=KINDS,
             weighing=WEIGHINGS[case.profile],
         )
-        for place in range(WORKSPACES)
+        for index in range(WORKSPACES)
     ]
     tables.workspaces = {config.workspace: config for config in configs}
     cells = [(config, kind) for config in configs for kind in KINDS]
-    sizes = [1.0 / (1 + place // len(KINDS)) for place in range(len(cells))]
-    scene = Scene(
+    sizes = [1.0 / (1 + index // len(KINDS)) for index in range(len(cells))]
+    simulation = RolloutSimulation(
         case=case,
         rng=rng,
         tables=tables,
         cells=cells,
-        weights=[sum(sizes[: place + 1]) for place in range(len(sizes))],
+        weights=[sum(sizes[: index + 1]) for index in range(len(sizes))],
         means={
             (config.workspace, kind.name): rng.uniform(0.7, 0.9)
             for config, kind in cells
         },
         rollout=Rollout("m", CANDIDATE, INCUMBENT, RolloutPace()),
-        lost=0.0 if case.turns else case.loss,
+        current_loss=0.0 if case.degrades else case.loss,
     )
-    tables.rollouts["m"] = scene.rollout
-    _add_history(scene, sizes)
-    return scene
-
-
-def _add_history(scene: Scene, sizes: list[float]) -> None:
-    """Add the incumbent's earlier ratings as sums, drawn one by one."""
-    for (config, kind), size in zip(scene.cells, sizes, strict=True):
-        mean = scene.means[config.workspace, kind.name]
-        count = int(HISTORY * size / sum(sizes))
-        ratings = [clip(scene.rng.gauss(mean, DEVIATION)) for _ in range(count)]
+    tables.rollouts["m"] = simulation.rollout
+    _add_history(simulation, sizes)
+    return simulation
+
+
+def _add_history(simulation: RolloutSimulation, sizes: list[float]) -> None:
+    """Add totals of the incumbent's earlier ratings, which are drawn one by one."""
+    for (config, kind), size in zip(simulation.cells, sizes, strict=True):
+        mean = simulation.means[config.workspace, kind.name]
+        count = int(HISTORY_RATINGS * size / sum(sizes))
+        ratings = [
+            clip(simulation.rng.gauss(mean, STANDARD_DEVIATION)) for _ in range(count)
+        ]
         key = (config.workspace, kind.name, INCUMBENT)
-        scene.tables.evidence[key] = Evidence(
+        simulation.tables.evidence[key] = Evidence(
             INCUMBENT,
             config.workspace,
             kind.name,
@@ -275,5 +298,7 @@
 
 
 def get_true_loss(mean: float, loss: float) -> float:
-    """Return the loss of mean rating after clipping."""
-    return mean_clipped(mean, DEVIATION) - mean_clipped(mean - loss, DEVIATION)
+    """Return the loss of the mean rating after clipping."""
+    return mean_clipped(mean, STANDARD_DEVIATION) - mean_clipped(
+        mean - loss, STANDARD_DEVIATION
+    )
--- a/src/waxwingwell/experiments/runs.py
+++ b/src/waxwingwell/experiments/runs.py
@@ -1,4 +1,4 @@
-"""Run a world: its traffic, its feeds, and the entries' systems each tick."""
+"""Run a simulated world: its traffic, its feeds and the entries' periodic work."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from .events import call_at
 from .events import run_until
 from .feeds import start_feeds
-from .world import Seen
+from .world import RequestRecord
 
 
 if TYPE_CHECKING:
@@ -22,16 +22,18 @@
     from .world import World
 
 
-TICK = 0.1
-"""Seconds between two runs of an entry's systems."""
+TICK_SECONDS = 0.1
+"""Seconds between two runs of an entry's periodic work."""
 
 
-def run_world(world: World, traffic: list[Request], duration: float) -> list[Seen]:
-    """Run the traffic and return what the callers saw."""
+def run_world(
+    world: World, traffic: list[Request], duration: float
+) -> list[RequestRecord]:
+    """Run the traffic and return the records of the callers' requests."""
     for request in traffic:
-        seen = Seen(request)
-        world.seen.append(seen)
-        call_at(world.clock, request.at, partial(start_call, world, seen))
+        record = RequestRecord(request)
+        world.records.append(record)
+        call_at(world.clock, request.at, partial(start_call, world, record))
 
     start_feeds(world)
     if world.policy.rule is None:
@@ -39,15 +41,15 @@
             run_ticks(world, entry)
 
     run_until(world.clock, duration)
-    return world.seen
+    return world.records
 
 
 def run_ticks(world: World, entry: Entry) -> None:
-    """Run an entry's systems now and every tick."""
+    """Run an entry's periodic work now and every ``TICK_SECONDS`` seconds."""
     now = world.clock.now
     smooth_demand(entry.tables, now)
     for taken in shed_expired(entry.tables, now):
         finish_call(world, world.calls[taken.waiting.work.request], "refused")
 
     dispatch_waiting(world, entry)
-    call_at(world.clock, now + TICK, lambda: run_ticks(world, entry))
+    call_at(world.clock, now + TICK_SECONDS, lambda: run_ticks(world, entry))
--- a/src/waxwingwell/experiments/scenarios.py
+++ b/src/waxwingwell/experiments/scenarios.py
@@ -1,4 +1,4 @@
-"""The scenarios of the fleet experiment: what is run with which policy."""
+"""The scenarios of the fleet experiment and the policies that each compares."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from .fleet_traffic import make_traffic
 from .measures import measure_run
 from .runs import run_world
-from .world import Storm
+from .world import RetryStorm
 from .world import make_world
 
 
@@ -26,57 +26,63 @@
     from .measures import Measures
 
 
-WARM_UP = 35.0
+WARM_UP_SECONDS = 35.0
 """Longer than the longest reports take, so that their tokens are counted evenly."""
-DURATION = 95.0
-LONG_DURATION = 335.0
-"""For light load, so that its percentiles rest on as many requests."""
+DURATION_SECONDS = 95.0
+LONG_DURATION_SECONDS = 335.0
+"""Duration at light load, so that its percentiles rest on as many requests."""
 SESSION_LOAD = 0.7
 LIGHT_LOAD = 0.2
 DOUBLE_LOAD = 2.0
 SWEEP_LOADS = (0.6, 0.8, 1.0, 1.25, 1.5, 2.0, 3.0)
 SATURATION = 1.0
-"""Loads of the sweep above this are past saturation."""
+"""Highest load of the sweep that does not count as past saturation."""
 STORM_LOAD = 1.5
 FAULT_LOAD = 0.6
-FAULT_AT = 40.0
-FAULT_FOR = 20.0
+FAULT_START_SECONDS = 40.0
+FAULT_DURATION_SECONDS = 20.0
 
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """One kind of run; ``name`` and ``load`` together name its rows."""
+    """One kind of run; ``name`` and ``load`` together identify its rows."""
 
     name: str
     load: float
     policies: tuple[Policy, ...]
-    duration: float = DURATION
+    duration: float = DURATION_SECONDS
     only_sessions: bool = False
-    storm: Storm | None = None
-    silent: int = 0
-    """Engines that fall silent for a while."""
+    retry_storm: RetryStorm | None = None
+    unresponsive: int = 0
+    """Number of engines that are unresponsive for a while."""
     failing: int = 0
-    """Engines that answer with errors for a while."""
+    """Number of engines that respond with errors for a while."""
 
 
-PAIR = (REAL, LEAST_IN_FLIGHT)
+COMPARED_POLICIES = (REAL, LEAST_IN_FLIGHT)
 SCENARIOS = (
     Scenario(
         "sessions", SESSION_LOAD, (REAL, *BASELINES, *ABLATIONS), only_sessions=True
     ),
-    Scenario("light", LIGHT_LOAD, PAIR, duration=LONG_DURATION),
-    *(Scenario("sweep", load, PAIR) for load in SWEEP_LOADS),
-    Scenario("retry storm", STORM_LOAD, PAIR, storm=Storm()),
-    Scenario("one silent", FAULT_LOAD, PAIR, silent=1),
-    Scenario("one failing", FAULT_LOAD, PAIR, failing=1),
-    Scenario("all failing", FAULT_LOAD, PAIR, failing=99, storm=Storm()),
+    Scenario("light", LIGHT_LOAD, COMPARED_POLICIES, duration=LONG_DURATION_SECONDS),
+    *(Scenario("sweep", load, COMPARED_POLICIES) for load in SWEEP_LOADS),
+    Scenario("retry storm", STORM_LOAD, COMPARED_POLICIES, retry_storm=RetryStorm()),
+    Scenario("one silent", FAULT_LOAD, COMPARED_POLICIES, unresponsive=1),
+    Scenario("one failing", FAULT_LOAD, COMPARED_POLICIES, failing=1),
+    Scenario(
+        "all failing",
+        FAULT_LOAD,
+        COMPARED_POLICIES,
+        failing=99,
+        retry_storm=RetryStorm(),
+    ),
 )
 
 
 def run_scenario(
     profile: Profile, scenario: Scenario, policy: Policy, seed: int
 ) -> Measures:
-    """Run one scenario with one policy and seed; the traffic depends on no policy."""
+    """Run one scenario; its traffic depends on the seed but not on the policy."""
     traffic = make_traffic(
         profile,
         Random(seed * 1009 + 7),
@@ -84,25 +90,35 @@
         duration=scenario.duration,
         only_sessions=scenario.only_sessions,
     )
-    world = make_world(profile, policy, seed, scenario.storm)
+    world = make_world(profile, policy, seed, scenario.retry_storm)
     engines = list(world.engines.values())
-    for engine in engines[: scenario.silent]:
-        call_at(world.clock, FAULT_AT, partial(set_silent, engine, True))
-        call_at(world.clock, FAULT_AT + FAULT_FOR, partial(set_silent, engine, False))
+    for engine in engines[: scenario.unresponsive]:
+        call_at(
+            world.clock, FAULT_START_SECONDS, partial(set_unresponsive, engine, True)
+        )
+        call_at(
+            world.clock,
+            FAULT_START_SECONDS + FAULT_DURATION_SECONDS,
+            partial(set_unresponsive, engine, False),
+        )
 
     for engine in engines[: scenario.failing]:
-        call_at(world.clock, FAULT_AT, partial(set_failing, engine, True))
-        call_at(world.clock, FAULT_AT + FAULT_FOR, partial(set_failing, engine, False))
+        call_at(world.clock, FAULT_START_SECONDS, partial(set_failing, engine, True))
+        call_at(
+            world.clock,
+            FAULT_START_SECONDS + FAULT_DURATION_SECONDS,
+            partial(set_failing, engine, False),
+        )
 
     run_world(world, traffic, scenario.duration)
-    return measure_run(world, WARM_UP, scenario.duration)
+    return measure_run(world, WARM_UP_SECONDS, scenario.duration)
 
 
-def set_silent(engine: Engine, silent: bool) -> None:
-    """Let an engine swallow new requests, or answer again."""
-    engine.silent = silent
+def set_unresponsive(engine: Engine, unresponsive: bool) -> None:
+    """Make an engine ignore new requests, or serve again."""
+    engine.unresponsive = unresponsive
 
 
 def set_failing(engine: Engine, failing: bool) -> None:
-    """Let an engine answer new requests with errors, or serve again."""
+    """Make an engine respond to new requests with errors, or serve again."""
     engine.failing = failing
--- a/src/waxwingwell/experiments/traffic.py
+++ b/src/waxwingwell/experiments/traffic.py
@@ -1,4 +1,4 @@
-"""One policy over one world's traffic: cost, quality and exposure."""
+"""Traffic of one world under one policy: cost, quality and exposure."""
 
 from __future__ import annotations
 
@@ -32,19 +32,19 @@
     Policy = Callable[[World, Work, Cell, float, dict[VersionId, float]], "Served"]
 
 REQUESTS = 5000
-"""Requests of each workspace and kind."""
-GAP = 0.05
+"""Requests of each workspace and kind of work."""
+REQUEST_INTERVAL_SECONDS = 0.05
 """Seconds between two requests of the deployment."""
-RATING_LAG = 10.0
-"""Mean seconds until a rating arrives; exponential."""
-MISSING = 0.05
+MEAN_RATING_DELAY_SECONDS = 10.0
+"""Mean seconds until a rating arrives; the delay is exponentially distributed."""
+MISSING_SHARE = 0.05
 """Share of ratings that never arrive."""
 SESSION_LENGTH = 4
 
 
 @dataclass(frozen=True, slots=True)
 class Served:
-    """What one request cost, and the answer that was served."""
+    """The cost of one request, and the quality and version of its response."""
 
     cost: float
     quality: float
@@ -52,8 +52,8 @@
 
 
 @dataclass(frozen=True, order=True, slots=True)
-class UnderWay:
-    """A rating under way, ordered by the time when it is due."""
+class PendingRating:
+    """A rating that has not arrived yet, ordered by the time at which it is due."""
 
     due: float
     number: int
@@ -65,43 +65,45 @@
 
 
 @dataclass(slots=True)
-class Tally:
-    """Sums over the traffic of one policy."""
+class TrafficTotals:
+    """Totals over the traffic of one policy."""
 
     cost: float = 0.0
     exposed: int = 0
-    """Answers by the version that turned bad, after its turn."""
+    """Responses served by the degraded version after it degraded."""
     waits: float = 0.0
-    """Answers awaited one after the other, summed over requests."""
+    """Responses awaited before the served one, summed over requests."""
     requests: int = 0
     quality: dict[Cell, list[float]] = field(default_factory=dict)
-    """Sum and number of answers."""
-    ratings: list[UnderWay] = field(default_factory=list)
+    """Total quality and number of responses."""
+    ratings: list[PendingRating] = field(default_factory=list)
     plans: dict[Cell, tuple[bool, tuple[VersionId, ...], float]] = field(
         default_factory=dict
     )
-    """The oracle's plan of each cell, with the world's state it holds for."""
+    """Cached oracle plan of each cell, with the degradation state it was made for."""
     targets: dict[str, float] = field(default_factory=dict)
-    chance: random.Random = field(default_factory=random.Random)
+    rng: random.Random = field(default_factory=random.Random)
 
 
-def run_traffic(world: World, name: str, seed: int, requests: int = REQUESTS) -> Tally:
+def run_traffic(
+    world: World, name: str, seed: int, requests: int = REQUESTS
+) -> TrafficTotals:
     """Send the same requests through the policy called ``name``.
 
-    ``requests`` counts those of each workspace and kind.
+    ``requests`` is the number for each workspace and kind of work.
     """
-    tally = Tally(targets=world.targets, chance=random.Random(f"{name}/{seed}"))
-    world.turned = False
+    totals = TrafficTotals(targets=world.targets, rng=random.Random(f"{name}/{seed}"))
+    world.degraded = False
     world.rng.seed(f"traffic/{seed}")
     cells = [
         (workspace, kind) for workspace in world.tables.workspaces for kind in KINDS
     ]
     total = requests * len(cells)
-    turn_at = int(total * world.rng.uniform(0.3, 0.7))
+    degrade_at = int(total * world.rng.uniform(0.3, 0.7))
     pins: dict[str, VersionId] = {}
     for number in range(total):
-        now = 1000.0 + number * GAP
-        world.turned = number >= turn_at
+        now = 1000.0 + number * REQUEST_INTERVAL_SECONDS
+        world.degraded = number >= degrade_at
         workspace, kind = cells[number % len(cells)]
         cell = (workspace, kind.name)
         answers = draw_answers(world, cell)
@@ -112,39 +114,39 @@
             if session in pins:
                 work = replace(work, pinned=pins[session])
 
-        _deliver_ratings(world, tally, now)
-        served = POLICIES[name](world, tally, work, cell, now, answers)
+        _deliver_ratings(world, totals, now)
+        served = POLICIES[name](world, totals, work, cell, now, answers)
         if work.session:
             pins.setdefault(work.session, served.version)
 
-        _count(world, tally, cell, served)
+        _record_served(world, totals, cell, served)
 
-    return tally
+    return totals
 
 
 def _serve_router(
     world: World,
-    tally: Tally,
+    totals: TrafficTotals,
     work: Work,
     cell: Cell,
     now: float,
     answers: dict[VersionId, float],
 ) -> Served:
     tables = world.tables
-    choice = choose_version(tables, work, now=now, draw=tally.chance.random())
+    choice = choose_version(tables, work, now=now, draw=totals.rng.random())
     if isinstance(choice, Refusal):
         raise AssertionError(choice.message)
 
-    tally.waits += len(choice.plan) - 1
+    totals.waits += len(choice.plan) - 1
     cost = 0.0
     for version in choice.plan[:-1]:
         cost += world.prices[version] + RATING_PRICE
         note_sent(tables, work, version, rate=True, now=now, served=False)
-        if tally.chance.random() < MISSING:
+        if totals.rng.random() < MISSING_SHARE:
             note_unrated(tables, work.workspace, work.kind, version)
             continue
 
-        stops = answers[version] >= choice.threshold
+        accepted = answers[version] >= choice.threshold
         note_rating(
             tables,
             work.workspace,
@@ -152,10 +154,10 @@
             version,
             answers[version],
             now,
-            served=stops,
+            served=accepted,
         )
-        if stops:
-            tally.waits -= 1.0
+        if accepted:
+            totals.waits -= 1.0
             return Served(cost, answers[version], version)
 
     last = choice.plan[-1]
@@ -172,19 +174,19 @@
     )
     if choice.rate:
         cost += RATING_PRICE
-        due = now + tally.chance.expovariate(1.0 / RATING_LAG)
-        missing = tally.chance.random() < MISSING
-        rating = UnderWay(
-            due, tally.requests, cell, last, answers[last], missing, escalated
+        due = now + totals.rng.expovariate(1.0 / MEAN_RATING_DELAY_SECONDS)
+        missing = totals.rng.random() < MISSING_SHARE
+        rating = PendingRating(
+            due, totals.requests, cell, last, answers[last], missing, escalated
         )
-        heapq.heappush(tally.ratings, rating)
+        heapq.heappush(totals.ratings, rating)
 
     return Served(cost, answers[last], last)
 
 
 def _serve_best(
     world: World,
-    tally: Tally,
+    totals: TrafficTotals,
     work: Work,
     cell: Cell,
     now: float,
@@ -196,7 +198,7 @@
 
 def _serve_cheapest(
     world: World,
-    tally: Tally,
+    totals: TrafficTotals,
     work: Work,
     cell: Cell,
     now: float,
@@ -208,16 +210,16 @@
 
 def _serve_oracle(
     world: World,
-    tally: Tally,
+    totals: TrafficTotals,
     work: Work,
     cell: Cell,
     now: float,
     answers: dict[VersionId, float],
 ) -> Served:
-    known = tally.plans.get(cell)
-    if known is None or known[0] != world.turned:
+    known = totals.plans.get(cell)
+    if known is None or known[0] != world.degraded:
         found = find_oracle_plan(world, cell)
-        known = tally.plans[cell] = (world.turned, found.plan, found.threshold)
+        known = totals.plans[cell] = (world.degraded, found.plan, found.threshold)
 
     _, plan, threshold = known
     cost = 0.0
@@ -226,7 +228,7 @@
         if answers[version] >= threshold:
             return Served(cost, answers[version], version)
 
-        tally.waits += 1.0
+        totals.waits += 1.0
 
     last = plan[-1]
     return Served(cost + world.prices[last], answers[last], last)
@@ -240,10 +242,10 @@
 }
 
 
-def _deliver_ratings(world: World, tally: Tally, now: float) -> None:
+def _deliver_ratings(world: World, totals: TrafficTotals, now: float) -> None:
     kinds = {kind.name: kind for kind in KINDS}
-    while tally.ratings and tally.ratings[0].due <= now:
-        item = heapq.heappop(tally.ratings)
+    while totals.ratings and totals.ratings[0].due <= now:
+        item = heapq.heappop(totals.ratings)
         workspace, name = item.cell
         if item.missing:
             note_unrated(
@@ -266,10 +268,12 @@
         )
 
 
-def _count(world: World, tally: Tally, cell: Cell, served: Served) -> None:
-    tally.requests += 1
-    tally.cost += served.cost
-    tally.exposed += int(world.turned and served.version == world.turning)
-    sums = tally.quality.setdefault(cell, [0.0, 0.0])
-    sums[0] += served.quality
-    sums[1] += 1.0
+def _record_served(
+    world: World, totals: TrafficTotals, cell: Cell, served: Served
+) -> None:
+    totals.requests += 1
+    totals.cost += served.cost
+    totals.exposed += int(world.degraded and served.version == world.degrading)
+    quality_total = totals.quality.setdefault(cell, [0.0, 0.0])
+    quality_total[0] += served.quality
+    quality_total[1] += 1.0
--- a/src/waxwingwell/experiments/world.py
+++ b/src/waxwingwell/experiments/world.py
@@ -1,4 +1,4 @@
-"""One simulated run: traffic, entries and engines, and what callers see of it."""
+"""The state of one simulated run: entries, engines and the callers' requests."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 
 
 @dataclass(slots=True)
-class Seen:
-    """What a caller saw of one request."""
+class RequestRecord:
+    """One request as its caller observed it, over all attempts."""
 
     request: Request
     first_at: float = 0.0
@@ -32,8 +32,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Storm:
-    """Callers that come back after a refusal or failure, whatever they were told."""
+class RetryStorm:
+    """Callers that retry after a refusal or failure and ignore retry-after hints."""
 
     attempts: int = 4
     pause: float = 0.3
@@ -41,19 +41,19 @@
 
 @dataclass(slots=True)
 class Call:
-    """One attempt of a caller as it stands at an entry."""
+    """The state of one attempt of a caller at an entry."""
 
-    seen: Seen
+    record: RequestRecord
     request: Request
     entry: Entry
     engine: Engine | None = None
     job: Job | None = None
-    over: bool = False
+    finished: bool = False
 
 
 @dataclass(slots=True)
 class World:
-    """One run with one policy."""
+    """The state of one run with one policy."""
 
     profile: Profile
     policy: Policy
@@ -61,19 +61,19 @@
     random: Random
     engines: dict[str, Engine]
     entries: list[Entry]
-    storm: Storm | None = None
+    retry_storm: RetryStorm | None = None
     calls: dict[str, Call] = field(default_factory=dict)
-    seen: list[Seen] = field(default_factory=list)
-    numbers: int = 0
-    """Dispatches so far."""
-    remote_sends: int = 0
-    """Those that crossed to another data centre."""
+    records: list[RequestRecord] = field(default_factory=list)
+    dispatches: int = 0
+    """Number of dispatches so far."""
+    remote_dispatches: int = 0
+    """Number of dispatches to another data centre."""
 
 
 def make_world(
-    profile: Profile, policy: Policy, seed: int, storm: Storm | None = None
+    profile: Profile, policy: Policy, seed: int, retry_storm: RetryStorm | None = None
 ) -> World:
-    """Return a world whose engines differ a little in speed, by the seed alone."""
+    """Return a world whose engines differ slightly in speed, depending on the seed."""
     random = Random(seed)
     clock = Clock()
     engines = []
@@ -99,5 +99,5 @@
         random,
         {engine.name: engine for engine in engines},
         entries,
-        storm,
+        retry_storm,
     )
--- a/src/waxwingwell/experiments/worlds.py
+++ b/src/waxwingwell/experiments/worlds.py
@@ -1,9 +1,9 @@
-"""A fake of versions whose true quality is hidden, for one seed.
+"""Simulated versions whose true quality is hidden from the decisions.
 
-Each answer's quality is normal around a hidden mean of its version, workspace and
-kind, clipped to 0 to 1. Answers of different versions to one request share half of
-their variance: a hard request is hard for all of them. Prices are per answer, in
-units of the cheapest version's.
+The quality of a response is normally distributed around a hidden mean that depends on
+the version, workspace and kind of work, and clipped to 0 to 1. Responses of different
+versions to one request share half of their variance: a hard request is hard for all of
+them. Prices are per response, in units of the cheapest version's.
 """
 
 from __future__ import annotations
@@ -34,14 +34,14 @@
     "frio": Weighing(cost=1.0, latency=1.0, exposure=3.0),
 }
 PRICES = (1.0, 1.5, 3.0, 5.0, 8.0, 15.0, 30.0)
-"""Price of an answer by each of the seven versions, cheapest first."""
+"""Price of a response by each of the seven versions, cheapest first."""
 LEVELS = (0.55, 0.62, 0.68, 0.74, 0.79, 0.84, 0.9)
-"""Mean quality of each version over all workspaces and kinds, before noise."""
+"""Mean quality of each version over all workspaces and kinds of work, before noise."""
 RATING_PRICE = 0.3
-DEVIATION = 0.15
+STANDARD_DEVIATION = 0.15
 SHARED_VARIANCE = 0.5
-TURN_LOSS = 0.3
-"""Fall of quality of the version that turns bad."""
+DEGRADATION_LOSS = 0.3
+"""Loss of quality of the version that degrades."""
 SAMPLES = 3000
 
 Cell = tuple[WorkspaceId, str]
@@ -49,21 +49,21 @@
 
 @dataclass(slots=True)
 class World:
-    """Hidden truth of one seed, and the tables that the decisions see."""
+    """The hidden quality of one seed, and the tables that the decisions use."""
 
     rng: random.Random
     tables: Tables
     versions: tuple[VersionId, ...]
     prices: dict[VersionId, float]
     means: dict[tuple[Cell, VersionId], float]
-    """Mean before clipping."""
-    turning: VersionId = VersionId("")
-    turned: bool = False
+    """Mean quality before clipping."""
+    degrading: VersionId = VersionId("")
+    degraded: bool = False
     targets: dict[str, float] = field(default_factory=dict)
 
 
 def make_world(profile: str, seed: int, workspaces: int = 2) -> World:
-    """Draw a world; the best version always meets every target."""
+    """Return a random world, in which the best version meets every target."""
     rng = random.Random(f"{profile}/{seed}")
     versions = tuple(VersionId(f"m{place}@1") for place in range(len(PRICES)))
     names = [WorkspaceId(f"w{place}") for place in range(workspaces)]
@@ -90,7 +90,7 @@
         versions=versions,
         prices=dict(zip(versions, PRICES, strict=True)),
         means=means,
-        turning=versions[rng.randrange(len(versions) - 1)],
+        degrading=versions[rng.randrange(len(versions) - 1)],
         targets={kind.name: kind.quality_target for kind in KINDS},
     )
 
@@ -101,9 +101,9 @@
 
 
 def draw_answers(world: World, cell: Cell) -> dict[VersionId, float]:
-    """Return the quality that each version's answer to one request would have."""
-    shared = world.rng.gauss(0.0, SHARED_VARIANCE**0.5 * DEVIATION)
-    own = (1.0 - SHARED_VARIANCE) ** 0.5 * DEVIATION
+    """Draw the quality of each version's response to one request."""
+    shared = world.rng.gauss(0.0, SHARED_VARIANCE**0.5 * STANDARD_DEVIATION)
+    own = (1.0 - SHARED_VARIANCE) ** 0.5 * STANDARD_DEVIATION
     return {
         version: clip(get_mean(world, cell, version) + shared + world.rng.gauss(0, own))
         for version in world.versions
@@ -111,18 +111,22 @@
 
 
 def get_mean(world: World, cell: Cell, version: VersionId) -> float:
-    """Return the present mean before clipping."""
+    """Return the current mean quality before clipping."""
     mean = world.means[cell, version]
-    return mean - TURN_LOSS if world.turned and version == world.turning else mean
+    return (
+        mean - DEGRADATION_LOSS
+        if world.degraded and version == world.degrading
+        else mean
+    )
 
 
 def get_quality(world: World, cell: Cell, version: VersionId) -> float:
-    """Return the present true mean quality."""
-    return mean_clipped(get_mean(world, cell, version), DEVIATION)
+    """Return the current true mean quality."""
+    return mean_clipped(get_mean(world, cell, version), STANDARD_DEVIATION)
 
 
 def clip(value: float) -> float:
-    """Return the value, brought into 0 to 1."""
+    """Return the value clipped to 0 to 1."""
     return min(1.0, max(0.0, value))
 
 
@@ -130,14 +134,14 @@
     """Return the mean of a normal variable clipped to 0 to 1."""
     return (
         mean
-        + _excess((0.0 - mean) / deviation) * deviation
-        - _excess((mean - 1.0) / deviation) * deviation
+        + _compute_shortfall((0.0 - mean) / deviation) * deviation
+        - _compute_shortfall((mean - 1.0) / deviation) * deviation
     )
 
 
 @dataclass(frozen=True, slots=True)
 class OraclePlan:
-    """The cheapest plan by the truth: one version, or a cascade."""
+    """The cheapest plan by the true quality: one version, or a cascade."""
 
     plan: tuple[VersionId, ...]
     threshold: float
@@ -147,16 +151,16 @@
 def find_oracle_plan(world: World, cell: Cell) -> OraclePlan:
     """Return the cheapest plan whose true mean quality meets the target.
 
-    It rates nothing but what a cascade needs, and sees a turn at once.
+    It rates only what a cascade needs, and detects a degradation at once.
     """
     kind = next(kind for kind in KINDS if kind.name == cell[1])
     target = kind.quality_target
-    good = [
+    eligible = [
         version
         for version in world.versions
         if get_quality(world, cell, version) >= target
     ]
-    single = min(good, key=lambda version: world.prices[version])
+    single = min(eligible, key=lambda version: world.prices[version])
     best = OraclePlan((single,), 0.0, world.prices[single])
     if not kind.waits_for_whole:
         return best
@@ -183,7 +187,7 @@
     strong: VersionId,
     target: float,
 ) -> OraclePlan | None:
-    """Return the cascade that escalates just enough of the samples."""
+    """Return the cascade that escalates the fewest samples that meet the target."""
     ordered = sorted(samples, key=lambda answers: answers[cheap])
     total = sum(answers[cheap] for answers in ordered)
     for escalated, answers in enumerate(ordered):
@@ -203,9 +207,9 @@
     means: dict[tuple[Cell, VersionId], float] = {}
     for name in names:
         for kind in KINDS:
-            hardness = rng.gauss(0.0, 0.05)
+            difficulty = rng.gauss(0.0, 0.05)
             for version, level in zip(versions, LEVELS, strict=True):
-                mean = level - hardness + rng.gauss(0.0, 0.05)
+                mean = level - difficulty + rng.gauss(0.0, 0.05)
                 means[(name, kind.name), version] = min(0.98, mean)
 
             best = ((name, kind.name), versions[-1])
@@ -214,7 +218,7 @@
     return means
 
 
-def _excess(point: float) -> float:
-    """Return the mean of a standard normal variable's excess below ``point``."""
+def _compute_shortfall(point: float) -> float:
+    """Return the mean shortfall of a standard normal variable below ``point``."""
     density = math.exp(-0.5 * point * point) / math.sqrt(2.0 * math.pi)
     return point * 0.5 * math.erfc(-point / math.sqrt(2.0)) + density
--- a/tests/experiments/test_engines.py
+++ b/tests/experiments/test_engines.py
@@ -1,4 +1,4 @@
-"""The fake engine: batching, prefix cache, priorities, cancelling."""
+"""The simulated engine: batching, prefix cache, priorities and cancellation."""
 
 from __future__ import annotations
 
@@ -34,29 +34,29 @@
         prefixes=(name,),
         prefix_tokens=(prompt,),
     )
-    return Request(0.0, work, 0, answer=100)
+    return Request(0.0, work, 0, output_tokens=100)
 
 
 def run_jobs(
     engine: Engine, requests: list[Request]
 ) -> tuple[dict[str, float], list[Job]]:
-    """Submit at once; return when each answer began, and the jobs."""
-    firsts: dict[str, float] = {}
+    """Submit the requests at once; return their first-token times and the jobs."""
+    first_token_at: dict[str, float] = {}
     jobs = []
     for number, request in enumerate(requests):
         name = request.work.request
 
-        def note(name: str = name) -> None:
-            firsts[name] = engine.clock.now
+        def record_first_token(name: str = name) -> None:
+            first_token_at[name] = engine.clock.now
 
-        jobs.append(Job(request, number, note, lambda whole: None))
+        jobs.append(Job(request, number, record_first_token, lambda complete: None))
         submit_job(engine, jobs[-1])
 
-    return firsts, jobs
+    return first_token_at, jobs
 
 
 class TestEngine(unittest.TestCase):
-    def test_reads_a_cached_prompt_at_once(self) -> None:
+    def test_skips_the_prefill_of_a_cached_prompt(self) -> None:
         engine = make_engine()
         first, _ = run_jobs(engine, [make_request("a")])
         run_until(engine.clock, 10.0)
@@ -65,7 +65,7 @@
         self.assertGreater(first["a"], 1.0)
         self.assertLess(again["a"] - 10.0, 0.1)
 
-    def test_evicts_the_least_lately_used(self) -> None:
+    def test_evicts_the_least_recently_used_prefix(self) -> None:
         engine = make_engine(cache_tokens=2000)
         for name in ("a", "b", "c"):
             run_jobs(engine, [make_request(name)])
@@ -74,15 +74,17 @@
         self.assertEqual(list(engine.cache), ["b", "c"])
         self.assertEqual(engine.evicted, ["a"])
 
-    def test_reads_higher_priorities_first(self) -> None:
+    def test_prefills_higher_priorities_first(self) -> None:
         engine = make_engine()
         requests = [make_request(f"r{n}", Priority.REPORT, 3000) for n in range(3)]
         order = make_request("o", Priority.ORDER, 200)
-        firsts, _ = run_jobs(engine, [*requests, order])
+        first_token_at, _ = run_jobs(engine, [*requests, order])
         run_until(engine.clock, 60.0)
-        self.assertEqual(min(firsts, key=lambda name: firsts[name]), "o")
+        self.assertEqual(
+            min(first_token_at, key=lambda name: first_token_at[name]), "o"
+        )
 
-    def test_places_are_all_free_in_the_end(self) -> None:
+    def test_all_slots_are_free_after_the_last_request(self) -> None:
         engine = make_engine()
         _, jobs = run_jobs(engine, [make_request(f"r{n}") for n in range(12)])
         self.assertEqual(report_load(engine).running, 6)
@@ -92,4 +94,4 @@
             cancel_job(engine, job)
 
         run_until(engine.clock, 100.0)
-        self.assertEqual((engine.places, len(engine.waiting)), (0, 0))
+        self.assertEqual((engine.used_slots, len(engine.waiting)), (0, 0))
--- a/tests/experiments/test_fleet.py
+++ b/tests/experiments/test_fleet.py
@@ -1,4 +1,4 @@
-"""The fleet experiment: its runs repeat, and the decisions hold in them."""
+"""The fleet experiment: reproducible runs, and the behaviour of the decisions."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from waxwingwell.experiments.runs import run_world
 from waxwingwell.experiments.scenarios import Scenario
 from waxwingwell.experiments.scenarios import run_scenario
-from waxwingwell.experiments.world import Storm
+from waxwingwell.experiments.world import RetryStorm
 from waxwingwell.experiments.world import make_world
 
 
@@ -35,49 +35,51 @@
                 self.assertEqual(first, run_scenario(profile, SHORT, REAL, 3))
                 self.assertNotEqual(first, run_scenario(profile, SHORT, REAL, 4))
 
-    def test_every_request_ends_once_and_counts_return(self) -> None:
-        """Overload, a silent engine and callers that come back at once, together.
+    def test_every_request_ends_once_and_counters_return_to_zero(self) -> None:
+        """Combines overload, an unresponsive engine and immediate retries.
 
-        Each caller gets one end, and when all is over no entry counts anything as
-        running or waiting.
+        Each request ends once, and afterwards no entry counts any request as in flight
+        or queued.
         """
         traffic = make_traffic(ENTOTO, Random(5), load=1.5, duration=15.0)
-        world = make_world(ENTOTO, REAL, 5, Storm())
-        world.engines["engine-0"].silent = True
-        seen = run_world(world, traffic, 150.0)
-        self.assertGreater(len(seen), 200)
+        world = make_world(ENTOTO, REAL, 5, RetryStorm())
+        world.engines["engine-0"].unresponsive = True
+        request_records = run_world(world, traffic, 150.0)
+        self.assertGreater(len(request_records), 200)
         self.assertEqual(
-            {one.outcome for one in seen} - {"done"} - {"refused", "failed"}, set()
+            {one.outcome for one in request_records} - {"done"} - {"refused", "failed"},
+            set(),
         )
         for entry in world.entries:
             tables = entry.tables
             self.assertEqual((tables.waiting, tables.claims), ({}, {}))
-            held = [demand.in_flight for demand in tables.demand.values()]
-            self.assertEqual(sum(held), 0)
+            in_flight_counts = [demand.in_flight for demand in tables.demand.values()]
+            self.assertEqual(sum(in_flight_counts), 0)
             rows = [row.in_flight for row in tables.upstreams.values()]
             self.assertEqual(sum(rows), 0)
 
-    def test_no_order_is_sent_twice(self) -> None:
-        """Two engines take orders and questions and never answer.
+    def test_no_order_is_dispatched_twice(self) -> None:
+        """Two engines accept orders and questions and never respond.
 
-        The callers see no token; their questions are sent elsewhere. An order may have
-        run, so a second dispatch could bill it twice.
+        Questions without a first token are retried at another engine. An order may
+        have run, so a second dispatch could bill it twice.
         """
         traffic = make_traffic(ENTOTO, Random(6), load=0.6, duration=15.0)
         world = make_world(ENTOTO, REAL, 6)
         for name in ("engine-0", "engine-1"):
-            world.engines[name].silent = True
+            world.engines[name].unresponsive = True
 
-        seen = run_world(world, traffic, 60.0)
-        orders = [one for one in seen if not one.request.work.repeatable]
+        request_records = run_world(world, traffic, 60.0)
+        orders = [one for one in request_records if not one.request.work.repeatable]
         self.assertGreater(len(orders), 10)
         self.assertLessEqual(max(one.sends for one in orders), 1)
-        self.assertGreater(max(one.sends for one in seen), 1)
+        self.assertGreater(max(one.sends for one in request_records), 1)
 
-    def test_orders_keep_their_pace_under_overload(self) -> None:
-        """Twice the load that the engines bear arrives, most of it no orders.
+    def test_orders_keep_their_latency_under_overload(self) -> None:
+        """The load is twice the engines' capacity, and few of the requests are orders.
 
-        By least in flight alone the orders queue at the engines with all the rest.
+        With the least-in-flight baseline, orders queue at the engines behind all other
+        work.
         """
         busy = replace(SHORT, load=2.0)
         ours = run_scenario(ENTOTO, busy, REAL, 1)
@@ -86,15 +88,15 @@
         self.assertEqual(ours.order_refused, 0.0)
         self.assertGreater(ours.goodput, plain.goodput * 0.95)
 
-    def test_bounds_fall_with_the_priority(self) -> None:
+    def test_load_bounds_decrease_with_the_priority(self) -> None:
         self.assertEqual(list(BOUNDS.values()), sorted(BOUNDS.values(), reverse=True))
 
-    def test_refuses_wrong_arguments(self) -> None:
+    def test_rejects_invalid_arguments(self) -> None:
         for profile, seeds in (("nowhere", 1), ("entoto", 0)):
             with self.subTest(profile=profile), self.assertRaises(ValueError):
                 run_fleet(profile, seeds)
 
-    def test_report_renders_and_encodes(self) -> None:
+    def test_report_renders_as_text_and_json(self) -> None:
         goal = Goal("first token", "waxwingwell", 0.7, True, Spread(0.5, 0.8))
         report = FleetReport("entoto", 2, (goal,), ())
         self.assertIn("a trial", report.render())
--- a/tests/experiments/test_quality.py
+++ b/tests/experiments/test_quality.py
@@ -1,4 +1,4 @@
-"""The experiment on versions: its fakes are sound and its runs repeat themselves."""
+"""The quality experiment: sound simulated versions, and reproducible runs."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from waxwingwell.experiments.quality_report import SeedFigures
 from waxwingwell.experiments.quality_report import TrafficFigures
 from waxwingwell.experiments.quality_report import list_goals
-from waxwingwell.experiments.rollout_runs import Case
+from waxwingwell.experiments.rollout_runs import RolloutCase
 from waxwingwell.experiments.rollout_runs import run_canary
 from waxwingwell.experiments.rollout_runs import run_staged
 from waxwingwell.experiments.traffic import POLICIES
@@ -32,7 +32,7 @@
                     best = get_quality(world, (name, kind.name), world.versions[-1])
                     self.assertGreaterEqual(best, kind.quality_target)
 
-    def test_hidden_quality_is_the_mean_of_answers(self) -> None:
+    def test_true_quality_is_the_mean_of_drawn_qualities(self) -> None:
         world = make_world("frio", 3)
         cell = (next(iter(world.tables.workspaces)), "tag")
         draws = [draw_answers(world, cell) for _ in range(4000)]
@@ -40,7 +40,7 @@
             mean = sum(answers[version] for answers in draws) / len(draws)
             self.assertAlmostEqual(mean, get_quality(world, cell, version), delta=0.01)
 
-    def test_the_oracle_is_never_dearer_than_the_best(self) -> None:
+    def test_the_oracle_never_costs_more_than_the_best_version(self) -> None:
         world = make_world("frio", 3)
         for name in world.tables.workspaces:
             for kind in KINDS:
@@ -49,7 +49,7 @@
 
 
 class TestTraffic(unittest.TestCase):
-    def test_costs_are_in_order_and_repeat(self) -> None:
+    def test_costs_are_ordered_and_reproducible(self) -> None:
         costs = {
             name: run_traffic(make_world("entoto", 7), name, 7, requests=300).cost
             for name in POLICIES
@@ -62,11 +62,11 @@
 
 
 class TestRollouts(unittest.TestCase):
-    def test_good_and_bad(self) -> None:
-        good = run_staged(Case("entoto", "good"))
+    def test_good_candidates_complete_and_bad_ones_are_withdrawn(self) -> None:
+        good = run_staged(RolloutCase("entoto", "good"))
         self.assertTrue(good.completed)
         self.assertEqual(good.bad, 0)
-        case = Case("entoto", "bad", loss=0.3)
+        case = RolloutCase("entoto", "bad", loss=0.3)
         bad = run_staged(case)
         canary = run_canary(case, 5000)
         self.assertTrue(bad.withdrawn)
@@ -87,7 +87,7 @@
         self.assertTrue(met["cost / oracle's"])
         self.assertFalse(met["cost / always best's"])
 
-    def test_wrong_arguments(self) -> None:
+    def test_rejects_invalid_arguments(self) -> None:
         for profile, seeds in (("nowhere", 2), ("frio", 0)):
             with self.subTest(profile), self.assertRaises(ValueError):
                 run_quality(profile, seeds)
