--- a/src/waxwingwell/experiments/measures.py
+++ b/src/waxwingwell/experiments/measures.py
@@ -46,10 +46,10 @@
 
 def measure_run(world: World, warm_up: float, end: float) -> Measures:
     """Return the figures of a finished run."""
-    request_records = [one for one in world.records if one.request.at >= warm_up]
-    first_token_seconds = list_first_token_seconds(request_records)
-    orders = [one for one in request_records if has_priority(one, Priority.ORDER)]
-    reports = [one for one in request_records if has_priority(one, Priority.REPORT)]
+    records = [one for one in world.records if one.request.at >= warm_up]
+    first_token_seconds = list_first_token_seconds(records)
+    orders = [one for one in records if has_priority(one, Priority.ORDER)]
+    reports = [one for one in records if has_priority(one, Priority.REPORT)]
     done = [
         one
         for one in world.records
@@ -69,10 +69,10 @@
         ),
         goodput=sum(one.request.output_tokens for one in done) / span,
         answers=len(done) / span,
-        refused=compute_unserved_share(request_records),
+        refused=compute_unserved_share(records),
         order_refused=compute_unserved_share(orders),
         report_refused=compute_unserved_share(reports),
-        sends=sum(one.sends for one in request_records) / max(len(request_records), 1),
+        sends=sum(one.sends for one in records) / max(len(records), 1),
         read_share=sum(engine.prefilled_tokens for engine in engines)
         / max(requested, 1),
         remote_share=world.remote_dispatches / max(world.dispatches, 1),
@@ -84,19 +84,15 @@
     return record.request.work.priority is priority
 
 
-def list_first_token_seconds(request_records: Iterable[RequestRecord]) -> list[float]:
+def list_first_token_seconds(records: Iterable[RequestRecord]) -> list[float]:
     """Return the seconds to the first token, for requests that got one."""
-    return [one.first_at - one.request.at for one in request_records if one.first_at]
+    return [one.first_at - one.request.at for one in records if one.first_at]
 
 
-def compute_unserved_share(request_records: Sequence[RequestRecord]) -> float:
+def compute_unserved_share(records: Sequence[RequestRecord]) -> float:
     """Return the share of requests that ended without a response."""
-    bad = sum(
-        1
-        for one in request_records
-        if one.outcome in ("refused", "failed", "abandoned")
-    )
-    return bad / max(len(request_records), 1)
+    bad = sum(1 for one in records if one.outcome in ("refused", "failed", "abandoned"))
+    return bad / max(len(records), 1)
 
 
 def pick_quantile(values: Sequence[float], share: float) -> float:
--- a/src/waxwingwell/experiments/traffic.py
+++ b/src/waxwingwell/experiments/traffic.py
@@ -82,7 +82,7 @@
     )
     """Cached oracle plan of each cell, with the degradation state it was made for."""
     targets: dict[str, float] = field(default_factory=dict)
-    rng: random.Random = field(default_factory=random.Random)
+    policy_rng: random.Random = field(default_factory=random.Random)
 
 
 def run_traffic(
@@ -92,7 +92,9 @@
 
     ``requests`` is the number for each workspace and kind of work.
     """
-    totals = TrafficTotals(targets=world.targets, rng=random.Random(f"{name}/{seed}"))
+    totals = TrafficTotals(
+        targets=world.targets, policy_rng=random.Random(f"{name}/{seed}")
+    )
     world.degraded = False
     world.rng.seed(f"traffic/{seed}")
     cells = [
@@ -133,7 +135,7 @@
     answers: dict[VersionId, float],
 ) -> Served:
     tables = world.tables
-    choice = choose_version(tables, work, now=now, draw=totals.rng.random())
+    choice = choose_version(tables, work, now=now, draw=totals.policy_rng.random())
     if isinstance(choice, Refusal):
         raise AssertionError(choice.message)
 
@@ -142,7 +144,7 @@
     for version in choice.plan[:-1]:
         cost += world.prices[version] + RATING_PRICE
         note_sent(tables, work, version, rate=True, now=now, served=False)
-        if totals.rng.random() < MISSING_SHARE:
+        if totals.policy_rng.random() < MISSING_SHARE:
             note_unrated(tables, work.workspace, work.kind, version)
             continue
 
@@ -174,8 +176,8 @@
     )
     if choice.rate:
         cost += RATING_PRICE
-        due = now + totals.rng.expovariate(1.0 / MEAN_RATING_DELAY_SECONDS)
-        missing = totals.rng.random() < MISSING_SHARE
+        due = now + totals.policy_rng.expovariate(1.0 / MEAN_RATING_DELAY_SECONDS)
+        missing = totals.policy_rng.random() < MISSING_SHARE
         rating = PendingRating(
             due, totals.requests, cell, last, answers[last], missing, escalated
         )
