--- a/tests/system/__init__.py
+++ b/tests/system/__init__.py
@@ -1,4 +1,4 @@
-"""Failure tests of the whole system: real processes on loopback."""
+"""Failure tests of the complete system, with real processes on loopback."""
 
 from __future__ import annotations
 
--- a/tests/system/stages.py
+++ b/tests/system/stages.py
@@ -1,4 +1,4 @@
-"""Processes of the soak for tests that play one case with them."""
+"""A small deployment of the soak test's processes, for tests of single cases."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @contextlib.asynccontextmanager
 async def open_small_stage(folder: Path) -> AsyncIterator[Stage]:
-    """Serve with one gateway, one registry and one upstream each; without callers."""
+    """Run one gateway, one registry and one upstream per service, without callers."""
     rng = random.Random(SEED)
     stage = await open_stage(folder, rng, registries=1, gateways=1, upstreams_each=1)
     background: list[asyncio.Task[None]] = []
--- a/tests/system/support.py
+++ b/tests/system/support.py
@@ -1,4 +1,4 @@
-"""What the tests of the whole system share: one deployment, callers, healing."""
+"""Shared fixtures of the system tests: one deployment, callers, and fault removal."""
 
 from __future__ import annotations
 
@@ -44,16 +44,16 @@
 
 ENTRIES = ("entry-1", "entry-2")
 ENGINES = ("engine-1", "engine-2")
-RELAYED = "entry-1"
-"""The entry that reaches control by relays."""
-TIMEOUT = 30.0
-CUT = 0
-"""Status of a reply that did not come whole."""
+RELAYED_ENTRY = "entry-1"
+"""The entry that reaches control through relays."""
+TIMEOUT_SECONDS = 30.0
+CONNECTION_LOST = 0
+"""Status of a response that is missing or incomplete."""
 
 
 @dataclass(frozen=True, slots=True)
-class Reply:
-    """What a caller saw; status ``CUT`` if the connection went away."""
+class Response:
+    """A response as received; its status is ``CONNECTION_LOST`` after an error."""
 
     status: int
     body: bytes = b""
@@ -66,12 +66,12 @@
 
     @property
     def outcome(self) -> str:
-        """Outcome that the entry told."""
+        """Outcome that the entry reported."""
         return self.headers.get("x-outcome", "")
 
     @property
     def code(self) -> str:
-        """Code of an error answer, or an empty text."""
+        """Code of an error response, or an empty text."""
         try:
             return str(json.loads(self.body)["error"]["code"])
         except (ValueError, KeyError, TypeError):
@@ -80,27 +80,27 @@
 
 @cache
 def get_deployment() -> Deployment:
-    """Start the one deployment of this test run; it is stopped at exit."""
+    """Start the deployment that all tests share; it is stopped at exit."""
     folder = tempfile.TemporaryDirectory()
     deployment = make_faulty(
         Path(folder.name),
         entries=len(ENTRIES),
         engines=len(ENGINES),
-        relayed=(RELAYED,),
+        relayed=(RELAYED_ENTRY,),
         delay=0.3,
     )
 
-    def end() -> None:
+    def stop_deployment() -> None:
         stop_all(deployment)
         folder.cleanup()
 
-    atexit.register(end)
+    atexit.register(stop_deployment)
     start_system(deployment)
     return deployment
 
 
 class SystemCase(unittest.TestCase):
-    """A test over the shared deployment, which is healed before each test."""
+    """A test on the shared deployment, whose faults are removed after each test."""
 
     system: Deployment
     pool: ThreadPoolExecutor
@@ -110,61 +110,61 @@
         self.pool = ThreadPoolExecutor(max_workers=16)
         self.addCleanup(self.pool.shutdown)
         self.addCleanup(self.check_invariants)
-        self.addCleanup(heal, self.system)
+        self.addCleanup(remove_faults, self.system)
 
     def check_invariants(self) -> None:
-        """Fail if any process found a promise broken, or stopped by a fault."""
+        """Fail if any process logged an invariant violation or a crash."""
         for name in self.system.processes:
             log = read_log(self.system, name)
             self.assertNotIn("invariants: ", log, name)
             self.assertNotIn("Stopped by a fault", log, name)
 
-    def begin(
-        self, work: Callable[..., Reply], *args: Any, **named: Any
+    def start_caller(
+        self, function: Callable[..., Response], *args: Any, **named: Any
     ) -> Future[Any]:
-        """Run a caller beside the test."""
-        return self.pool.submit(work, *args, **named)
+        """Run a caller concurrently with the test."""
+        return self.pool.submit(function, *args, **named)
 
-    def order(self, entry: str, name: str, *, key: str = "") -> Reply:
-        """Send an order that names itself, under a key."""
+    def send_order(self, entry: str, name: str, *, key: str = "") -> Response:
+        """Send an order with its name as the id, under an idempotency key."""
         path = f"/v1/services/{SERVICE}/orders"
         return send(self.system, entry, path, {"id": name}, key=key or f"key-{name}")
 
-    def order_until(
-        self, entry: str, name: str, done: Callable[[Reply], bool]
-    ) -> Reply:
-        """Resend an order until a reply is as wished."""
-        replies: list[Reply] = []
+    def retry_order_until(
+        self, entry: str, name: str, done: Callable[[Response], bool]
+    ) -> Response:
+        """Resend an order until a response meets a condition."""
+        responses: list[Response] = []
 
         def attempt() -> bool:
-            replies.append(self.order(entry, name))
-            return done(replies[-1])
+            responses.append(self.send_order(entry, name))
+            return done(responses[-1])
 
         wait_until(attempt, f"{name} to end", 12.0)
-        return replies[-1]
+        return responses[-1]
 
-    def chat(self, entry: str, prompt: str, **fields: Any) -> Reply:
-        """Send a chat; ``key`` and ``session`` go into headers."""
+    def send_chat(self, entry: str, prompt: str, **fields: Any) -> Response:
+        """Send a chat; ``key`` becomes the idempotency key, other fields the body."""
         key = fields.pop("key", "")
         body = {"messages": [{"role": "user", "content": prompt}], **fields}
         return send(self.system, entry, "/v1/chat/completions", body, key=key)
 
 
-def heal(deployment: Deployment) -> None:
-    """Take back every fault and wait until all processes serve."""
+def remove_faults(deployment: Deployment) -> None:
+    """Remove every fault and wait until all processes serve."""
     for name in deployment.processes:
         thaw(deployment, name)
         if not is_alive(deployment, name):
             start_process(deployment, name)
 
-    wait_until(lambda: _reset(deployment), "the world")
-    wait_until(lambda: _is_joined(deployment), "all controls")
+    wait_until(lambda: _reset_faults(deployment), "the faults to be removed")
+    wait_until(lambda: _is_control_complete(deployment), "all controls to vote")
     for entry in ENTRIES:
         wait_ready(deployment, entry)
 
 
-def _is_joined(deployment: Deployment) -> bool:
-    """Tell whether every control votes, and the leader has a link to it."""
+def _is_control_complete(deployment: Deployment) -> bool:
+    """Return whether every control votes and is linked to the leader."""
     status = ask_admin(deployment, find_leader(deployment), "status")
     if status is None or len(status["voters"]) < CONTROLS:
         return False
@@ -172,17 +172,17 @@
     return all(member["up"] for member in status["members"])
 
 
-def _reset(deployment: Deployment) -> bool:
+def _reset_faults(deployment: Deployment) -> bool:
     try:
-        # Open connections keep their delay.
-        order = {
+        # Open connections keep their delay, so they are cut as well.
+        relay_faults = {
             "delay": 0.0,
             "refuse": False,
             "blackhole": False,
             "mute": False,
             "cut": True,
         }
-        set_relays(deployment, RELAYED, **order)
+        set_relays(deployment, RELAYED_ENTRY, **relay_faults)
         set_faults(deployment, "service")
         for engine in ENGINES:
             set_faults(deployment, f"engines/{engine}")
@@ -194,11 +194,11 @@
 
 def send(
     deployment: Deployment, entry: str, path: str, body: Any, *, key: str = ""
-) -> Reply:
-    """Send one request on its own connection; never raises for a cut."""
+) -> Response:
+    """Send one request on its own connection; never raises a connection error."""
     name = entry if entry in deployment.ports else f"{entry}.callers"
     connection = http.client.HTTPConnection(
-        HOST, deployment.ports[name], timeout=TIMEOUT
+        HOST, deployment.ports[name], timeout=TIMEOUT_SECONDS
     )
     headers = {"Authorization": f"Bearer {CALLER_KEY}"}
     if key:
@@ -207,27 +207,29 @@
     try:
         connection.request("POST", path, json.dumps(body).encode(), headers)
         response = connection.getresponse()
-        named = {name.lower(): value for name, value in response.getheaders()}
-        return Reply(response.status, response.read(), named)
+        response_headers = {
+            name.lower(): value for name, value in response.getheaders()
+        }
+        return Response(response.status, response.read(), response_headers)
     except (OSError, http.client.HTTPException):
-        return Reply(CUT)
+        return Response(CONNECTION_LOST)
     finally:
         connection.close()
 
 
 def is_ready(deployment: Deployment, entry: str) -> bool:
-    """Tell whether an entry's health check is green."""
+    """Return whether an entry's readiness check succeeds."""
     port = deployment.ports[f"{entry}.callers"]
     return get_status(f"http://{HOST}:{port}/readyz") == 200
 
 
 def read_events(body: bytes) -> list[bytes]:
-    """Return the whole events of a stream."""
+    """Return the events of a stream."""
     return [block for block in body.split(b"\n\n") if block]
 
 
-def is_whole(body: bytes) -> bool:
-    """Tell whether a stream has its end mark and numbers without a gap."""
+def is_complete_stream(body: bytes) -> bool:
+    """Return whether a stream has its end marker and consecutive event numbers."""
     events = read_events(body)
     if not events or not events[-1].endswith(b"data: [DONE]"):
         return False
@@ -236,8 +238,8 @@
     return numbers == list(range(1, len(events) + 1))
 
 
-def measure_seconds(work: Callable[[], object]) -> float:
-    """Return how long a piece of work took."""
-    began = time.monotonic()
-    work()
-    return time.monotonic() - began
+def measure_seconds(function: Callable[[], object]) -> float:
+    """Return the seconds that a function call takes."""
+    started_at = time.monotonic()
+    function()
+    return time.monotonic() - started_at
--- a/tests/system/test_planned_stops.py
+++ b/tests/system/test_planned_stops.py
@@ -1,4 +1,4 @@
-"""Planned stops of a gateway process whose callers have not read their answers yet."""
+"""Planned stops of a gateway while its callers have not read their responses."""
 
 from __future__ import annotations
 
@@ -35,49 +35,50 @@
 
 
 POLL_SECONDS = 0.02
-REQUEST = "unread-1"
+REQUEST_ID = "unread-1"
 
 
 class PlannedStopsTest(unittest.TestCase):
-    """One gateway and one registry; the answer is larger than the kernel's buffers."""
+    """One gateway, one registry, and a response larger than the kernel's buffers."""
 
     CASES: ClassVar = {
-        "the answer is given before the signal": ("order", "answered"),
-        "the answer is given before new connections end": ("order", "running"),
-        "the answer is given after new connections ended": ("stream", "running"),
+        "response complete before the signal": ("order", "answered"),
+        "response complete while connections are accepted": ("order", "running"),
+        "response complete after connections are refused": ("stream", "running"),
     }
 
-    def test_an_unread_answer_outlasts_the_stop(self) -> None:
-        """Story: a caller gets status 200, and its connection ends in mid-answer.
+    def test_a_stop_delivers_an_unread_response(self) -> None:
+        """Guards against a stop that truncates responses after status 200.
 
-        Its upstream has served the answer to the end, and the gateway holds what the
-        caller has not read. The gateway is told to stop, sees no request under way,
-        and ends long before it must. Only then the caller reads on.
+        The upstream has sent its complete response, and the gateway buffers what the
+        caller has not read. If the stopping gateway took that request for finished, it
+        would exit long before the end of its grace period and before the caller
+        continues to read.
         """
-        for name, (kind, moment) in self.CASES.items():
+        for name, (kind, upstream_state) in self.CASES.items():
             with self.subTest(name), tempfile.TemporaryDirectory() as folder:
                 path = f"/{kind}/1/big"
                 make = make_stream if kind == "stream" else make_body
-                body = asyncio.run(play(Path(folder), path, moment))
-                self.assertEqual(len(body), len(make(REQUEST, path)))
-                self.assertEqual(body, make(REQUEST, path))
+                body = asyncio.run(get_body(Path(folder), path, upstream_state))
+                self.assertEqual(len(body), len(make(REQUEST_ID, path)))
+                self.assertEqual(body, make(REQUEST_ID, path))
 
 
-async def play(folder: Path, path: str, moment: str) -> bytes:
-    """Start the processes, and return what a caller gets of its answer."""
+async def get_body(folder: Path, path: str, upstream_state: str) -> bytes:
+    """Start the processes, and return the response body that a caller receives."""
     async with open_small_stage(folder) as stage:
-        return await read_late(stage, path, moment)
+        return await read_late(stage, path, upstream_state)
 
 
-async def read_late(stage: Stage, path: str, moment: str) -> bytes:
-    """Stop the gateway, and read when it has looked for requests under way."""
+async def read_late(stage: Stage, path: str, upstream_state: str) -> bytes:
+    """Stop the gateway, and read once it has checked for requests in progress."""
     gateway = stage.fleet.gateways[0]
     gateway_address = (gateway.record.address, gateway.record.caller_port)
     reader, writer = await open_slowly(*gateway_address)
     writer.write(write_request(path))
     run = await await_run(stage)
     response: Message | None = None
-    if moment == "answered":
+    if upstream_state == "answered":
         response = await read_head(reader)
 
     signal_member(gateway, signal.SIGTERM)
@@ -85,7 +86,7 @@
     while run.ended_at == float("inf"):
         await asyncio.sleep(POLL_SECONDS)
 
-    await await_look(gateway_address)
+    await await_drain_check(gateway_address)
     assert response is not None
     with contextlib.suppress(OSError, BrokenMessageError):
         await read_body(reader, response)
@@ -95,26 +96,26 @@
 
 
 def write_request(path: str) -> bytes:
-    """Return a request in the platform's words."""
+    """Return an encoded request in the platform's format."""
     key = next(iter(KEYS.values()))[0]
-    headers = wire.write_request(REQUEST, key, BUDGET_SECONDS)
+    headers = wire.write_request(REQUEST_ID, key, BUDGET_SECONDS)
     return write_message(f"POST {path} HTTP/1.1", {"Host": HOST, **headers}, b"please")
 
 
 async def await_run(stage: Stage) -> Run:
-    """Wait until an upstream works on the request."""
+    """Wait until an upstream processes the request."""
     while True:
         for run in stage.journal.runs:
-            if run.request_id == REQUEST:
+            if run.request_id == REQUEST_ID:
                 return run
 
         await asyncio.sleep(POLL_SECONDS)
 
 
-async def await_look(gateway_address: tuple[str, int]) -> None:
-    """Wait until the stopping gateway closes, or refuses, an idle connection.
+async def await_drain_check(gateway_address: tuple[str, int]) -> None:
+    """Wait until the stopping gateway closes or refuses an idle connection.
 
-    It does so only where it also looks whether requests are under way.
+    It does so at the time at which it also checks for requests in progress.
     """
     with contextlib.suppress(OSError):
         reader, writer = await asyncio.open_connection(*gateway_address)
--- a/tests/system/test_platform_soak.py
+++ b/tests/system/test_platform_soak.py
@@ -1,4 +1,4 @@
-"""A short seeded run of the fault soak: real processes, faults from outside."""
+"""Short seeded runs of the soak test, with real processes and external faults."""
 
 from __future__ import annotations
 
@@ -10,28 +10,28 @@
 from tests import platform_adapter  # noqa: F401  # puts the adapter on the path
 
 
-SEEDS = (
-    # A registry was told of changed settings while it started, and ended by itself.
+FAULT_SEEDS = (
+    # Signals a settings reload to a registry during its start, which must not end it.
     202,
     7,
 )
 FAULT_SECONDS = 6.0
 PLANNED_SEEDS = (4,)
 PLANNED_SECONDS = 1.0
-"""One series of stops."""
+"""Long enough for one series of stops."""
 STARTS_SEED = 100
 STARTS_SECONDS = 1.0
-STOPPED_AT_START = 713002
-"""Broken before gateways kept signals during their start."""
+STOPPED_AT_START_SEED = 713002
+"""Seed that fails unless gateways defer signals that arrive during their start."""
 
 
 class PlatformSoakTest(unittest.TestCase):
-    """Three gateways and three registries."""
+    """Runs with three gateways and three registries."""
 
     def test_promises_hold_under_faults(self) -> None:
         from bench.soak.__main__ import run_seed
 
-        for seed in SEEDS:
+        for seed in FAULT_SEEDS:
             with self.subTest(seed=seed), tempfile.TemporaryDirectory() as folder:
                 journal, findings = asyncio.run(
                     run_seed(
@@ -43,11 +43,11 @@
                 self.assertGreater(len(journal.accepted), 0)
 
     def test_planned_stops_cut_no_answer(self) -> None:
-        """Story: a caller gets status 200, and its connection ends in mid-answer.
+        """Guards against planned stops that truncate responses after status 200.
 
-        Gateways and registries stop in turn, as planned, and nothing else is amiss.
-        An upstream's answer is served to the end, and the gateway ends with the last
-        bytes of it: its callers read slowly, or it ends in the very same moment.
+        Gateways and registries stop in turn, without other faults. An upstream has sent
+        its complete response, and the gateway exits before it has forwarded the last
+        bytes, because the caller reads slowly or the response ends at the same moment.
         """
         from bench.soak.__main__ import run_seed
 
@@ -67,12 +67,12 @@
                 self.assertGreater(len(journal.requests), 0)
 
     def test_signals_at_starts_cut_no_answer(self) -> None:
-        """Guards against processes that are signalled as they start, and end."""
+        """Guards against processes that exit when they are signalled during a start."""
         from bench.soak.__main__ import run_case
         from bench.soak.seeds import KEPT_SEEDS
         from bench.soak.seeds import SoakCase
 
-        kept = [case for case in KEPT_SEEDS if case.seed == STOPPED_AT_START]
+        kept = [case for case in KEPT_SEEDS if case.seed == STOPPED_AT_START_SEED]
         fresh = SoakCase(STARTS_SEED, seconds=STARTS_SECONDS, starts=True)
         for case in (fresh, *kept):
             with self.subTest(seed=case.seed), tempfile.TemporaryDirectory() as folder:
--- a/tests/system/test_signalled_start.py
+++ b/tests/system/test_signalled_start.py
@@ -1,4 +1,4 @@
-"""Signals that reach a gateway process while it starts, and what its callers get."""
+"""Signals to a starting gateway process, and the responses of its callers."""
 
 from __future__ import annotations
 
@@ -27,34 +27,34 @@
 
 
 POLL_SECONDS = 0.001
-CALLERS = 5
+CALLER_COUNT = 5
 
 
 class SignalledStartTest(unittest.TestCase):
-    """One gateway and one registry; callers connect as soon as the port is open."""
+    """One gateway and one registry, with callers that connect once the port is open."""
 
     CASES: ClassVar = {
-        "told to stop": (signal.SIGTERM,),
-        "interrupted": (signal.SIGINT,),
-        "told twice to stop": (signal.SIGTERM, signal.SIGTERM),
-        "settings change, then told to stop": (signal.SIGHUP, signal.SIGTERM),
-        "told to stop, then settings change": (signal.SIGTERM, signal.SIGHUP),
+        "stop": (signal.SIGTERM,),
+        "interrupt": (signal.SIGINT,),
+        "stop twice": (signal.SIGTERM, signal.SIGTERM),
+        "reload, then stop": (signal.SIGHUP, signal.SIGTERM),
+        "stop, then reload": (signal.SIGTERM, signal.SIGHUP),
     }
 
-    def test_callers_get_an_answer(self) -> None:
-        """Guards against a gateway that ends with callers waiting in its port."""
+    def test_callers_get_a_response(self) -> None:
+        """Guards against a gateway that exits with connections in its listen queue."""
         for name, signals in self.CASES.items():
             with self.subTest(name), tempfile.TemporaryDirectory() as folder:
-                statuses, code = asyncio.run(play(Path(folder), signals))
+                statuses, code = asyncio.run(run_case(Path(folder), signals))
                 self.assertLessEqual(set(statuses), {200, 503})
-                self.assertEqual(len(statuses), CALLERS)
+                self.assertEqual(len(statuses), CALLER_COUNT)
                 self.assertEqual(code, 0)
 
 
-async def play(
+async def run_case(
     folder: Path, signals: tuple[signal.Signals, ...]
 ) -> tuple[list[int], int]:
-    """Signal a gateway that starts; return statuses of callers and its exit code."""
+    """Signal a starting gateway; return its callers' statuses and its exit code."""
     async with open_small_stage(folder) as stage:
         return await signal_start(stage, signals)
 
@@ -62,11 +62,11 @@
 async def signal_start(
     stage: Stage, signals: tuple[signal.Signals, ...]
 ) -> tuple[list[int], int]:
-    """Start the gateway anew, and signal it once callers wait in its port."""
+    """Restart the gateway, and signal it once callers have connected."""
     gateway = stage.fleet.gateways[0]
     kill_member(gateway)
     restart_member(gateway)
-    connections = [await connect_early(gateway) for _ in range(CALLERS)]
+    connections = [await connect_early(gateway) for _ in range(CALLER_COUNT)]
     for _, writer in connections:
         writer.write(write_request("/order/1"))
 
@@ -95,7 +95,7 @@
 
 
 async def read_status(reader: asyncio.StreamReader) -> int:
-    """Return the status of a whole answer, or 0 where the connection ended."""
+    """Return the status of a complete response, or 0 if the connection ended."""
     with contextlib.suppress(OSError):
         response = await read_head(reader)
         if response is not None:
--- a/tests/system/test_soak_checks.py
+++ b/tests/system/test_soak_checks.py
@@ -1,4 +1,4 @@
-"""What the soak's check of planned stops counts as broken."""
+"""The soak test's check of planned stops."""
 
 from __future__ import annotations
 
@@ -15,29 +15,34 @@
 
 STOP_AT = 100.0
 GATEWAY = "127.0.2.1"
-CUT: dict[str, Any] = {"sent_at": 102.0, "ended_at": 103.5, "status": 200}
-"""A request whose connection ends in mid-answer, 3.5 s after the signal."""
+CUT_REQUEST: dict[str, Any] = {"sent_at": 102.0, "ended_at": 103.5, "status": 200}
+"""A request whose connection ends within its response, 3.5 s after the signal."""
 
 
 class PlannedStopsCheckTest(unittest.TestCase):
-    """One planned stop of a gateway, from 100 to 104, and one request."""
+    """One planned stop of a gateway, from 100 s to 104 s, and one request."""
 
     CASES: ClassVar[dict[str, tuple[dict[str, Any], float | None, str, bool]]] = {
-        # name: (changes to the request, end of its upstream, other fault, broken)
-        "cut in the middle": ({}, 103.4, "", True),
-        "cut before the answer": ({"status": 0}, 103.4, "", True),
+        # name: (changes to the request, end of its upstream, other fault, violation)
+        "cut within the response": ({}, 103.4, "", True),
+        "cut before the response": ({"status": 0}, 103.4, "", True),
         "cut without an upstream": ({"status": 0}, None, "", True),
-        "cut beside changed settings": ({}, 103.4, "hang_up", True),
-        "cut beside a new document": ({}, 103.4, "change", True),
-        "cut beside another stop": ({}, 103.4, "stop", True),
-        "cut beside a kill": ({}, 103.4, "kill", False),
-        "whole": ({"whole": True}, 103.4, "", False),
+        "cut during a settings reload": ({}, 103.4, "hang_up", True),
+        "cut during a document change": ({}, 103.4, "change", True),
+        "cut during another stop": ({}, 103.4, "stop", True),
+        "cut during a kill": ({}, 103.4, "kill", False),
+        "complete": ({"whole": True}, 103.4, "", False),
         "refused": ({"whole": True, "status": 503}, None, "", False),
         "another gateway": ({"gateway": "127.0.2.2"}, 103.4, "", False),
         "never sent": ({"written": False}, None, "", False),
         "at its deadline": ({"ended_at": 107.0}, 103.4, "", False),
         "crossed the close": ({"status": 0, "ended_at": 102.1}, None, "", False),
-        "ran as it was closed": ({"status": 0, "ended_at": 102.1}, 102.1, "", True),
+        "ran at the time of the close": (
+            {"status": 0, "ended_at": 102.1},
+            102.1,
+            "",
+            True,
+        ),
         "upstream late": ({"ended_at": 106.9}, 106.8, "", False),
         "upstream late, sent late": (
             {"began_at": 103.5, "sent_at": 103.5, "ended_at": 106.9},
@@ -47,18 +52,20 @@
         ),
     }
 
-    def test_only_answers_cut_by_the_stop_are_broken(self) -> None:
-        for name, (changes, upstream_end, fault, broken) in self.CASES.items():
+    def test_only_responses_cut_by_the_stop_are_violations(self) -> None:
+        for name, (changes, upstream_end, fault, is_violation) in self.CASES.items():
             with self.subTest(name):
                 journal = make_journal(changes, upstream_end, fault)
-                self.assertEqual(len(list(check_planned_stops(journal))), int(broken))
+                self.assertEqual(
+                    len(list(check_planned_stops(journal))), int(is_violation)
+                )
 
 
 def make_journal(
     changes: dict[str, Any], upstream_end: float | None, fault: str
 ) -> Journal:
-    """Return what was seen of the request, the stop and another fault."""
-    fields = {"gateway": GATEWAY, "began_at": 102.0, **CUT, **changes}
+    """Return a journal of the request, the stop and, if named, another fault."""
+    fields = {"gateway": GATEWAY, "began_at": 102.0, **CUT_REQUEST, **changes}
     request = CallerRequest(
         request_id="one", kind="order", path="/order/1", workspace="a", **fields
     )
--- a/tests/system/test_soak_proxies.py
+++ b/tests/system/test_soak_proxies.py
@@ -1,4 +1,4 @@
-"""What the soak's proxies pass on of connections that end."""
+"""How the soak test's proxies forward the end of a connection."""
 
 from __future__ import annotations
 
@@ -18,41 +18,41 @@
 
 
 HOST = "127.0.0.1"
-RESET = struct.pack("ii", 1, 0)
-"""Lingering of no time: a close resets the connection."""
+ZERO_LINGER = struct.pack("ii", 1, 0)
+"""SO_LINGER with a timeout of zero, so that a close resets the connection."""
 
 
 async def end_connection(*, reset: bool) -> bytes:
-    """End a connection through a proxy; return what its target reads after that."""
-    joined: asyncio.Queue[tuple[StreamReader, StreamWriter]] = asyncio.Queue()
+    """End a connection through a proxy; return what its target reads until the end."""
+    accepted: asyncio.Queue[tuple[StreamReader, StreamWriter]] = asyncio.Queue()
 
     async def serve(reader: StreamReader, writer: StreamWriter) -> None:
-        await joined.put((reader, writer))
+        await accepted.put((reader, writer))
 
     server = await asyncio.start_server(serve, HOST, 0)
     target = (HOST, int(server.sockets[0].getsockname()[1]))
     proxy = await open_proxy((HOST, 0), target)
     _, writer = await asyncio.open_connection(HOST, proxy.port)
     writer.write(b"x")
-    reader, far = await joined.get()
+    reader, target_writer = await accepted.get()
     await reader.readexactly(1)
     if reset:
-        own = writer.get_extra_info("socket")
-        own.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+        own_socket = writer.get_extra_info("socket")
+        own_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, ZERO_LINGER)
 
     writer.close()
-    rest = await reader.read()
-    far.close()
+    received = await reader.read()
+    target_writer.close()
     server.close()
     await close_proxy(proxy)
-    return rest
+    return received
 
 
 class ProxyTest(unittest.TestCase):
     """A proxy between a gateway and an upstream."""
 
-    def test_the_target_learns_of_the_end(self) -> None:
-        """Guards against upstreams that keep the connections of gateways that left."""
+    def test_the_end_of_a_connection_reaches_the_target(self) -> None:
+        """Guards against upstreams that keep connections of exited gateways."""
         for name, reset in (("closed", False), ("reset", True)):
             with self.subTest(name):
                 self.assertEqual(asyncio.run(end_connection(reset=reset)), b"")
--- a/tests/system/test_soak_records.py
+++ b/tests/system/test_soak_records.py
@@ -1,4 +1,4 @@
-"""What the soak notes of its own stalls and of processes that do not stop."""
+"""The soak test's records of its own stalls and of processes that do not stop."""
 
 from __future__ import annotations
 
@@ -20,27 +20,27 @@
 from bench.soak.records import watch_stalls
 
 
-STALLED = 2 * STALL_SECONDS
+STALLED_SECONDS = 2 * STALL_SECONDS
 
 
-def work() -> None:
-    """Use the processor for longer than a stall."""
-    until = time.thread_time() + STALLED
+def block_busy() -> None:
+    """Block the event loop with computation for longer than a stall."""
+    until = time.thread_time() + STALLED_SECONDS
     while time.thread_time() < until:
         pass
 
 
-def wait() -> None:
-    """Use no processor for longer than a stall."""
-    time.sleep(STALLED)
+def block_idle() -> None:
+    """Block the event loop without computation for longer than a stall."""
+    time.sleep(STALLED_SECONDS)
 
 
-async def stall(journal: Journal, action: object) -> None:
-    """Watch the loop while it does something that stops it."""
+async def block_loop(journal: Journal, function: object) -> None:
+    """Watch the event loop while a function blocks it."""
     watch = asyncio.create_task(watch_stalls(journal))
     await asyncio.sleep(0)
-    assert callable(action)
-    action()
+    assert callable(function)
+    function()
     while not journal.stalls:
         await asyncio.sleep(0)
 
@@ -50,19 +50,24 @@
 
 
 class StallTest(unittest.TestCase):
-    """A loop that does not run for a time."""
+    """Records of an event loop that does not run for a while."""
 
-    def test_its_own_work_is_told_from_waiting(self) -> None:
-        """Guards against faults of the soak that are taken for the product's."""
-        for name, action, busy in (("work", work, True), ("wait", wait, False)):
+    def test_computation_is_distinguished_from_waiting(self) -> None:
+        """Guards against stalls of the soak test that look like product faults."""
+        for name, function, uses_cpu in (
+            ("work", block_busy, True),
+            ("wait", block_idle, False),
+        ):
             with self.subTest(name):
                 journal = Journal()
-                asyncio.run(stall(journal, action))
+                asyncio.run(block_loop(journal, function))
                 first: Stall = journal.stalls[0]
-                self.assertGreaterEqual(first.ended_at - first.began_at, STALLED)
-                self.assertIs(first.cpu_seconds >= STALLED, busy)
+                self.assertGreaterEqual(
+                    first.ended_at - first.began_at, STALLED_SECONDS
+                )
+                self.assertIs(first.cpu_seconds >= STALLED_SECONDS, uses_cpu)
 
-    def test_stalls_within_a_time(self) -> None:
+    def test_stalls_are_clipped_to_the_time_span(self) -> None:
         journal = Journal()
         for began_at, ended_at in ((1.0, 2.0), (3.0, 3.5)):
             stall = Stall(
@@ -78,15 +83,15 @@
             with self.subTest(since=since, until=until):
                 self.assertAlmostEqual(sum_stalls(journal, since, until), expected)
 
-    def test_stolen_time(self) -> None:
+    def test_steal_time(self) -> None:
         text = "cpu  10 0 10 100 0 0 0 250 0 0\ncpu0 1 0 1 1 0 0 0 5 0 0\n"
         self.assertAlmostEqual(parse_steal_seconds(text), 2.5)
 
 
 class StateTest(unittest.TestCase):
-    """What is told of a process that does not stop."""
+    """The description of a process that does not stop."""
 
-    def test_a_process_that_runs_and_one_that_has_ended(self) -> None:
+    def test_running_and_ended_processes(self) -> None:
         [member, *_] = make_fleet(Path(), 1, 0).members
         self.assertEqual(describe_state(member), "not started")
         member.process = subprocess.Popen(
