--- a/src/waxwingwell/state/storage_load.py
+++ b/src/waxwingwell/state/storage_load.py
@@ -1,4 +1,4 @@
-"""Reading a group's storage at a start, and checking what is found."""
+"""Loading a group's storage at startup, with consistency checks."""
 
 from __future__ import annotations
 
@@ -23,15 +23,15 @@
 
 
 def load_all(database: sqlite3.Connection, path: Path) -> Loaded:
-    """Read a store and check it."""
+    """Load a store and check its contents."""
     try:
         return read_tables(database, path)
     except sqlite3.DatabaseError as error:
-        raise describe(error, path) from error
+        raise convert_error(error, path) from error
 
 
 def read_tables(database: sqlite3.Connection, path: Path) -> Loaded:
-    """Read all tables; raise ``CorruptStorageError`` where they don't fit together."""
+    """Read all tables; raise ``CorruptStorageError`` if they are inconsistent."""
     marker = database.execute("SELECT member FROM marker").fetchone()
     hard = database.execute("SELECT term, voted_for FROM hard_state").fetchone()
     base = database.execute("SELECT place, term FROM base").fetchone() or (0, 0)
@@ -49,27 +49,27 @@
 
 
 def read_snapshot(database: sqlite3.Connection, path: Path) -> Snapshot | None:
-    """Read the snapshot and check its checksum."""
+    """Read the snapshot and verify its checksum."""
     row = database.execute("SELECT * FROM snapshot").fetchone()
     if row is None:
         return None
 
-    _, place, parts, header, stored = row
+    _, index, parts, header, stored = row
     if zlib.crc32(header) != stored:
         raise CorruptStorageError(f"{path}: the snapshot's checksum is wrong")
 
     snapshot = msgspec.msgpack.decode(header, type=Snapshot)
-    data = read_pieces(database, place, parts, path)
+    data = read_pieces(database, index, parts, path)
     return msgspec.structs.replace(snapshot, data=data)
 
 
 def read_pieces(
-    database: sqlite3.Connection, place: int, parts: int, path: Path
+    database: sqlite3.Connection, index: int, parts: int, path: Path
 ) -> bytes:
-    """Read a snapshot's data and check that all of it is there."""
+    """Read a snapshot's data and check that it is complete and undamaged."""
     rows = database.execute(
         "SELECT data, checksum FROM piece WHERE place = ? AND part < ? ORDER BY part",
-        (place, parts),
+        (index, parts),
     ).fetchall()
     if len(rows) < parts:
         raise CorruptStorageError(f"{path}: a piece of the snapshot is missing")
@@ -83,18 +83,18 @@
 def read_entries(
     database: sqlite3.Connection, base: int, path: Path
 ) -> tuple[Entry, ...]:
-    """Read the log and check that it has no gap and no damage."""
+    """Read the log and check that it has no gaps or damaged entries."""
     entries = []
     rows = database.execute(
         "SELECT * FROM entry WHERE place > ? ORDER BY place", (base,)
     )
-    for expected, (place, term, kind, data, stored) in enumerate(rows, start=base + 1):
-        if place != expected:
+    for expected, (index, term, kind, data, stored) in enumerate(rows, start=base + 1):
+        if index != expected:
             raise CorruptStorageError(f"{path}: entry {expected} is missing")
 
         entry = Entry(term, EntryKind(kind), data)
-        if checksum(place, entry) != stored:
-            raise CorruptStorageError(f"{path}: the checksum of entry {place} is wrong")
+        if checksum(index, entry) != stored:
+            raise CorruptStorageError(f"{path}: the checksum of entry {index} is wrong")
 
         entries.append(entry)
 
@@ -111,16 +111,20 @@
     if loaded.snapshot and loaded.snapshot.index < loaded.base_index:
         raise CorruptStorageError(f"{path}: entries after the snapshot are missing")
 
-    held = loaded.base_index + len(loaded.entries)
-    if loaded.snapshot and held < loaded.snapshot.index:
+    last_index = loaded.base_index + len(loaded.entries)
+    if loaded.snapshot and last_index < loaded.snapshot.index:
         raise CorruptStorageError(f"{path}: entries before the snapshot are missing")
 
     if loaded.entries and loaded.entries[-1].term > loaded.hard_state.term:
-        raise CorruptStorageError(f"{path}: an entry is of a later term than any known")
+        raise CorruptStorageError(
+            f"{path}: a log entry has a later term than the hard state"
+        )
 
 
-def describe(error: sqlite3.Error, path: Path) -> StorageError | CorruptStorageError:
-    """Return our error for SQLite's: corrupt if the file is, else failed."""
+def convert_error(
+    error: sqlite3.Error, path: Path
+) -> StorageError | CorruptStorageError:
+    """Return the storage error for an SQLite error, by whether the file is corrupt."""
     if isinstance(error, sqlite3.OperationalError):
         return StorageError(f"{path}: {error}")
 
--- a/src/waxwingwell/state/versions.py
+++ b/src/waxwingwell/state/versions.py
@@ -1,4 +1,4 @@
-"""Changes of the catalogue: versions registered and withdrawn."""
+"""Changes of the catalogue: registration and withdrawal of versions."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from ..records import RolloutStatus
 from ..records import VersionStatus
 from .catalogue import WITHDRAWN_STATUSES
+from .catalogue import bump_revision
 from .catalogue import name_rollout
-from .catalogue import raise_revision
 
 
 if TYPE_CHECKING:
@@ -22,41 +22,41 @@
     from .catalogue import ConfigTable
 
 
-RUNNING_STATUSES = frozenset((RolloutStatus.RUNNING, RolloutStatus.PAUSED))
+ONGOING_STATUSES = frozenset((RolloutStatus.RUNNING, RolloutStatus.PAUSED))
 """Statuses of a roll-out that has not ended."""
 
 
 def check_registration(table: ConfigTable, change: RegisterVersion) -> list[Finding]:
-    """Return every reason against a version's entry in the catalogue."""
+    """Return all validation findings for the registration of a version."""
     spec = change.spec
     findings = _check_spec(spec)
-    before = table.versions.get(spec.version)
-    if before is None:
+    existing = table.versions.get(spec.version)
+    if existing is None:
         if spec.status in WITHDRAWN_STATUSES:
             text = f"a new version can't start as {spec.status.value}"
             findings.append(Finding("status", text))
 
         return findings
 
-    if before.status is not spec.status:
+    if existing.status is not spec.status:
         text = (
-            f"{spec.version} is {before.status.value}; only a roll-out or a "
+            f"{spec.version} is {existing.status.value}; only a roll-out or a "
             "withdrawal changes that"
         )
         findings.append(Finding("status", text))
 
-    if before.model != spec.model:
-        text = f"{spec.version} belongs to {before.model}"
+    if existing.model != spec.model:
+        text = f"{spec.version} belongs to {existing.model}"
         findings.append(Finding("model", text))
 
     return findings
 
 
 def _check_spec(spec: VersionSpec) -> list[Finding]:
-    """Return findings that need no other table."""
+    """Return findings that don't depend on the catalogue."""
     findings = []
-    model, mark, number = spec.version.partition("@")
-    if not (model and mark and number) or model != spec.model:
+    model, separator, number = spec.version.partition("@")
+    if not (model and separator and number) or model != spec.model:
         text = f"{spec.version!r} is not written {spec.model}@version"
         findings.append(Finding("version", text))
 
@@ -71,18 +71,18 @@
 
 
 def store_version(table: ConfigTable, change: RegisterVersion) -> None:
-    """Put a version into the catalogue, or correct its prices and prior."""
+    """Add a version to the catalogue, or update its prices and quality prior."""
     table.versions[change.spec.version] = change.spec
 
 
 def check_withdrawal(table: ConfigTable, change: WithdrawVersion) -> list[Finding]:
-    """Return every reason against a withdrawal."""
+    """Return all validation findings for a withdrawal."""
     spec = table.versions.get(change.version)
     if spec is None:
         return [Finding("version", f"{change.version} is not in the catalogue")]
 
-    done = spec.status is VersionStatus.WITHDRAWN
-    if done or (change.graceful and spec.status is VersionStatus.ENDING):
+    withdrawn = spec.status is VersionStatus.WITHDRAWN
+    if withdrawn or (change.graceful and spec.status is VersionStatus.ENDING):
         text = f"{change.version} is {spec.status.value} already"
         return [Finding("version", text)]
 
@@ -90,12 +90,12 @@
 
 
 def withdraw_version(table: ConfigTable, change: WithdrawVersion) -> None:
-    """Withdraw a version; a roll-out that it is the candidate of ends with it."""
+    """Withdraw a version and roll back the ongoing roll-out it is the candidate of."""
     status = VersionStatus.ENDING if change.graceful else VersionStatus.WITHDRAWN
     spec = table.versions[change.version]
-    # The revision of the version itself is raised by the caller.
+    # The caller bumps the revision of the version itself.
     table.versions[change.version] = replace(spec, status=status)
-    rollout = find_running(table, change.version)
+    rollout = find_ongoing_rollout(table, change.version)
     if rollout is None:
         return
 
@@ -105,21 +105,21 @@
         stage_at=change.at,
         reason=f"{change.version} was withdrawn by {change.operator}",
     )
-    raise_revision(table, name_rollout(rollout.model), change)
+    bump_revision(table, name_rollout(rollout.model), change)
 
 
-def find_running(table: ConfigTable, candidate: VersionId) -> Rollout | None:
-    """Return the roll-out of ``candidate`` that has not ended, if there is one."""
+def find_ongoing_rollout(table: ConfigTable, candidate: VersionId) -> Rollout | None:
+    """Return the ongoing roll-out of ``candidate``, or None."""
     spec = table.versions[candidate]
     rollout = table.rollouts.get(spec.model)
     if rollout is None or rollout.candidate != candidate:
         return None
 
-    return rollout if rollout.status in RUNNING_STATUSES else None
+    return rollout if rollout.status in ONGOING_STATUSES else None
 
 
 def describe_version(table: ConfigTable, version: VersionId) -> str:
-    """Return what the catalogue holds on a version."""
+    """Return a textual description of a version in the catalogue."""
     spec = table.versions.get(version)
     if spec is None:
         return "not in the catalogue"
--- a/tests/state/runs/test_configuration.py
+++ b/tests/state/runs/test_configuration.py
@@ -1,4 +1,4 @@
-"""Randomised run: operators race, resend and lose answers; replicas stay equal."""
+"""Randomised run: concurrent and resent changes of operators; equal replicas."""
 
 from __future__ import annotations
 
@@ -38,30 +38,30 @@
 
 
 VERSIONS = st.sampled_from((OLD, NEW, VersionId("heron@3")))
-BEHIND = st.sampled_from((0, 0, 0, 1, 2))
-"""How many revisions an operator's reading is behind."""
+LAGS = st.sampled_from((0, 0, 0, 1, 2))
+"""Number of revisions by which an operator's view is outdated."""
 FINAL = (RolloutStatus.COMPLETED, RolloutStatus.ROLLED_BACK)
-MOVES = st.sampled_from((RolloutStatus.RUNNING, *RolloutStatus))
+TARGET_STATUSES = st.sampled_from((RolloutStatus.RUNNING, *RolloutStatus))
 SHORT = RolloutPace(stages=(0.5, 1.0))
-"""Few stages, so that runs get to the end of a roll-out."""
+"""Few stages, so that runs reach the end of a roll-out."""
 
 
 class ConfigurationRun(Run):
-    """Any order of changes, each on a revision that may be old, and of resends."""
+    """Changes based on possibly outdated revisions, and resends, in any order."""
 
     @initialize()
-    def begin(self) -> None:
+    def initialise(self) -> None:
         self.state = make_state()
         self.replica = make_state()
         self.base = self.state.config.config_version
         self.sent: list[tuple[Command, Outcome]] = []
         self.pinned: dict[str, VersionId] = {}
-        self.taken: dict[tuple[str, int], str] = {}
+        self.accepted: dict[tuple[str, int], str] = {}
         self.statuses: dict[VersionId, VersionStatus] = {}
         self.ended: dict[str, tuple[VersionId, RolloutStatus]] = {}
 
-    def read_revision(self, subject: str, behind: int) -> int:
-        return max(0, self.state.config.revisions.get(subject, 0) - behind)
+    def read_revision(self, subject: str, lag: int) -> int:
+        return max(0, self.state.config.revisions.get(subject, 0) - lag)
 
     def send(self, command: Command) -> None:
         before = self.state.config.config_version
@@ -71,10 +71,12 @@
         after = self.state.config.config_version
         assert after == before + isinstance(outcome, Accepted)
         if isinstance(command, Change) and isinstance(outcome, Accepted):
-            place = (outcome.subject, outcome.revision)
+            subject_revision = (outcome.subject, outcome.revision)
             assert outcome.revision == command.expected_revision + 1, outcome
-            assert place not in self.taken, f"two ancestors of {place}"
-            self.taken[place] = command.change_id
+            assert subject_revision not in self.accepted, (
+                f"two predecessors of {subject_revision}"
+            )
+            self.accepted[subject_revision] = command.change_id
 
         if isinstance(outcome, Conflict):
             assert outcome.current
@@ -84,35 +86,33 @@
     def name_change(self) -> str:
         return f"change {len(self.sent)}"
 
-    @rule(allowed=st.lists(VERSIONS, unique=True), behind=BEHIND)
-    def revise_answers(self, allowed: list[VersionId], behind: int) -> None:
-        expected = self.read_revision("workspace:demo", behind)
+    @rule(allowed=st.lists(VERSIONS, unique=True), lag=LAGS)
+    def revise_answers(self, allowed: list[VersionId], lag: int) -> None:
+        expected = self.read_revision("workspace:demo", lag)
         self.send(answers(self.name_change(), expected, *allowed))
 
-    @rule(version=VERSIONS, behind=BEHIND, status=st.sampled_from(VersionStatus))
+    @rule(version=VERSIONS, lag=LAGS, status=st.sampled_from(VersionStatus))
     def register_version(
-        self, version: VersionId, behind: int, status: VersionStatus
+        self, version: VersionId, lag: int, status: VersionStatus
     ) -> None:
-        expected = self.read_revision(f"version:{version}", behind)
+        expected = self.read_revision(f"version:{version}", lag)
         name = self.name_change()
         self.send(register(version, change_id=name, expected=expected, status=status))
 
-    @rule(version=VERSIONS, behind=BEHIND, graceful=st.booleans())
-    def withdraw_version(self, version: VersionId, behind: int, graceful: bool) -> None:
-        expected = self.read_revision(f"version:{version}", behind)
+    @rule(version=VERSIONS, lag=LAGS, graceful=st.booleans())
+    def withdraw_version(self, version: VersionId, lag: int, graceful: bool) -> None:
+        expected = self.read_revision(f"version:{version}", lag)
         self.send(withdraw(self.name_change(), expected, version, graceful=graceful))
 
-    @rule(behind=BEHIND)
-    def start_rollout(self, behind: int) -> None:
-        self.send(
-            start(self.name_change(), self.read_revision("rollout:heron", behind))
-        )
+    @rule(lag=LAGS)
+    def start_rollout(self, lag: int) -> None:
+        self.send(start(self.name_change(), self.read_revision("rollout:heron", lag)))
 
-    @rule(behind=BEHIND, on=st.integers(-1, 1), status=MOVES)
-    def step_rollout(self, behind: int, on: int, status: RolloutStatus) -> None:
+    @rule(lag=LAGS, offset=st.integers(-1, 1), status=TARGET_STATUSES)
+    def step_rollout(self, lag: int, offset: int, status: RolloutStatus) -> None:
         rollout = self.state.config.rollouts.get("heron")
-        stage = rollout.stage + on if rollout is not None else 0
-        expected = self.read_revision("rollout:heron", behind)
+        stage = rollout.stage + offset if rollout is not None else 0
+        expected = self.read_revision("rollout:heron", lag)
         self.send(step(self.name_change(), expected, stage, status.value))
 
     @rule(version=VERSIONS, session=st.sampled_from("abc"))
@@ -124,10 +124,12 @@
 
         if session not in self.pinned:
             status = self.state.config.versions[version].status
-            assert status not in WITHDRAWN_STATUSES, "started on a withdrawn version"
+            assert status not in WITHDRAWN_STATUSES, (
+                "the session started on a withdrawn version"
+            )
 
         first = self.pinned.setdefault(session, outcome.version)
-        assert outcome.version == first, f"{session} was moved"
+        assert outcome.version == first, f"{session} changed its version"
 
     @precondition(lambda self: self.sent)
     @rule(data=st.data())
@@ -155,10 +157,10 @@
         for version, spec in self.get_state().config.versions.items():
             before = self.statuses.get(version)
             if before in WITHDRAWN_STATUSES:
-                assert spec.status in WITHDRAWN_STATUSES, f"{version} came back"
+                assert spec.status in WITHDRAWN_STATUSES, f"{version} is active again"
 
             if before is VersionStatus.WITHDRAWN:
-                assert spec.status is before, f"{version} came back"
+                assert spec.status is before, f"{version} is no longer withdrawn"
 
             self.statuses[version] = spec.status
 
@@ -174,7 +176,9 @@
 
         status = self.get_state().config.versions[rollout.candidate].status
         if status in WITHDRAWN_STATUSES:
-            assert rollout.status in FINAL, "a withdrawn candidate is rolled out"
+            assert rollout.status in FINAL, (
+                "the candidate of an ongoing roll-out is withdrawn"
+            )
 
         if rollout.status in FINAL:
             self.ended["heron"] = (rollout.candidate, rollout.status)
@@ -187,9 +191,9 @@
 
 class ConfigurationRunTest(RunTestCase):
     def test_run(self) -> None:
-        """An operator's change is lost, applied twice, or undoes a withdrawal.
+        """No change may be lost, be applied twice or undo a withdrawal.
 
-        Order: any. Cause: operators read equal revisions, resend after lost answers,
-        and the roll-out steps by itself at the same time.
+        Operators base changes on the same revision and resend them after lost responses
+        while the roll-out advances automatically, in any order.
         """
         self.run_machine(ConfigurationRun)
--- a/tests/state/test_pins.py
+++ b/tests/state/test_pins.py
@@ -22,11 +22,11 @@
 
 
 class PinsTest(StateTestCase):
-    def test_pin_against_withdrawal(self) -> None:
-        """A fitting session starts on a version that was withdrawn a moment ago.
+    def test_pin_after_withdrawal(self) -> None:
+        """A new session must not start on a version that was just withdrawn.
 
-        Order: the entry chooses by its configuration, the withdrawal is committed,
-        the pin comes after it in the log. Cause: a pin that looks at no configuration.
+        An entry chooses the version by an outdated configuration, so that the pin comes
+        after the withdrawal in the log and must be checked against the configuration.
         """
         for graceful in (True, False):
             with self.subTest(graceful=graceful):
@@ -46,7 +46,7 @@
         places = [finding.place for finding in outcome.findings]
         self.assertEqual(places, ["session", "version", "version"])
 
-    def test_full_table_refuses_new_sessions_only(self) -> None:
+    def test_table_at_capacity_rejects_new_sessions_only(self) -> None:
         state = make_state()
         with mock.patch.object(pins, "MAX_PINS", 1):
             apply_command(state, pin("a", OLD))
@@ -58,12 +58,12 @@
         with mock.patch.object(pins, "MAX_CLOCK_STEP", 1e9):
             apply_command(state, pin("old", OLD, at=1.0))
             apply_command(state, pin("used", OLD, at=2.0))
-            apply_command(state, pin("used", OLD, at=pins.PIN_KEPT))
-            apply_command(state, pin("new", OLD, at=pins.PIN_KEPT + 1.0))
+            apply_command(state, pin("used", OLD, at=pins.PIN_RETENTION))
+            apply_command(state, pin("new", OLD, at=pins.PIN_RETENTION + 1.0))
 
         sessions = [session for _, session in state.pins.pins]
         self.assertEqual(sessions, ["used", "new"])
-        self.assertEqual(state.pins.pins[(DEMO, "used")].used_at, pins.PIN_KEPT)
+        self.assertEqual(state.pins.pins[(DEMO, "used")].used_at, pins.PIN_RETENTION)
 
     def test_check_at_dispatch(self) -> None:
         self.assertTrue(check_pinned(OLD, OLD, "s"))
