--- a/src/waxwingwell/state/group_flush.py
+++ b/src/waxwingwell/state/group_flush.py
@@ -1,4 +1,4 @@
-"""The turn of a group: one durable write, then messages, then the machine."""
+"""Flush of a group: one durable write, then messages, then applied entries."""
 
 from __future__ import annotations
 
@@ -32,12 +32,12 @@
     from .group_records import Group
 
 
-ENTRY_BYTES = 64
-"""About what an entry takes beside its command."""
+ENTRY_OVERHEAD_BYTES = 64
+"""Approximate bytes of a log entry in addition to its command."""
 
 
 def flush_group(group: Group, now: float) -> None:
-    """Make all since the last flush durable in one write, then send and apply."""
+    """Make all changes since the last flush durable, then send and apply."""
     if group.halted:
         return
 
@@ -48,7 +48,7 @@
     if not write_changes(group):
         return
 
-    with_invariants(group, lambda: take_effect(group, now))
+    run_checked(group, lambda: send_and_apply(group, now))
 
 
 def needs_flush(group: Group) -> bool:
@@ -65,7 +65,7 @@
 
 
 def write_changes(group: Group) -> bool:
-    """Write what changed; on failure halt and return False."""
+    """Write the changes to the store; on failure halt the group and return False."""
     replica = group.replica
     batch = collect_batch(group)
     if batch is None:
@@ -86,7 +86,7 @@
 
 
 def collect_batch(group: Group) -> Batch | None:
-    """Return what the store lacks, or None."""
+    """Return the changes that are not stored yet, or None if there are none."""
     replica = group.replica
     log = replica.log
     piece = next_piece(group)
@@ -115,11 +115,11 @@
 
 
 def halt(group: Group, reason: str) -> None:
-    """Stop for good: what is in memory may differ from what is on the disk.
+    """Stop permanently, because the state in memory may differ from the disk.
 
-    Failure: the disk is full or a sync failed. After that no answer may rest on
-    what is in memory, so nothing queued leaves, leadership is given up and the
-    process must be started anew, which reads what is truly on the disk.
+    After a failed write or sync, for example on a full disk, no response may rely on
+    the state in memory. Queued messages are discarded, the member gives up leadership,
+    and the process must be restarted to load what is actually on the disk.
     """
     replica = group.replica
     group.halted = reason
@@ -128,22 +128,22 @@
     replica.leader = ""
     replica.progress.clear()
     logger.error("consensus: group {} stopped: {}", replica.group, reason)
-    settle_lost(group)
+    fail_lost_proposals(group)
 
 
-def with_invariants(group: Group, step: Callable[[], None]) -> None:
-    """Run a step; if it breaks an invariant, stop promising anything for good."""
+def run_checked(group: Group, step: Callable[[], None]) -> None:
+    """Run a step, and halt the group if it violates an invariant."""
     try:
         step()
     except InvariantError as error:
         halt(group, str(error))
         raise
 
-    settle_lost(group)
+    fail_lost_proposals(group)
 
 
-def settle_lost(group: Group) -> None:
-    """Tell proposers whose commit we can't watch any more."""
+def fail_lost_proposals(group: Group) -> None:
+    """Report ``ProposalLost`` for proposals whose commit can't be observed any more."""
     replica = group.replica
     if not group.pending:
         return
@@ -157,8 +157,8 @@
         group.pending.pop(index).done(ProposalLost())
 
 
-def take_effect(group: Group, now: float) -> None:
-    """Send and apply what is durable now."""
+def send_and_apply(group: Group, now: float) -> None:
+    """Send the messages and apply the entries that are now durable."""
     replica = group.replica
     advance_commit(replica)
     outbox, replica.outbox = replica.outbox, []
@@ -169,11 +169,11 @@
     apply_committed(group)
     leave_if_removed(replica, now)
     compact_if_due(group)
-    report_expelled(group)
+    log_expulsion(group)
 
 
 def apply_committed(group: Group) -> None:
-    """Apply what is committed and held durably, in order and without a gap."""
+    """Apply the committed, locally durable entries in order and without gaps."""
     replica = group.replica
     while replica.applied < min(replica.commit, replica.durable):
         index = replica.applied + 1
@@ -186,30 +186,30 @@
 
 
 def apply_entry(group: Group, index: int) -> None:
-    """Apply one entry and tell its proposer."""
+    """Apply one entry and report the outcome to its proposer."""
     replica = group.replica
     entry = entry_at(replica.log, index)
     result = b""
     if entry.kind is EntryKind.COMMAND:
         result = group.machine.apply(index, entry.data)
 
-    group.bytes_since_snapshot += len(entry.data) + ENTRY_BYTES
+    group.bytes_since_snapshot += len(entry.data) + ENTRY_OVERHEAD_BYTES
     replica.applied = index
     pending = group.pending.pop(index, None)
     if pending is None:
         return
 
-    same = pending.term == entry.term
-    pending.done(Committed(index, result) if same else ProposalLost())
+    same_term = pending.term == entry.term
+    pending.done(Committed(index, result) if same_term else ProposalLost())
 
 
-def report_expelled(group: Group) -> None:
-    """Log once that this member is out of the group."""
+def log_expulsion(group: Group) -> None:
+    """Log once that this member was removed from the group."""
     replica = group.replica
-    if not replica.expelled or group.told_expelled:
+    if not replica.expelled or group.expulsion_logged:
         return
 
-    group.told_expelled = True
+    group.expulsion_logged = True
     logger.error(
         "consensus: {} was removed from group {}; empty its data folder to rejoin",
         replica.member,
--- a/src/waxwingwell/state/pins.py
+++ b/src/waxwingwell/state/pins.py
@@ -1,9 +1,9 @@
-"""Session pins: the first version a session was given stays.
+"""Session pins: a session keeps the first version it was assigned.
 
-A pin is kept for ``PIN_KEPT`` seconds after the session was last pinned, by the
-largest time that commands carried. An entry that caches pins asks again at least
-once a day, which renews them. Beyond ``MAX_PINS`` new sessions are refused: dropping
-a live session's pin would move it to another version.
+A pin is kept for ``PIN_RETENTION`` seconds after the session was last pinned, by the
+latest time stamp of any command. An entry that caches pins requests them again at least
+once a day, which renews them. Beyond ``MAX_PINS`` new sessions are rejected, because
+dropping the pin of a live session would move it to another version.
 """
 
 from __future__ import annotations
@@ -29,24 +29,24 @@
     from .catalogue import ConfigTable
 
 
-PIN_KEPT = 7 * 86_400.0
-"""Seconds for which a pin is kept after its last use here."""
+PIN_RETENTION = 7 * 86_400.0
+"""Seconds for which a pin is kept after it was last requested."""
 
 MAX_PINS = 500_000
-"""Pins held; see docs/CAPACITY.md for the memory they take."""
+"""Maximum pins; see docs/CAPACITY.md for their memory use."""
 
-DROPPED_AT_ONCE = 8
-"""Pins past their retention that one command drops."""
+MAX_DROPS_PER_COMMAND = 8
+"""Maximum expired pins that one command drops."""
 
 MAX_CLOCK_STEP = 60.0
-"""Most seconds by which one command moves the clock; guards against a wrong one."""
+"""Maximum seconds by which one command advances the clock; limits a wrong clock."""
 
 PinKey = tuple[WorkspaceId, str]
 
 
 @dataclass(frozen=True, slots=True)
 class Pin:
-    """The version of a session, and when it was last asked for."""
+    """The version of a session, and when the pin was last requested."""
 
     version: VersionId
     used_at: float
@@ -54,10 +54,10 @@
 
 @dataclass(slots=True)
 class PinTable:
-    """Pins by (workspace, session), the one unused for longest first.
+    """Pins by (workspace, session), least recently used first.
 
-    A plain dict finds its first item by going over all places freed before it, which
-    takes long when sessions come back in the order of their age.
+    An ``OrderedDict``, because finding the first item of a plain dict scans all items
+    deleted before it, which is slow when sessions are renewed in order of their age.
     """
 
     pins: OrderedDict[PinKey, Pin] = field(default_factory=OrderedDict)
@@ -67,33 +67,33 @@
 def pin_session(
     table: PinTable, config: ConfigTable, command: PinSession
 ) -> Pinned | Rejected:
-    """Return the session's pin, which is the given version if it had none.
+    """Return the session's pin; create one for the given version if there is none.
 
-    Failure guarded against: two entries pin one session at the same time, or one
-    pins it by a configuration that was just replaced. It would show as a session that
-    changes its version, or starts on a withdrawn one. The first pin in the log wins,
-    and a first pin is checked against the configuration at its place in the log.
+    Two entries may pin a session at the same time, or an entry may use a configuration
+    that was just replaced. The session would then change its version, or start on a
+    withdrawn one. Therefore the first pin in the log wins, and it is checked against
+    the configuration at its position in the log.
     """
     _advance_clock(table, command.at)
-    place = (command.workspace, command.session)
-    present = table.pins.get(place)
-    if present is not None:
-        table.pins[place] = replace(present, used_at=table.clock)
-        table.pins.move_to_end(place)
-        return Pinned(version=present.version)
+    pin_key = (command.workspace, command.session)
+    existing = table.pins.get(pin_key)
+    if existing is not None:
+        table.pins[pin_key] = replace(existing, used_at=table.clock)
+        table.pins.move_to_end(pin_key)
+        return Pinned(version=existing.version)
 
     findings = _check_pin(table, config, command)
     if findings:
         return Rejected(findings=tuple(findings))
 
-    table.pins[place] = Pin(command.version, table.clock)
+    table.pins[pin_key] = Pin(command.version, table.clock)
     return Pinned(version=command.version)
 
 
 def _check_pin(
     table: PinTable, config: ConfigTable, command: PinSession
 ) -> list[Finding]:
-    """Return every reason against a first pin."""
+    """Return all validation findings for a first pin."""
     findings = []
     if not command.session:
         findings.append(Finding("session", "a session needs a name"))
@@ -108,8 +108,8 @@
 
     spec = config.versions.get(command.version)
     if spec is None or spec.status in WITHDRAWN_STATUSES:
-        standing = "not in the catalogue" if spec is None else spec.status.value
-        text = f"{command.version} is {standing}; no session starts on it"
+        status_text = "not in the catalogue" if spec is None else spec.status.value
+        text = f"{command.version} is {status_text}; no session starts on it"
         findings.append(Finding("version", text))
 
     if len(table.pins) >= MAX_PINS:
@@ -119,21 +119,21 @@
 
 
 def _advance_clock(table: PinTable, at: float) -> None:
-    """Move the clock on and drop a few pins past their retention."""
+    """Advance the clock and drop a few expired pins."""
     if at > table.clock:
         first = table.clock == 0.0
         table.clock = at if first else min(at, table.clock + MAX_CLOCK_STEP)
 
-    for _ in range(DROPPED_AT_ONCE):
-        place = next(iter(table.pins), None)
-        if place is None or table.pins[place].used_at + PIN_KEPT > table.clock:
+    for _ in range(MAX_DROPS_PER_COMMAND):
+        pin_key = next(iter(table.pins), None)
+        if pin_key is None or table.pins[pin_key].used_at + PIN_RETENTION > table.clock:
             return
 
-        del table.pins[place]
+        del table.pins[pin_key]
 
 
 def check_pinned(pinned: VersionId, used: VersionId, session: str) -> bool:
-    """Check at dispatch that a pinned session runs on its own version."""
+    """Check at dispatch that a pinned session runs on its pinned version."""
     return check(
         Promise.SESSION_KEEPS_VERSION,
         not pinned or pinned == used,
--- a/src/waxwingwell/state/rollouts.py
+++ b/src/waxwingwell/state/rollouts.py
@@ -1,12 +1,12 @@
-"""Changes of a roll-out: it goes on or back, never sideways, and ends once.
+"""Changes of a roll-out: it advances by one stage or goes back, and ends once.
 
-Moves that are allowed, by present status:
+Allowed transitions by current status:
 
 ========  ==================================================================
 running   running at the next stage, running at a lower stage, paused at the same
           stage, completed at the last stage, rolled back
 paused    running at the same or a lower stage, rolled back
-ended     none; another roll-out of the model may be started
+ended     none; another roll-out of the model can be started
 ========  ==================================================================
 """
 
@@ -24,7 +24,7 @@
 from ..records import VersionStatus
 from .catalogue import WITHDRAWN_STATUSES
 from .catalogue import set_status
-from .versions import RUNNING_STATUSES
+from .versions import ONGOING_STATUSES
 
 
 if TYPE_CHECKING:
@@ -36,30 +36,30 @@
 
 
 def check_start(table: ConfigTable, change: StartRollout) -> list[Finding]:
-    """Return every reason against beginning a roll-out."""
+    """Return all validation findings for starting a roll-out."""
     findings = _check_pace(change.pace)
     if change.candidate == change.incumbent:
         findings.append(Finding("candidate", "candidate and incumbent are the same"))
 
-    findings += _check_member(table, change, "candidate", change.candidate)
-    findings += _check_member(table, change, "incumbent", change.incumbent)
+    findings += _check_version(table, change, "candidate", change.candidate)
+    findings += _check_version(table, change, "incumbent", change.incumbent)
     incumbent = table.versions.get(change.incumbent)
     if incumbent is not None and incumbent.status is VersionStatus.CANDIDATE:
         text = f"{change.incumbent} is itself a candidate"
         findings.append(Finding("incumbent", text))
 
-    present = table.rollouts.get(change.model)
-    if present is not None and present.status in RUNNING_STATUSES:
-        text = f"a roll-out of {present.candidate} is {present.status.value}"
+    existing = table.rollouts.get(change.model)
+    if existing is not None and existing.status in ONGOING_STATUSES:
+        text = f"a roll-out of {existing.candidate} is {existing.status.value}"
         findings.append(Finding("model", text))
 
     return findings
 
 
-def _check_member(
+def _check_version(
     table: ConfigTable, change: StartRollout, place: str, version: VersionId
 ) -> list[Finding]:
-    """Return findings on one of the two versions of a roll-out."""
+    """Return findings for one of the two versions of a roll-out."""
     spec = table.versions.get(version)
     if spec is None:
         return [Finding(place, f"{version} is not in the catalogue")]
@@ -76,7 +76,7 @@
 
 
 def _check_pace(pace: RolloutPace) -> list[Finding]:
-    """Return findings on the stages: shares that rise and end with 1."""
+    """Return findings for the stages, which must be increasing shares up to 1."""
     stages = pace.stages
     if not stages or stages[-1] != 1:
         return [Finding("pace.stages", "the last stage must be 1")]
@@ -91,7 +91,7 @@
 def start_rollout(
     table: ConfigTable, change: StartRollout, evidence: tuple[Evidence, ...]
 ) -> None:
-    """Put the roll-out in place and mark its candidate as one."""
+    """Store the roll-out and set the candidate's status."""
     rollout = Rollout(
         model=change.model,
         candidate=change.candidate,
@@ -106,7 +106,7 @@
 
 
 def check_step(table: ConfigTable, change: StepRollout) -> list[Finding]:
-    """Return every reason against moving a roll-out."""
+    """Return all validation findings for a step of a roll-out."""
     rollout = table.rollouts.get(change.model)
     if rollout is None:
         return [Finding("model", f"no roll-out of {change.model}")]
@@ -114,15 +114,15 @@
     if change.status not in {status.value for status in RolloutStatus}:
         return [Finding("status", f"{change.status!r} is no status of a roll-out")]
 
-    if rollout.status not in RUNNING_STATUSES:
+    if rollout.status not in ONGOING_STATUSES:
         text = f"the roll-out is {rollout.status.value}, which is final"
         return [Finding("status", text)]
 
-    return _check_move(rollout, change)
+    return _check_transition(rollout, change)
 
 
-def _check_move(rollout: Rollout, change: StepRollout) -> list[Finding]:
-    """Return findings on the move itself; see the table of this module."""
+def _check_transition(rollout: Rollout, change: StepRollout) -> list[Finding]:
+    """Return findings for the transition; see the table in the module docstring."""
     status = RolloutStatus(change.status)
     last = len(rollout.pace.stages) - 1
     if not 0 <= change.stage <= last:
@@ -143,7 +143,7 @@
 def _check_completion(
     rollout: Rollout, change: StepRollout, last: int
 ) -> list[Finding]:
-    """Let a roll-out be completed from its last stage only, while it runs."""
+    """Return findings for a completion: only a running last stage can complete."""
     if rollout.status is RolloutStatus.PAUSED:
         return [Finding("status", "a paused roll-out must be resumed first")]
 
@@ -155,7 +155,7 @@
 
 
 def _check_pause(rollout: Rollout, change: StepRollout) -> list[Finding]:
-    """Let a pause keep the stage."""
+    """Return findings for a pause, which must keep the stage."""
     if rollout.status is RolloutStatus.PAUSED:
         return [Finding("status", "the roll-out is paused already")]
 
@@ -166,40 +166,42 @@
 
 
 def _check_running(rollout: Rollout, change: StepRollout) -> list[Finding]:
-    """Let a running roll-out go one stage on or any back, a resumed one stay."""
+    """Return findings for running: one stage on, any back, or resumed at the same."""
     if change.stage < rollout.stage:
         return []
 
     resumed = rollout.status is RolloutStatus.PAUSED
-    wanted = rollout.stage if resumed else rollout.stage + 1
-    if change.stage == wanted:
+    expected_stage = rollout.stage if resumed else rollout.stage + 1
+    if change.stage == expected_stage:
         return []
 
-    text = f"stage {rollout.stage} is followed by {wanted}, not by {change.stage}"
+    text = (
+        f"stage {rollout.stage} is followed by {expected_stage}, not by {change.stage}"
+    )
     return [Finding("stage", text)]
 
 
 def step_rollout(
     table: ConfigTable, change: StepRollout, evidence: tuple[Evidence, ...]
 ) -> None:
-    """Carry out a move that ``check_step`` allows.
+    """Apply a step that passed ``check_step``.
 
-    Another stage begins with the evidence as it stands; a pause or its end begins
-    none, so that it hides no rating from the judgement of the stage.
+    A new stage starts with the current evidence as its baseline. Pausing and resuming
+    keep the baseline, so that no rating is excluded from the evaluation of the stage.
     """
     rollout = table.rollouts[change.model]
     status = RolloutStatus(change.status)
-    back = status is RolloutStatus.ROLLED_BACK
-    moved = not back and change.stage != rollout.stage
+    rolled_back = status is RolloutStatus.ROLLED_BACK
+    stage_changed = not rolled_back and change.stage != rollout.stage
     table.rollouts[change.model] = replace(
         rollout,
-        stage=rollout.stage if back else change.stage,
+        stage=rollout.stage if rolled_back else change.stage,
         status=status,
-        stage_at=change.at if moved else rollout.stage_at,
+        stage_at=change.at if stage_changed else rollout.stage_at,
         reason=change.reason,
-        base=take_base(rollout, evidence) if moved else rollout.base,
+        base=take_base(rollout, evidence) if stage_changed else rollout.base,
     )
-    if back:
+    if rolled_back:
         set_status(table, rollout.candidate, VersionStatus.WITHDRAWN, change)
         return
 
@@ -207,13 +209,13 @@
         return
 
     set_status(table, rollout.candidate, VersionStatus.ACTIVE, change)
-    # An incumbent that was withdrawn meanwhile must not come back as ENDING.
+    # An incumbent that was withdrawn in the meantime must not be set back to ENDING.
     if table.versions[rollout.incumbent].status not in WITHDRAWN_STATUSES:
         set_status(table, rollout.incumbent, VersionStatus.ENDING, change)
 
 
 def describe_rollout(table: ConfigTable, model: str) -> str:
-    """Return where a model's roll-out stands."""
+    """Return a textual description of a model's roll-out."""
     rollout = table.rollouts.get(model)
     if rollout is None:
         return "no roll-out"
--- a/src/waxwingwell/state/routing.py
+++ b/src/waxwingwell/state/routing.py
@@ -1,7 +1,7 @@
-"""The replicated state of a routing group: the document in force, and roll-outs.
+"""The replicated state of a routing group: the current document and roll-outs.
 
-Deterministic, without clock or I/O: each replica that applies the same commands
-reaches an equal state.
+It is deterministic and uses no clock or I/O, so that replicas that apply the same
+commands reach equal states.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 from ..routing.records import Document
 
 
-RESEND_SECONDS = 6.0
-"""An order for the same target within this time is a resend: operators repeat an order
-whose answer was lost for a few seconds only."""
+RESEND_WINDOW = 6.0
+"""Seconds in which an order for the same target counts as a resend; operators resend an
+order whose response was lost for a few seconds only."""
 
-_COMMANDS = msgspec.msgpack.Decoder(RoutingCommand)
+_COMMAND_DECODER = msgspec.msgpack.Decoder(RoutingCommand)
 
 
 class SavedRouting(msgspec.Struct, frozen=True):
-    """The state as a snapshot holds it."""
+    """The state as stored in a snapshot."""
 
     document: Document | None
     source: bytes
@@ -37,16 +37,16 @@
 
 @dataclass(slots=True)
 class RoutingState:
-    """What all members of a routing group agree on."""
+    """State shared by all members of a routing group."""
 
     document: Document | None = None
     source: bytes = b""
     rollouts: dict[str, RolloutState] = field(default_factory=dict)
-    """By service; the latest one of each."""
+    """Latest roll-out by service."""
 
 
 def version_of(state: RoutingState) -> int:
-    """Return the version in force, -1 if nothing was published yet."""
+    """Return the current document version, or -1 if none was published yet."""
     return -1 if state.document is None else state.document.version
 
 
@@ -56,35 +56,35 @@
         case Publish():
             publish(state, command)
         case BeginRollout():
-            begin_rollout(state, command)
+            start_rollout(state, command)
         case GrowRollout():
-            grow_rollout(state, command)
+            raise_share(state, command)
         case EndRollout():
-            end_rollout(state, command)
+            finish_rollout(state, command)
 
 
 def publish(state: RoutingState, command: Publish) -> None:
-    """Take a document if its version is higher than the one held.
+    """Store a document if its version is higher than the current one.
 
-    Failure: an older change that was held up arrives again, or other content comes
-    under the version held; neither may be obeyed, though both are acknowledged.
+    A delayed older change, or different content with the current version number, is
+    acknowledged but must not take effect.
     """
     if command.document.version > version_of(state):
         state.document = command.document
         state.source = command.source
 
 
-def begin_rollout(state: RoutingState, command: BeginRollout) -> None:
-    """Begin a move unless this is a resend of the latest order for the service."""
-    held = state.rollouts.get(command.service)
-    if held is not None and held.target == command.target:
-        recent = abs(command.ordered_at - held.ordered_at) < RESEND_SECONDS
-        if recent or held.state != "reverted":
+def start_rollout(state: RoutingState, command: BeginRollout) -> None:
+    """Start a roll-out, unless this resends the latest order for the service."""
+    current = state.rollouts.get(command.service)
+    if current is not None and current.target == command.target:
+        recent = abs(command.ordered_at - current.ordered_at) < RESEND_WINDOW
+        if recent or current.state != "reverted":
             return
 
-    former = held.former if held is not None else ""
-    if held is not None and held.state == "completed":
-        former = held.target
+    former = current.former if current is not None else ""
+    if current is not None and current.state == "completed":
+        former = current.target
 
     state.rollouts[command.service] = RolloutState(
         service=command.service,
@@ -97,52 +97,55 @@
     )
 
 
-def find_rollout(
+def find_ongoing_rollout(
     state: RoutingState, command: GrowRollout | EndRollout
 ) -> RolloutState | None:
-    """Return the move under way that a command means."""
-    held = state.rollouts.get(command.service)
-    if held is None or held.state != "in_progress":
+    """Return the ongoing roll-out that a command refers to, or None."""
+    current = state.rollouts.get(command.service)
+    if current is None or current.state != "in_progress":
         return None
 
-    same = (held.target, held.ordered_at) == (command.target, command.ordered_at)
-    return held if same else None
+    matches = (current.target, current.ordered_at) == (
+        command.target,
+        command.ordered_at,
+    )
+    return current if matches else None
 
 
-def grow_rollout(state: RoutingState, command: GrowRollout) -> None:
-    """Raise a move's share; it never falls."""
-    held = find_rollout(state, command)
-    if held is not None and command.share > held.share:
-        grown = msgspec.structs.replace(held, share=command.share)
-        state.rollouts[command.service] = grown
+def raise_share(state: RoutingState, command: GrowRollout) -> None:
+    """Raise the share of a roll-out; it never decreases."""
+    current = find_ongoing_rollout(state, command)
+    if current is not None and command.share > current.share:
+        updated = msgspec.structs.replace(current, share=command.share)
+        state.rollouts[command.service] = updated
 
 
-def end_rollout(state: RoutingState, command: EndRollout) -> None:
-    """Finish a move for good."""
-    held = find_rollout(state, command)
-    if held is None:
+def finish_rollout(state: RoutingState, command: EndRollout) -> None:
+    """Complete or revert a roll-out, which is final."""
+    current = find_ongoing_rollout(state, command)
+    if current is None:
         return
 
     outcome = "completed" if command.completed else "reverted"
     share = 1.0 if command.completed else 0.0
-    ended = msgspec.structs.replace(held, state=outcome, share=share)
+    ended = msgspec.structs.replace(current, state=outcome, share=share)
     state.rollouts[command.service] = ended
 
 
 def decode_command(data: bytes) -> RoutingCommand:
-    """Return a command from the log."""
-    return _COMMANDS.decode(data)
+    """Return the command encoded in a log entry."""
+    return _COMMAND_DECODER.decode(data)
 
 
 def save_routing(state: RoutingState) -> bytes:
-    """Return the whole state as bytes."""
+    """Return the whole state as bytes that ``load_routing`` can read."""
     rollouts = tuple(state.rollouts.values())
     saved = SavedRouting(state.document, state.source, rollouts)
     return msgspec.msgpack.encode(saved)
 
 
 def load_routing(data: bytes) -> RoutingState:
-    """Return the state that ``save_routing`` saved."""
+    """Return the state saved by ``save_routing``."""
     saved = msgspec.msgpack.decode(data, type=SavedRouting)
     return RoutingState(
         document=saved.document,
--- a/tests/state/test_ledger.py
+++ b/tests/state/test_ledger.py
@@ -1,4 +1,4 @@
-"""Tests of the ledger: one row a key, settled and billed once, whoever died."""
+"""Tests of the ledger: one row per key, settled and billed once despite crashes."""
 
 from __future__ import annotations
 
@@ -38,130 +38,130 @@
 NOT_RUN = OutcomeKind.NOT_RUN
 FAILED = OutcomeKind.FAILED
 MAY_HAVE_RUN = OutcomeKind.MAY_HAVE_RUN
-PLACE = (DEMO, "order-1")
+ROW_KEY = (DEMO, "order-1")
 
 
 def sum_bills(state: ControlState) -> tuple[int, int]:
-    """Return requests on all bills, and their cost."""
+    """Return the total requests and cost of all bills."""
     bills = list_bills(state.ledger.bills)
     return sum(bill.requests for bill in bills), sum(bill.cost for bill in bills)
 
 
 @dataclass(frozen=True)
-class Death:
-    """An entry dies at one step of a request, and the caller resends elsewhere."""
+class Crash:
+    """An entry crashes at a step of a request, which is resent to another entry."""
 
     step: str
     log: tuple[Command, ...]
-    """What reached the log before the death and the sweep."""
+    """Commands in the log before the crash and the sweep."""
     repeatable: bool
-    resend: type
-    """How a resend under the same key is answered."""
+    expected: type
+    """Type of the outcome of a resend with the same key."""
     status: RowStatus | None
     outcome: OutcomeKind | None = None
     billed: tuple[int, int] = (0, 0)
 
 
-def list_deaths() -> tuple[Death, ...]:
-    """Return the death of an entry at each step, for both kinds of request."""
+def list_crashes() -> tuple[Crash, ...]:
+    """Return a crash at each step, for repeatable and other requests."""
     order = reserve("r1")
     lookup = reserve("r1", repeatable=True)
     settled = RowStatus.SETTLED
     unknown = RowStatus.UNKNOWN
     opened = RowStatus.OPEN
     return (
-        Death("before the reservation", (), False, Reserved, opened, None),
-        Death("before the reservation", (), True, Reserved, opened, None),
-        Death("reserved, answer lost", (order,), False, AlreadySettled, unknown,
+        Crash("before the reservation", (), False, Reserved, opened, None),
+        Crash("before the reservation", (), True, Reserved, opened, None),
+        Crash("reserved, response lost", (order,), False, AlreadySettled, unknown,
               MAY_HAVE_RUN),
-        Death("reserved twice", (order, order), False, AlreadySettled, unknown,
+        Crash("reserved twice", (order, order), False, AlreadySettled, unknown,
               MAY_HAVE_RUN),
-        Death("dispatched", (order,), False, AlreadySettled, unknown, MAY_HAVE_RUN),
-        Death("dispatched", (lookup,), True, AlreadySettled, settled, FAILED),
-        Death("answered, not settled", (order,), False, AlreadySettled, unknown,
+        Crash("dispatched", (order,), False, AlreadySettled, unknown, MAY_HAVE_RUN),
+        Crash("dispatched", (lookup,), True, AlreadySettled, settled, FAILED),
+        Crash("answered, not settled", (order,), False, AlreadySettled, unknown,
               MAY_HAVE_RUN),
-        Death("answered, not settled", (lookup,), True, AlreadySettled, settled,
+        Crash("answered, not settled", (lookup,), True, AlreadySettled, settled,
               FAILED),
-        Death("settled", (order, settle("r1")), False, AlreadySettled, settled,
+        Crash("settled", (order, settle("r1")), False, AlreadySettled, settled,
               COMPLETED, (1, 7)),
-        Death("settled", (lookup, settle("r1")), True, AlreadySettled, settled,
+        Crash("settled", (lookup, settle("r1")), True, AlreadySettled, settled,
               COMPLETED, (1, 7)),
-        Death("settled twice", (order, settle("r1"), settle("r1")), False,
+        Crash("settled twice", (order, settle("r1"), settle("r1")), False,
               AlreadySettled, settled, COMPLETED, (1, 7)),
-        Death("settled as not run", (order, settle("r1", NOT_RUN)), False, Reserved,
+        Crash("settled as not run", (order, settle("r1", NOT_RUN)), False, Reserved,
               opened),
-        Death("settled as not run", (lookup, settle("r1", NOT_RUN)), True, Reserved,
+        Crash("settled as not run", (lookup, settle("r1", NOT_RUN)), True, Reserved,
               opened),
-        Death("settled as failed", (order, settle("r1", FAILED, cost=0)), False,
+        Crash("settled as failed", (order, settle("r1", FAILED, cost=0)), False,
               AlreadySettled, settled, FAILED, (1, 0)),
-        Death("settled as unknown", (order, settle("r1", MAY_HAVE_RUN, cost=0)), False,
+        Crash("settled as unknown", (order, settle("r1", MAY_HAVE_RUN, cost=0)), False,
               AlreadySettled, unknown, MAY_HAVE_RUN, (1, 0)),
-        Death("settled after the sweep", (order, abandon(2), settle("r1")), False,
+        Crash("settled after the sweep", (order, abandon(2), settle("r1")), False,
               AlreadySettled, settled, COMPLETED, (1, 7)),
-        Death("settled after the sweep", (lookup, abandon(2), settle("r1")), True,
+        Crash("settled after the sweep", (lookup, abandon(2), settle("r1")), True,
               AlreadySettled, settled, COMPLETED, (1, 7)),
-        Death("settled twice after the sweep",
+        Crash("settled twice after the sweep",
               (order, abandon(2), settle("r1"), settle("r1", cost=9)), False,
               AlreadySettled, settled, COMPLETED, (1, 7)),
-        Death("settled after the sweep as not run",
+        Crash("settled after the sweep as not run",
               (order, abandon(2), settle("r1", NOT_RUN)), False, Reserved, opened),
-        Death("late doubled reservation",
+        Crash("late duplicate reservation",
               (order, settle("r1", NOT_RUN), order), False, Reserved, opened),
     )  # fmt: skip
 
 
-class DeathTest(StateTestCase):
-    def test_entry_dies_at_each_step(self) -> None:
-        """A golfer's club order is resent after the entry that carried it died.
+class EntryCrashTest(StateTestCase):
+    def test_entry_crashes_at_each_step(self) -> None:
+        """A request resent after its entry crashed runs and is billed at most once.
 
-        Order: the entry dies at a step, its lease runs out, control sweeps its rows,
-        the caller resends the order to another entry. Cause of the fault guarded
-        against: without the row the order would run twice, or be billed twice or not.
+        The entry crashes at one step, its lease expires, control sweeps its rows, and
+        the caller resends the request to another entry. Without the row the request
+        would run twice, or be billed twice or not at all.
         """
-        for death in list_deaths():
+        for crash in list_crashes():
             for reload in (False, True):
                 with self.subTest(
-                    death.step, repeatable=death.repeatable, reload=reload
+                    crash.step, repeatable=crash.repeatable, reload=reload
                 ):
-                    self.check_death(death, reload)
+                    self.check_crash(crash, reload)
 
-    def check_death(self, death: Death, reload: bool) -> None:
+    def check_crash(self, crash: Crash, reload: bool) -> None:
         state = ControlState()
-        for command in death.log:
+        for command in crash.log:
             apply_command(state, command)
 
         if reload:
             state = load_state(save_state(state))
 
         apply_command(state, abandon(2))
-        again = reserve("r2", entry=CMC, repeatable=death.repeatable, at=13.0)
-        outcome = apply_command(state, again)
-        self.assertIsInstance(outcome, death.resend)
-        row = state.ledger.rows[PLACE]
-        self.assertIs(row.status, death.status)
-        if death.outcome is not None:
-            self.assertIs(row.outcome, death.outcome)
+        resent = reserve("r2", entry=CMC, repeatable=crash.repeatable, at=13.0)
+        outcome = apply_command(state, resent)
+        self.assertIsInstance(outcome, crash.expected)
+        row = state.ledger.rows[ROW_KEY]
+        self.assertIs(row.status, crash.status)
+        if crash.outcome is not None:
+            self.assertIs(row.outcome, crash.outcome)
 
-        self.assertEqual(sum_bills(state), death.billed)
+        self.assertEqual(sum_bills(state), crash.billed)
 
 
 class LedgerTest(StateTestCase):
-    def test_two_entries_at_once(self) -> None:
-        """A caller's phone sends one order twice, and the balancer splits the two.
+    def test_two_entries_reserve_the_same_key(self) -> None:
+        """Only one of two entries that reserve the same key may run the request.
 
-        Order: both entries reserve the key, one after the other in the log; the first
-        settles, then the second entry's settle arrives. Cause: a row owned by both
-        would let the fans run twice.
+        A caller sends a request twice and the load balancer picks two entries. Both
+        reserve the key, the first settles it, then the settle of the second arrives. If
+        both owned the row, the request would run twice.
         """
         state = ControlState()
         self.assertEqual(apply_command(state, reserve("r1")), Reserved())
         second = apply_command(state, reserve("r2", entry=CMC))
         assert isinstance(second, AlreadyOpen)
         self.assertEqual(second.row.request, "r1")
-        wrong = apply_command(state, settle("r2"))
-        assert isinstance(wrong, Settled)
-        self.assertFalse(wrong.changed)
-        self.assertIs(state.ledger.rows[PLACE].status, RowStatus.OPEN)
+        not_owner = apply_command(state, settle("r2"))
+        assert isinstance(not_owner, Settled)
+        self.assertFalse(not_owner.changed)
+        self.assertIs(state.ledger.rows[ROW_KEY].status, RowStatus.OPEN)
         apply_command(state, settle("r1"))
         third = apply_command(state, reserve("r2", entry=CMC))
         assert isinstance(third, AlreadySettled)
@@ -170,11 +170,11 @@
         self.assertEqual(sum_bills(state), (1, 7))
 
     def test_delayed_reservation_of_an_earlier_attempt(self) -> None:
-        """A refused order can't be sent again, and stays "running" for ever.
+        """A duplicate reservation of an ended attempt must not reopen the row.
 
-        Order: attempt 1 reserved, refused as not run; attempt 2 likewise; then a
-        doubled reservation of attempt 1 arrives. Cause: it opens a row whose attempt
-        ended long ago, so that nobody settles it.
+        Two attempts are reserved and refused as not run, then a duplicate reservation
+        of the first one arrives. A row opened for it would never be settled: the
+        request would stay "running" and could not be sent again.
         """
         state = ControlState()
         for request in ("r1", "r2"):
@@ -185,11 +185,12 @@
         self.assertEqual(apply_command(state, reserve("r3")), Reserved())
 
     def test_settle_before_its_reservation(self) -> None:
-        """An order that was refused stays "running", and can't be sent again.
+        """A reservation that arrives after its settle must not open a row.
 
-        Order: a reservation is held up on the way, the entry gives up and settles it
-        as not run, then the reservation arrives; in one case another attempt holds
-        the key meanwhile. Cause: a settle without a row leaves no trace.
+        A reservation is delayed, its entry settles the request as not run after a
+        timeout, then the reservation arrives; in one case another attempt has used the
+        key in between. If a settle without a row were not recorded, the request would
+        stay "running" and could not be sent again.
         """
         for name, between in (("alone", ()), ("other attempt", ("r2",))):
             with self.subTest(name):
@@ -224,7 +225,7 @@
                 assert isinstance(outcome, Rejected)
                 self.assertEqual(outcome.findings[0].place, place)
 
-    def test_sweep_spares_the_living(self) -> None:
+    def test_sweep_keeps_rows_of_newer_incarnations(self) -> None:
         state = ControlState()
         apply_command(state, reserve("r1", key="a", incarnation=1))
         apply_command(state, reserve("r2", key="b", incarnation=2))
@@ -234,28 +235,28 @@
         statuses = [row.status for row in state.ledger.rows.values()]
         self.assertEqual(statuses, [RowStatus.UNKNOWN, RowStatus.OPEN, RowStatus.OPEN])
 
-    def test_full_ledger_refuses(self) -> None:
+    def test_ledger_at_capacity_rejects_new_keys(self) -> None:
         state = ControlState()
         with mock.patch.object(ledger, "MAX_ROWS", 2):
             apply_command(state, reserve("r1", key="a"))
             apply_command(state, reserve("r2", key="b"))
             outcome = apply_command(state, reserve("r3", key="c"))
-            again = apply_command(state, reserve("r1", key="a"))
+            resent = apply_command(state, reserve("r1", key="a"))
 
         assert isinstance(outcome, Rejected)
         self.assertEqual(outcome.findings[0].place, "ledger")
-        self.assertEqual(again, Reserved())
+        self.assertEqual(resent, Reserved())
 
 
 class RetentionTest(StateTestCase):
-    def run_until(self, state: ControlState, at: float) -> None:
-        """Bring the ledger's clock to ``at`` by commands that change no row."""
+    def advance_clock(self, state: ControlState, at: float) -> None:
+        """Advance the ledger's clock to ``at`` with commands that change no rows."""
         while state.ledger.clock < at:
             apply_command(state, abandon(0, at=at))
 
-    def test_rows_are_dropped_after_their_time(self) -> None:
+    def test_rows_are_dropped_after_their_retention(self) -> None:
         cases = (
-            ("repeatable", True, retention.REPEATABLE_KEPT),
+            ("repeatable", True, retention.REPEATABLE_RETENTION),
             ("other", False, retention.REPLAY_WINDOW),
         )
         for name, repeatable, kept in cases:
@@ -263,27 +264,27 @@
                 state = ControlState()
                 apply_command(state, reserve("r1", repeatable=repeatable))
                 apply_command(state, settle("r1", at=11.0))
-                self.run_until(state, 11.0 + kept - 1)
-                self.assertIn(PLACE, state.ledger.rows)
-                self.run_until(state, 11.0 + kept)
-                self.assertNotIn(PLACE, state.ledger.rows)
+                self.advance_clock(state, 11.0 + kept - 1)
+                self.assertIn(ROW_KEY, state.ledger.rows)
+                self.advance_clock(state, 11.0 + kept)
+                self.assertNotIn(ROW_KEY, state.ledger.rows)
                 self.assertEqual(sum_bills(state), (1, 7))
-                self.assertEqual(state.ledger.answer_bytes, 0)
+                self.assertEqual(state.ledger.response_bytes, 0)
                 self.assertFalse(state.ledger.answers_kept)
 
     def test_settle_is_resent_after_its_row_was_dropped(self) -> None:
-        """A lookup is billed twice after its entry was cut off for some minutes.
+        """A settle resent after its row was dropped must not bill the request again.
 
-        Order: a settle that brings its row is committed, the answer is lost, the
-        entry resends it until it is answered, and the row's retention ends meanwhile.
-        Cause: the resend finds no row and opens one.
+        A settle that includes its row is committed, its response is lost, and the
+        entry, partitioned off for some minutes, resends it after the row's retention.
+        The resend finds no row and would open one.
         """
         state = ControlState()
         row = reserve("r1", repeatable=True).row
         command = msgspec.structs.replace(settle("r1"), row=row)
         apply_command(state, command)
-        self.run_until(state, 11.0 + retention.REPEATABLE_KEPT)
-        self.assertNotIn(PLACE, state.ledger.rows)
+        self.advance_clock(state, 11.0 + retention.REPEATABLE_RETENTION)
+        self.assertNotIn(ROW_KEY, state.ledger.rows)
         state = load_state(save_state(state))
         outcome = apply_command(state, command)
         assert isinstance(outcome, Settled)
@@ -291,7 +292,7 @@
         self.assertEqual(sum_bills(state), (1, 7))
         self.assertFalse(state.ledger.rows)
 
-    def test_settle_that_brings_a_row_and_a_fault(self) -> None:
+    def test_rejected_settle_does_not_open_its_row(self) -> None:
         row = reserve("r1", repeatable=True).row
         command = msgspec.structs.replace(
             settle("r1", NOT_RUN), row=row, usage=Usage(1, 1, 1)
@@ -300,10 +301,10 @@
         self.assertIsInstance(apply_command(state, command), Rejected)
         self.assertFalse(state.ledger.rows)
 
-    def test_ended_attempts_are_forgotten_in_time(self) -> None:
+    def test_ended_attempts_are_dropped(self) -> None:
         state = ControlState()
         apply_command(state, settle("r1", NOT_RUN))
-        self.run_until(state, 11.0 + 3 * attempts.ENDED_KEPT)
+        self.advance_clock(state, 11.0 + 3 * attempts.ENDED_RETENTION)
         self.assertFalse(state.ledger.ended)
         self.assertFalse(state.ledger.ended_before)
 
@@ -312,22 +313,22 @@
         apply_command(state, reserve("r1"))
         apply_command(state, abandon(2))
         self.assertEqual(sum_bills(state), (0, 0))
-        self.run_until(state, 12.0 + retention.REPLAY_WINDOW)
+        self.advance_clock(state, 12.0 + retention.REPLAY_WINDOW)
         self.assertEqual(sum_bills(state), (1, 0))
         self.assertEqual(list_bills(state.ledger.bills)[0].unknown, 1)
         self.assertFalse(state.ledger.swept)
 
-    def test_open_rows_stay(self) -> None:
+    def test_open_rows_are_kept(self) -> None:
         state = ControlState()
         apply_command(state, reserve("r1"))
-        self.run_until(state, 3 * retention.REPLAY_WINDOW)
-        self.assertIn(PLACE, state.ledger.rows)
+        self.advance_clock(state, 3 * retention.REPLAY_WINDOW)
+        self.assertIn(ROW_KEY, state.ledger.rows)
 
-    def test_one_wrong_clock_does_not_end_the_window(self) -> None:
-        """A club order is built twice after a VM's clock jumped by a year.
+    def test_clock_jump_does_not_end_the_replay_window(self) -> None:
+        """A clock that jumps by a year must not end the replay window of all rows.
 
-        Order: order settled; a command stamped a year ahead; the order is resent.
-        Cause: the jump would end the replay window of every row at once.
+        A request is settled, a command stamped one year ahead follows, and the request
+        is resent. It would run twice if the jump had ended its replay window.
         """
         state = ControlState()
         apply_command(state, reserve("r1"))
@@ -335,9 +336,9 @@
         apply_command(state, settle("r1", at=365 * 86_400.0))
         self.assertIsInstance(apply_command(state, reserve("r2")), AlreadySettled)
 
-    def test_answers_keep_to_their_budget(self) -> None:
+    def test_stored_responses_stay_within_budget(self) -> None:
         state = ControlState()
-        with mock.patch.object(retention, "ANSWER_BUDGET", 250):
+        with mock.patch.object(retention, "RESPONSE_BUDGET", 250):
             for number in range(5):
                 key = f"order-{number}"
                 apply_command(state, reserve(f"r{number}", key=key))
@@ -345,5 +346,5 @@
 
         kept = [row.answer is not None for row in state.ledger.rows.values()]
         self.assertEqual(kept, [False, False, False, True, True])
-        self.assertEqual(state.ledger.answer_bytes, 200)
+        self.assertEqual(state.ledger.response_bytes, 200)
         self.assertEqual(load_state(save_state(state)), state)
