--- a/src/waxwingwell/adapters/gateway/arrivals.py
+++ b/src/waxwingwell/adapters/gateway/arrivals.py
@@ -8,7 +8,7 @@
 from ...routing.lookup import find_route
 from ...routing.lookup import find_workspace
 from ...routing.records import RouteKind
-from ...routing.retries import note_request
+from ...routing.retries import record_request
 from ..events import log_event
 from ..http.records import find_header
 from ..measures import REQUESTS
@@ -103,7 +103,7 @@
         return
 
     service = choose_service(route, find_session_key(facts))
-    note_request(context.retries, service, now, context.settings.retries)
+    record_request(context.retries, service, now, context.settings.retries)
     Exchange(context, request, facts, route, workspace, responder, arrived_at).start()
 
 
--- a/src/waxwingwell/adapters/gateway/attempts.py
+++ b/src/waxwingwell/adapters/gateway/attempts.py
@@ -7,13 +7,13 @@
 from typing import TYPE_CHECKING
 from typing import Any
 
-from ...routing.health import note_answer
-from ...routing.health import note_unreachable
-from ...routing.load import end_prefill
-from ...routing.load import end_use
-from ...routing.prefixes import note_parts
-from ...routing.sessions import end_session
-from ...routing.speeds import learn_speed
+from ...routing.health import record_response
+from ...routing.health import record_unreachable
+from ...routing.load import remove_backlog
+from ...routing.load import remove_running
+from ...routing.prefill_speed import record_prefill_time
+from ...routing.prefixes import record_blocks
+from ...routing.sessions import finish_session
 from ..http.client import UpstreamCall
 from ..http.records import HeaderList
 from ..measures import ATTEMPTS
@@ -107,7 +107,7 @@
     FIRST_BYTE.labels(route.kind.value).observe(now - attempt.started_at)
     if attempt.samples_prefill_speed and attempt.choice.model:
         took_ms = (now - attempt.started_at) * 1000
-        learn_speed(
+        record_prefill_time(
             context.speeds,
             route.models,
             attempt.choice.model,
@@ -122,15 +122,17 @@
     context: GatewayContext, facts: RequestFacts, attempt: Attempt, now: float
 ) -> None:
     """Record the prompt blocks as cached at the upstream once its response starts."""
-    if facts.parts and attempt.status < 300:
+    if facts.prompt_blocks and attempt.status < 300:
         model = attempt.choice.model or facts.model
-        note_parts(context.prefixes, attempt.upstream, model, facts.parts, now)
+        record_blocks(
+            context.prefixes, attempt.upstream, model, facts.prompt_blocks, now
+        )
 
 
 def finish_prefill(context: GatewayContext, attempt: Attempt) -> None:
     """Record that the upstream has finished the prefill."""
     if attempt.work:
-        end_prefill(context.load, attempt.upstream, attempt.work)
+        remove_backlog(context.load, attempt.upstream, attempt.work)
         attempt.work = 0.0
 
 
@@ -140,11 +142,11 @@
     attempt.stop_timer()
 
     finish_prefill(context, attempt)
-    end_use(context.load, attempt.upstream)
+    remove_running(context.load, attempt.upstream)
     choice = attempt.choice
     version = choice.placement.upstream.version
     now = context.clock()
-    end_session(context.sessions, choice.service, choice.session, version, now)
+    finish_session(context.sessions, choice.service, choice.session, version, now)
 
 
 def record_outcome(
@@ -157,7 +159,7 @@
     """Record an attempt's outcome in the metrics and the health and version tables."""
     ATTEMPTS.labels(route.kind.value, outcome.value).inc()
     if outcome is AttemptOutcome.UNREACHED:
-        note_unreachable(context.health, attempt.upstream, now)
+        record_unreachable(context.health, attempt.upstream, now)
         return
 
     failed = outcome in (
@@ -165,7 +167,7 @@
         AttemptOutcome.FAILED,
         AttemptOutcome.NOT_RUN,
     )
-    note_answer(context.health, attempt.upstream, now, failed=failed)
+    record_response(context.health, attempt.upstream, now, failed=failed)
     if outcome is AttemptOutcome.NOT_RUN:
         return
 
--- a/src/waxwingwell/adapters/gateway/choice.py
+++ b/src/waxwingwell/adapters/gateway/choice.py
@@ -10,17 +10,17 @@
 from ...routing.fleet import list_serving
 from ...routing.models import find_pool
 from ...routing.models import first_model
-from ...routing.models import is_sized
+from ...routing.models import has_model_choice
 from ...routing.placement import Demand
 from ...routing.placement import Placement
-from ...routing.placement import Surroundings
+from ...routing.placement import PlacementContext
 from ...routing.placement import place_request
 from ...routing.pools import Pool
 from ...routing.pools import list_pool
+from ...routing.prefill_speed import estimate_token_ms
 from ...routing.rollouts import hash_share
-from ...routing.sessions import find_last
-from ...routing.speeds import guess_speed
-from ...routing.versions import list_allowed
+from ...routing.sessions import find_last_version
+from ...routing.versions import list_allowed_upstreams
 
 
 if TYPE_CHECKING:
@@ -107,7 +107,7 @@
     spent = excluded if response_started else set()
     allowed = list_candidates(context, service, key, now, spent)
     untried = [candidate for candidate in allowed if candidate.upstream not in excluded]
-    if not model and is_sized(route, facts.model):
+    if not model and has_model_choice(route, facts.model):
         model = first_model(route)
 
     kind = find_pool(route, facts.model, model)
@@ -116,11 +116,11 @@
         service=record,
         model=model or facts.model,
         prompt_tokens=facts.prompt_tokens,
-        parts=facts.parts,
-        token_ms=guess_speed(context.speeds, route.models, model),
+        prompt_blocks=facts.prompt_blocks,
+        token_ms=estimate_token_ms(context.speeds, route.models, model),
         pool=pool,
     )
-    placement_context = Surroundings(
+    placement_context = PlacementContext(
         data_centre=context.settings.data_centre,
         load=context.load,
         health=context.health,
@@ -141,8 +141,8 @@
     if facts.session:
         return facts.session
 
-    if facts.parts:
-        return facts.parts[-1][0]
+    if facts.prompt_blocks:
+        return facts.prompt_blocks[-1][0]
 
     return facts.request_id
 
@@ -172,12 +172,12 @@
 
     rollout = context.rollouts.get(service)
     sessions = context.sessions
-    return list_allowed(
+    return list_allowed_upstreams(
         serving,
         rollout,
         established=context.established,
         session=session,
-        last=find_last(sessions, (service, session), now),
+        last=find_last_version(sessions, (service, session), now),
         session_life=context.settings.session_life,
         now=now,
         spent=spent,
--- a/src/waxwingwell/adapters/gateway/context.py
+++ b/src/waxwingwell/adapters/gateway/context.py
@@ -17,10 +17,10 @@
 from ...routing.messages import RolloutState
 from ...routing.messages import ServiceRepeats
 from ...routing.messages import UpstreamUse
+from ...routing.prefill_speed import SpeedTable
 from ...routing.prefixes import PrefixTable
 from ...routing.retries import RetryTable
 from ...routing.sessions import SessionTable
-from ...routing.speeds import SpeedTable
 from ..links import Link
 from ..links import LinkNode
 from .dialect import Dialect
--- a/src/waxwingwell/adapters/gateway/daemon.py
+++ b/src/waxwingwell/adapters/gateway/daemon.py
@@ -74,7 +74,7 @@
     )
     context.control_seen_at = read_clock()
     context.retries.began_at = read_clock()
-    context.retries.phase = context.random.random()
+    context.retries.initial_credit = context.random.random()
     context.node = LinkNode(
         name=settings.node,
         reactor=reactor,
--- a/src/waxwingwell/adapters/gateway/dialect.py
+++ b/src/waxwingwell/adapters/gateway/dialect.py
@@ -24,7 +24,7 @@
     """Model that the caller names; ``*`` lets the gateway select one."""
     prompt_tokens: int = 0
     output_tokens: int = 0
-    parts: tuple[tuple[str, int], ...] = ()
+    prompt_blocks: tuple[tuple[str, int], ...] = ()
     """Prompt blocks in order, id and tokens; the last one is the request's own."""
     session: str = ""
     resume_after: str = ""
--- a/src/waxwingwell/adapters/gateway/escalation.py
+++ b/src/waxwingwell/adapters/gateway/escalation.py
@@ -5,12 +5,12 @@
 from typing import TYPE_CHECKING
 
 from ...routing.load import estimate_usage
-from ...routing.models import Stake
-from ...routing.models import find_price
-from ...routing.models import is_sized
-from ...routing.models import wants_larger
-from ...routing.models import weigh_size
-from ...routing.retries import CHOICE_PART
+from ...routing.models import EscalationInputs
+from ...routing.models import estimate_price
+from ...routing.models import has_model_choice
+from ...routing.models import should_escalate
+from ...routing.models import update_request_weight
+from ...routing.retries import OPTIONAL_PART
 from ..events import log_event
 from .choice import choose_upstream
 
@@ -28,7 +28,9 @@
     if index is None or facts is None or facts.confidence is None:
         return None
 
-    sized = is_sized(exchange.route, exchange.facts.model) and attempt.status < 300
+    sized = (
+        has_model_choice(exchange.route, exchange.facts.model) and attempt.status < 300
+    )
     if (
         not sized
         or exchange.model == exchange.route.models[-1]
@@ -36,7 +38,9 @@
     ):
         return None
 
-    if not exchange.may_run_again() or not exchange.has_retry_budget(now, CHOICE_PART):
+    if not exchange.may_run_again() or not exchange.has_retry_budget(
+        now, OPTIONAL_PART
+    ):
         return None
 
     larger = choose_upstream(
@@ -54,7 +58,7 @@
         return None
 
     stake = make_stake(exchange, larger, now)
-    if not wants_larger(facts.confidence, stake):
+    if not should_escalate(facts.confidence, stake):
         return None
 
     log_event(
@@ -64,23 +68,23 @@
         confidence=facts.confidence,
         pressure=round(larger.pressure, 2),
         usage=round(stake.usage, 2),
-        price=round(find_price(stake), 2),
+        price=round(estimate_price(stake), 2),
     )
     return larger
 
 
-def make_stake(exchange: Exchange, larger: Choice, now: float) -> Stake:
+def make_stake(exchange: Exchange, larger: Choice, now: float) -> EscalationInputs:
     """Return the costs and the possible benefit of asking the larger model."""
     request = exchange.facts
     services = exchange.index.services if exchange.index is not None else {}
     models = services[larger.service].models if larger.service in services else ()
-    weight = weigh_size(
+    weight = update_request_weight(
         exchange.context.sizes,
         exchange.route.name,
         request.prompt_tokens,
         request.output_tokens,
     )
-    return Stake(
+    return EscalationInputs(
         weight=weight,
         output_tokens=request.output_tokens,
         prompt_tokens=request.prompt_tokens,
--- a/src/waxwingwell/adapters/gateway/exchange.py
+++ b/src/waxwingwell/adapters/gateway/exchange.py
@@ -8,12 +8,12 @@
 from loguru import logger
 
 from ...routing.admission import can_be_served
-from ...routing.admission import choose_pause
+from ...routing.admission import choose_retry_after
 from ...routing.load import count_gateways
 from ...routing.records import RouteKind
 from ...routing.retries import FAILURE_PART
-from ...routing.retries import may_repeat
-from ...routing.retries import note_repeat
+from ...routing.retries import may_retry
+from ...routing.retries import record_retry
 from ..events import log_event
 from ..http.records import HeaderList
 from ..http.records import strip_hop_headers
@@ -168,7 +168,7 @@
 
         if not self._is_in_time(choice, now):
             wait = choice.placement.wait / 1000
-            pause = choose_pause(wait, self.deadline - now)
+            pause = choose_retry_after(wait, self.deadline - now)
             give_up(self, f"expected wait of {wait:.1f} s exceeds the time left", pause)
             return
 
@@ -360,7 +360,7 @@
 
     def _record_retry(self, attempt: Attempt, now: float) -> None:
         limits = self.context.settings.retries
-        note_repeat(self.context.retries, attempt.choice.service, now, limits)
+        record_retry(self.context.retries, attempt.choice.service, now, limits)
 
     def may_run_again(self) -> bool:
         """Return whether the request may run again if the current attempt has run."""
@@ -388,7 +388,7 @@
     def has_retry_budget(self, now: float, part: float) -> bool:
         """Return whether the retry budget of all gateways allows one more retry."""
         service = self.attempt.choice.service if self.attempt else ""
-        return may_repeat(
+        return may_retry(
             self.context.retries,
             service,
             self.context.settings.retries,
--- a/src/waxwingwell/adapters/gateway/sending.py
+++ b/src/waxwingwell/adapters/gateway/sending.py
@@ -5,11 +5,11 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from ...routing.load import begin_use
-from ...routing.load import note_work
+from ...routing.load import add_running
+from ...routing.load import record_prefill
 from ...routing.pools import Pool
 from ...routing.records import RouteKind
-from ...routing.sessions import begin_session
+from ...routing.sessions import start_session
 from ..events import log_event
 from ..http.client import CallHandlers
 from ..http.client import UpstreamCall
@@ -57,14 +57,14 @@
     """Start a call to the upstream and count it as this gateway's load there."""
     placement = attempt.choice.placement
     attempt.work = placement.work
-    begin_use(exchange.context.load, attempt.upstream, attempt.work)
+    add_running(exchange.context.load, attempt.upstream, attempt.work)
     choice = attempt.choice
     if choice.pool is not Pool.SMALL:
-        note_work(exchange.context.load, attempt.work, now)
+        record_prefill(exchange.context.load, attempt.work, now)
 
     version = placement.upstream.version
     sessions = exchange.context.sessions
-    begin_session(sessions, choice.service, choice.session, version, now)
+    start_session(sessions, choice.service, choice.session, version, now)
     remaining = exchange.deadline - now
     dispatch = Dispatch(
         upstream=attempt.upstream,
--- a/src/waxwingwell/adapters/gateway/steering.py
+++ b/src/waxwingwell/adapters/gateway/steering.py
@@ -11,12 +11,12 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.defer import succeed
 
+from ...routing.fleet import apply_announcement
+from ...routing.fleet import apply_heartbeats
 from ...routing.fleet import drop_tombstones
-from ...routing.fleet import refresh
-from ...routing.fleet import take_news
-from ...routing.load import list_use
-from ...routing.load import read_work
-from ...routing.load import take_sum
+from ...routing.load import apply_totals
+from ...routing.load import list_own_load
+from ...routing.load import sum_recent_prefill
 from ...routing.lookup import index_document
 from ...routing.messages import FleetReport
 from ...routing.messages import GatewayReport
@@ -26,15 +26,15 @@
 from ...routing.messages import ShareNews
 from ...routing.messages import ShareRouting
 from ...routing.messages import VersionEvidence
-from ...routing.prefixes import drop_news
-from ...routing.prefixes import list_news
-from ...routing.prefixes import take_told
+from ...routing.prefixes import apply_reported_blocks
+from ...routing.prefixes import list_unreported_blocks
+from ...routing.prefixes import mark_reported
 from ...routing.records import Document
-from ...routing.retries import list_repeats
-from ...routing.retries import take_repeats
-from ...routing.sessions import list_kept
-from ...routing.sessions import note_moves
-from ...routing.sessions import take_kept
+from ...routing.retries import apply_retry_totals
+from ...routing.retries import list_retries
+from ...routing.sessions import apply_kept_sessions
+from ...routing.sessions import list_kept_sessions
+from ...routing.sessions import record_rollouts
 from ..connections import make_tcp_connector
 from ..events import log_event
 from ..links import cast_link
@@ -62,17 +62,17 @@
     if isinstance(body, ShareRouting):
         apply_routing(context, body)
     elif isinstance(body, ShareNews):
-        for news in body.news:
-            take_news(context.fleet, news, now)
+        for announcement in body.news:
+            apply_announcement(context.fleet, announcement, now)
     elif isinstance(body, ShareHeartbeats):
-        refresh(context.fleet, body.heard, now)
+        apply_heartbeats(context.fleet, body.heard, now)
         context.heartbeats_at = now
         drop_tombstones(context.fleet, now)
     elif isinstance(body, ShareMembers):
         update_controls(context, body)
         record_data_centre(context, sender, body.data_centre)
     elif isinstance(body, FleetReport):
-        take_sum(
+        apply_totals(
             context.load,
             body.use,
             context.reported_use,
@@ -80,9 +80,9 @@
             gateways=body.gateways,
             now=now,
         )
-        take_repeats(context.retries, body.repeats, context.reported_retries, now)
-        take_told(context.prefixes, body.read, now)
-        take_kept(context.sessions, body.kept, body.held)
+        apply_retry_totals(context.retries, body.repeats, context.reported_retries, now)
+        apply_reported_blocks(context.prefixes, body.read, now)
+        apply_kept_sessions(context.sessions, body.kept, body.held)
 
 
 def apply_routing(context: GatewayContext, body: ShareRouting) -> None:
@@ -112,7 +112,7 @@
 
     context.routing_index = body.index
     context.rollouts = {rollout.service: rollout for rollout in body.rollouts}
-    note_moves(context.sessions, body.rollouts, body.index)
+    record_rollouts(context.sessions, body.rollouts, body.index)
     if context.index is not None:
         serve_waiting(context.startup_queue)
 
@@ -169,7 +169,7 @@
         context.reported_use = report.use
         context.reported_work = report.work
         context.reported_retries = report.repeats
-        drop_news(context.prefixes, report.read)
+        mark_reported(context.prefixes, report.read)
 
 
 def make_report(context: GatewayContext) -> GatewayReport:
@@ -189,15 +189,15 @@
     return GatewayReport(
         gateway=context.settings.node,
         run=identify_run(context),
-        use=list_use(context.load),
+        use=list_own_load(context.load),
         evidence=evidence,
-        work=read_work(context.load, now),
+        work=sum_recent_prefill(context.load, now),
         held=context.routing_index,
-        kept=list_kept(
+        kept=list_kept_sessions(
             context.sessions, context.rollouts.values(), session_lifetime, now
         ),
-        repeats=list_repeats(context.retries, context.settings.retries, now),
-        read=list_news(context.prefixes),
+        repeats=list_retries(context.retries, context.settings.retries, now),
+        read=list_unreported_blocks(context.prefixes),
     )
 
 
--- a/src/waxwingwell/adapters/gateway/waiting.py
+++ b/src/waxwingwell/adapters/gateway/waiting.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING
 from typing import Any
 
-from ...routing.admission import LONGEST_PART
+from ...routing.admission import MAX_RETRY_AFTER_PART
 from ..events import run_logged
 
 
@@ -52,7 +52,7 @@
     if len(startup_queue.waiting) >= MAX_WAITING or budget is None:
         return 0.0
 
-    return min(budget * LONGEST_PART, WAIT_SECONDS)
+    return min(budget * MAX_RETRY_AFTER_PART, WAIT_SECONDS)
 
 
 def enqueue_request(
--- a/src/waxwingwell/adapters/gateway/watch.py
+++ b/src/waxwingwell/adapters/gateway/watch.py
@@ -9,9 +9,9 @@
 
 from typing import TYPE_CHECKING
 
-from ...routing.health import note_unreachable
+from ...routing.health import record_unreachable
+from ...routing.idle_timeout import find_idle_timeout
 from ...routing.records import RouteKind
-from ...routing.silence import silence_limit
 from .attempts import AttemptOutcome
 
 
@@ -67,12 +67,12 @@
     idle = now - max(attempt.started_at, attempt.last_byte_at, active_at)
     expected = attempt.choice.placement.wait / 1000
     started = attempt.first_byte_at is not None
-    if idle <= silence_limit(started=started, expected=expected):
+    if idle <= find_idle_timeout(started=started, expected=expected):
         return
 
     if not exchange.can_fail_over(now):
         return
 
-    note_unreachable(exchange.context.health, attempt.upstream, now)
+    record_unreachable(exchange.context.health, attempt.upstream, now)
     attempt.cancel()
     exchange.finish_attempt(attempt, AttemptOutcome.BROKEN, f"no data for {idle:.1f} s")
--- a/src/waxwingwell/adapters/registry/api.py
+++ b/src/waxwingwell/adapters/registry/api.py
@@ -12,7 +12,6 @@
 from twisted.internet.defer import succeed
 
 from ...records import Finding
-from ...routing.faults import find_faults
 from ...routing.fleet import Announcement
 from ...routing.fleet import UpstreamState
 from ...routing.messages import Accepted
@@ -22,6 +21,7 @@
 from ...routing.messages import ReadRouting
 from ...routing.messages import RoutingNow
 from ...routing.messages import SubmitRouting
+from ...routing.validation import find_document_problems
 from ...state.group import leader_of
 from ..events import log_event
 from ..links import call_link
@@ -59,7 +59,7 @@
     context: RegistryContext, document: Document, source: bytes
 ) -> Deferred[Accepted | NotAccepted | Refused]:
     """Validate a document and commit it to the replicated log."""
-    findings = find_faults(document)
+    findings = find_document_problems(document)
     if findings:
         log_event(
             "registry: Document refused",
@@ -146,9 +146,11 @@
     held = context.fleet.upstreams.get(upstream)
     if held is not None:
         announcement = msgspec.structs.replace(
-            held.news,
+            held.announcement,
             state=UpstreamState.GONE,
-            incarnation=held.news.incarnation if incarnation is None else incarnation,
+            incarnation=held.announcement.incarnation
+            if incarnation is None
+            else incarnation,
         )
         broadcast_announcement(context, announcement)
         return True
--- a/src/waxwingwell/adapters/registry/hub.py
+++ b/src/waxwingwell/adapters/registry/hub.py
@@ -11,9 +11,9 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.defer import succeed
 
+from ...routing.fleet import apply_announcement
+from ...routing.fleet import apply_heartbeats
 from ...routing.fleet import drop_tombstones
-from ...routing.fleet import refresh
-from ...routing.fleet import take_news
 from ...routing.messages import ControlReport
 from ...routing.messages import GatewayReport
 from ...routing.messages import NotAccepted
@@ -23,11 +23,11 @@
 from ...routing.messages import ShareNews
 from ...routing.messages import ShareRouting
 from ...routing.messages import SubmitRouting
-from ...routing.reports import drop_old
+from ...routing.reports import drop_expired
 from ...routing.reports import make_control_report
+from ...routing.reports import receive_control_report
+from ...routing.reports import receive_report
 from ...routing.reports import sum_fleet
-from ...routing.reports import take_control_report
-from ...routing.reports import take_report
 from ...state.consensus.messages import ConsensusMessage
 from ...state.consensus.records import name_of
 from ...state.group import allow_name
@@ -177,7 +177,7 @@
 
 def list_announcements(context: RegistryContext) -> tuple[Announcement, ...]:
     """Return the latest announcement of every known upstream."""
-    return tuple(held.news for held in context.fleet.upstreams.values())
+    return tuple(held.announcement for held in context.fleet.upstreams.values())
 
 
 def share_routing(context: RegistryContext, now: float) -> None:
@@ -215,7 +215,7 @@
     context: RegistryContext, announcement: Announcement
 ) -> None:
     """Apply an announcement, and broadcast it if it affects routing."""
-    if not take_news(context.fleet, announcement, context.clock()):
+    if not apply_announcement(context.fleet, announcement, context.clock()):
         return
 
     log_event(
@@ -288,11 +288,11 @@
         for announcement in body.news:
             broadcast_announcement(context, announcement)
     elif isinstance(body, ShareHeartbeats):
-        refresh(context.fleet, body.heard, context.clock())
+        apply_heartbeats(context.fleet, body.heard, context.clock())
     elif isinstance(body, GatewayReport):
-        take_report(context.reports, body, context.clock())
+        receive_report(context.reports, body, context.clock())
     elif isinstance(body, ControlReport):
-        take_control_report(context.reports, sender, body, context.clock())
+        receive_control_report(context.reports, sender, body, context.clock())
     elif isinstance(body, ShareMembers):
         for name in body.controls:
             connect_control(context, name)
@@ -338,7 +338,7 @@
             cast_link(link, ShareHeartbeats(heard=heard))
 
     everything = tuple(
-        (name, held.news.incarnation, held.news.sequence)
+        (name, held.announcement.incarnation, held.announcement.sequence)
         for name, held in context.fleet.upstreams.items()
     )
     body = ShareHeartbeats(heard=everything)
@@ -358,8 +358,10 @@
 
 def list_attached(context: RegistryContext) -> list[LinkProtocol]:
     """Return the connections of the gateways attached to this control."""
-    homed = context.reports.homed
-    return [protocol for protocol in context.gateway_links if protocol.remote in homed]
+    attached = context.reports.attached
+    return [
+        protocol for protocol in context.gateway_links if protocol.remote in attached
+    ]
 
 
 def exchange_reports(context: RegistryContext, now: float) -> None:
@@ -373,7 +375,7 @@
 
 def share_reports(context: RegistryContext, now: float) -> None:
     """Send the attached gateways the aggregate over all gateways."""
-    drop_old(context.reports, now)
+    drop_expired(context.reports, now)
     body = sum_fleet(context.reports, now)
     for protocol in list_attached(context):
         protocol.cast(body)
--- a/src/waxwingwell/adapters/registry/rollouts.py
+++ b/src/waxwingwell/adapters/registry/rollouts.py
@@ -6,10 +6,10 @@
 
 from ...routing.messages import EndRollout
 from ...routing.messages import GrowRollout
-from ...routing.reports import list_untold
+from ...routing.reports import list_unreported_gateways
 from ...routing.rollouts import EvidenceTable
 from ...routing.rollouts import add_evidence
-from ...routing.rollouts import count_report
+from ...routing.rollouts import record_counters
 from ...routing.rollouts import split_evidence
 from ...routing.rollouts import step_rollout
 from ..events import log_event
@@ -60,7 +60,7 @@
         elapsed=round(now - watch.started_at, 2),
         answers=target.answers,
         failures=target.failures,
-        untold=list_untold(context.reports),
+        untold=list_unreported_gateways(context.reports),
     )
     if step.ended:
         command = EndRollout(
@@ -100,7 +100,7 @@
             for part in known.versions
             if part.service == rollout.service and part.version != rollout.target
         }
-        watch = RolloutWatch(now - age, EvidenceTable(counted=baseline))
+        watch = RolloutWatch(now - age, EvidenceTable(last_counters=baseline))
         context.watches[key] = watch
 
     return watch
@@ -112,4 +112,4 @@
     """Count the evidence that gateways have reported since the last check."""
     for gateway, known in context.reports.evidence.items():
         parts = [one for one in known.versions if one.service == rollout.service]
-        count_report(watch.evidence, gateway, parts)
+        record_counters(watch.evidence, gateway, parts)
--- a/src/waxwingwell/experiments/gateways.py
+++ b/src/waxwingwell/experiments/gateways.py
@@ -8,15 +8,15 @@
 from statistics import mean
 from typing import TYPE_CHECKING
 
-from ..routing.load import read_use
+from ..routing.load import get_total_load
 from ..routing.placement import Demand
 from ..routing.placement import Placement
-from ..routing.placement import Surroundings
-from ..routing.placement import list_kept
+from ..routing.placement import PlacementContext
+from ..routing.placement import choose_preferred
+from ..routing.placement import draw_jitter
+from ..routing.placement import estimate_cost
+from ..routing.placement import list_pool_members
 from ..routing.placement import place_request
-from ..routing.placement import prefer_for
-from ..routing.placement import scatter
-from ..routing.placement import weigh_upstream
 from .measures import pick_quantile
 from .placing import Deployment
 from .placing import PlacementPolicy
@@ -67,38 +67,40 @@
 def place_at_random(
     demand: Demand,
     candidates: list[Announcement],
-    context: Surroundings,
+    context: PlacementContext,
     now: float,
     draw: Callable[[], float],
 ) -> Placement | None:
     """Choose any engine of the pool at random."""
-    pool = list_kept(demand, candidates)
+    pool = list_pool_members(demand, candidates)
     chosen = pool[int(draw() * len(pool))]
-    return weigh_upstream(demand, chosen, context, now, preferred="")
+    return estimate_cost(demand, chosen, context, now, preferred="")
 
 
 def place_least_running(
     demand: Demand,
     candidates: list[Announcement],
-    context: Surroundings,
+    context: PlacementContext,
     now: float,
     draw: Callable[[], float],
 ) -> Placement | None:
     """Choose the engine of the pool with the fewest requests by the totals."""
-    pool = list_kept(demand, candidates)
-    chosen = min(pool, key=lambda one: read_use(context.load, one.upstream).running)
-    return weigh_upstream(demand, chosen, context, now, preferred="")
+    pool = list_pool_members(demand, candidates)
+    chosen = min(
+        pool, key=lambda one: get_total_load(context.load, one.upstream).running
+    )
+    return estimate_cost(demand, chosen, context, now, preferred="")
 
 
 def place_by_sample(
     demand: Demand,
     candidates: list[Announcement],
-    context: Surroundings,
+    context: PlacementContext,
     now: float,
     draw: Callable[[], float],
 ) -> Placement | None:
     """Choose between two random engines of the pool by the product's rule."""
-    pool = list_kept(demand, candidates)
+    pool = list_pool_members(demand, candidates)
     pair = [pool[int(draw() * len(pool))] for _ in range(2)]
     return place_request(demand, pair, context, now, draw)
 
@@ -106,17 +108,17 @@
 def place_at_lowest_cost(
     demand: Demand,
     candidates: list[Announcement],
-    context: Surroundings,
+    context: PlacementContext,
     now: float,
     draw: Callable[[], float],
 ) -> Placement | None:
     """Choose the engine with the lowest cost of all, with jitter on each cost."""
-    preferred = prefer_for(demand, candidates, context.data_centre)
+    preferred = choose_preferred(demand, candidates, context.data_centre)
     estimates = [
-        weigh_upstream(demand, one, context, now, preferred=preferred)
+        estimate_cost(demand, one, context, now, preferred=preferred)
         for one in candidates
     ]
-    return min(estimates, key=lambda placement: placement.cost * scatter(draw))
+    return min(estimates, key=lambda placement: placement.cost * draw_jitter(draw))
 
 
 POLICIES: dict[str, PlacementPolicy] = {
--- a/src/waxwingwell/experiments/placing.py
+++ b/src/waxwingwell/experiments/placing.py
@@ -18,25 +18,25 @@
 from ..routing.fleet import UpstreamState
 from ..routing.health import HealthTable
 from ..routing.load import LoadTable
-from ..routing.load import begin_use
-from ..routing.load import end_prefill
-from ..routing.load import end_use
-from ..routing.load import list_use
-from ..routing.load import take_sum
+from ..routing.load import add_running
+from ..routing.load import apply_totals
+from ..routing.load import list_own_load
+from ..routing.load import remove_backlog
+from ..routing.load import remove_running
 from ..routing.messages import UpstreamUse
 from ..routing.placement import Demand
 from ..routing.placement import Placement
-from ..routing.placement import Surroundings
+from ..routing.placement import PlacementContext
 from ..routing.pools import Pool
 from ..routing.pools import list_pool
-from ..routing.prefixes import Part
 from ..routing.prefixes import PrefixTable
-from ..routing.prefixes import drop_news
-from ..routing.prefixes import list_news
-from ..routing.prefixes import note_parts
-from ..routing.prefixes import take_told
+from ..routing.prefixes import PromptBlock
+from ..routing.prefixes import apply_reported_blocks
+from ..routing.prefixes import list_unreported_blocks
+from ..routing.prefixes import mark_reported
+from ..routing.prefixes import record_blocks
 from ..routing.records import Service
-from ..routing.reports import add_use
+from ..routing.reports import sum_use
 
 
 TOTALS_INTERVAL_SECONDS = 0.25
@@ -121,7 +121,7 @@
 
 
 PlacementPolicy = Callable[
-    [Demand, list[Announcement], Surroundings, float, Callable[[], float]],
+    [Demand, list[Announcement], PlacementContext, float, Callable[[], float]],
     Placement | None,
 ]
 
@@ -214,7 +214,7 @@
     schedule(run, now + run.random.expovariate(kind.rate), arrive)
 
 
-def draw_blocks(run: PlacementRun, kind: StreamKind) -> tuple[Part, ...]:
+def draw_blocks(run: PlacementRun, kind: StreamKind) -> tuple[PromptBlock, ...]:
     """Return the prompt blocks of a new request."""
     subject = run.random.randrange(kind.subjects)
     return (
@@ -228,7 +228,7 @@
     run: PlacementRun,
     gateway: Gateway,
     kind: StreamKind,
-    blocks: tuple[Part, ...],
+    blocks: tuple[PromptBlock, ...],
     model: str,
     now: float,
 ) -> None:
@@ -244,11 +244,11 @@
         ),
         model=model,
         prompt_tokens=sum(tokens for _, tokens in blocks),
-        parts=blocks,
+        prompt_blocks=blocks,
         token_ms=deployment.prefill_ms[model_index],
         pool=pool,
     )
-    context = Surroundings(
+    context = PlacementContext(
         data_centre=gateway.data_centre,
         load=gateway.load,
         health=gateway.health,
@@ -262,7 +262,7 @@
     engine = run.engines[placement.upstream.upstream]
     found = prefill_prompt(engine, deployment, model, blocks)
     uncached = demand.prompt_tokens - found
-    begin_use(gateway.load, engine.announcement.upstream, placement.work)
+    add_running(gateway.load, engine.announcement.upstream, placement.work)
     engine.prefill_done_at = (
         max(engine.prefill_done_at, now) + uncached * demand.token_ms / 1000
     )
@@ -271,8 +271,8 @@
     escalates = model_index == 0 and run.random.random() < deployment.escalation_share
 
     def on_first_event(at: float) -> None:
-        end_prefill(gateway.load, engine.announcement.upstream, placement.work)
-        note_parts(gateway.prefixes, engine.announcement.upstream, model, blocks, at)
+        remove_backlog(gateway.load, engine.announcement.upstream, placement.work)
+        record_blocks(gateway.prefixes, engine.announcement.upstream, model, blocks, at)
         if escalates:
             on_end(at)
             send(run, gateway, kind, blocks, MODELS[1], at)
@@ -285,7 +285,7 @@
 
     def on_end(at: float) -> None:
         engine.running -= 1
-        end_use(gateway.load, engine.announcement.upstream)
+        remove_running(gateway.load, engine.announcement.upstream)
 
     schedule(run, first_at, on_first_event)
 
@@ -294,7 +294,7 @@
     run: PlacementRun,
     gateway: Gateway,
     engine: Engine,
-    blocks: tuple[Part, ...],
+    blocks: tuple[PromptBlock, ...],
     wait: float,
     found: int,
     now: float,
@@ -314,7 +314,7 @@
 
 
 def prefill_prompt(
-    engine: Engine, deployment: Deployment, model: str, blocks: tuple[Part, ...]
+    engine: Engine, deployment: Deployment, model: str, blocks: tuple[PromptBlock, ...]
 ) -> int:
     """Prefill a prompt, update the cache, and return the tokens found in it."""
     found = 0
@@ -343,19 +343,19 @@
     """Collect the reports of all gateways, and send each the totals after a delay."""
     reported_blocks: list[int] = []
     for gateway in run.gateways:
-        gateway.reported = list_use(gateway.load)
-        unreported = list_news(gateway.prefixes)
-        drop_news(gateway.prefixes, unreported)
+        gateway.reported = list_own_load(gateway.load)
+        unreported = list_unreported_blocks(gateway.prefixes)
+        mark_reported(gateway.prefixes, unreported)
         reported_blocks += unreported
 
     reported = [gateway.reported for gateway in run.gateways]
-    total = add_use(use for one in reported for use in one)
+    total = sum_use(use for one in reported for use in one)
 
     def deliver(at: float) -> None:
         for gateway, ours in zip(run.gateways, reported, strict=True):
             count = len(run.gateways)
-            take_sum(gateway.load, total, ours, work=0.0, gateways=count, now=at)
-            take_told(gateway.prefixes, reported_blocks, at)
+            apply_totals(gateway.load, total, ours, work=0.0, gateways=count, now=at)
+            apply_reported_blocks(gateway.prefixes, reported_blocks, at)
 
     schedule(run, now + TOTALS_INTERVAL_SECONDS, deliver)
     schedule(run, now + TOTALS_INTERVAL_SECONDS, lambda at: exchange_totals(run, at))
--- a/src/waxwingwell/routing/admission.py
+++ b/src/waxwingwell/routing/admission.py
@@ -10,7 +10,7 @@
 
 MIN_RETRY_AFTER_SECONDS = 0.2
 """Shortest retry delay: a caller that retries sooner finds the same queue."""
-LONGEST_PART = 0.33
+MAX_RETRY_AFTER_PART = 0.33
 """Longest retry delay, as a part of the time that the caller has left."""
 
 
@@ -24,9 +24,9 @@
     return wait <= remaining
 
 
-def choose_pause(wait: float, remaining: float) -> float:
+def choose_retry_after(wait: float, remaining: float) -> float:
     """Return the seconds after which a refused caller may retry.
 
     By then the queue ahead of the request has drained, if the time left allows it.
     """
-    return max(min(wait, remaining * LONGEST_PART), MIN_RETRY_AFTER_SECONDS)
+    return max(min(wait, remaining * MAX_RETRY_AFTER_PART), MIN_RETRY_AFTER_SECONDS)
--- a/src/waxwingwell/routing/fleet.py
+++ b/src/waxwingwell/routing/fleet.py
@@ -58,7 +58,7 @@
 class Upstream:
     """Latest announcement of an upstream, and when it or a heartbeat was received."""
 
-    news: Announcement
+    announcement: Announcement
     heard_at: float
 
 
@@ -86,18 +86,22 @@
     )
 
 
-def take_news(table: FleetTable, announcement: Announcement, now: float) -> bool:
+def apply_announcement(
+    table: FleetTable, announcement: Announcement, now: float
+) -> bool:
     """Apply an announcement; return whether it changed what placement depends on."""
     held = table.upstreams.get(announcement.upstream)
     if held is None:
         table.upstreams[announcement.upstream] = Upstream(announcement, now)
         return True
 
-    if not is_newer(announcement, held.news):
+    if not is_newer(announcement, held.announcement):
         return False
 
-    changed = list_placement_fields(held.news) != list_placement_fields(announcement)
-    held.news = announcement
+    changed = list_placement_fields(held.announcement) != list_placement_fields(
+        announcement
+    )
+    held.announcement = announcement
     held.heard_at = now
     return changed
 
@@ -115,17 +119,22 @@
     )
 
 
-def refresh(
+def apply_heartbeats(
     table: FleetTable, heard: Iterable[tuple[str, int, int]], now: float
 ) -> None:
     """Record heartbeats of upstreams: id, incarnation, sequence number."""
     for upstream, incarnation, sequence in heard:
         held = table.upstreams.get(upstream)
-        if held is None or held.news.incarnation != incarnation:
+        if held is None or held.announcement.incarnation != incarnation:
             continue
 
-        if held.news.state is not UpstreamState.GONE and sequence > held.news.sequence:
-            held.news = msgspec.structs.replace(held.news, sequence=sequence)
+        if (
+            held.announcement.state is not UpstreamState.GONE
+            and sequence > held.announcement.sequence
+        ):
+            held.announcement = msgspec.structs.replace(
+                held.announcement, sequence=sequence
+            )
             held.heard_at = now
 
 
@@ -150,7 +159,7 @@
     """
     newest: dict[tuple[str, int], Announcement] = {}
     for held in table.upstreams.values():
-        announcement = held.news
+        announcement = held.announcement
         if announcement.state is UpstreamState.GONE:
             continue
 
--- a/src/waxwingwell/routing/health.py
+++ b/src/waxwingwell/routing/health.py
@@ -40,7 +40,9 @@
     upstreams: dict[str, Health] = field(default_factory=dict)
 
 
-def note_answer(table: HealthTable, upstream: str, now: float, *, failed: bool) -> None:
+def record_response(
+    table: HealthTable, upstream: str, now: float, *, failed: bool
+) -> None:
     """Count a response, or the lack of one as a failure."""
     health = table.upstreams.setdefault(upstream, Health(updated_at=now))
     decay(health, now)
@@ -51,7 +53,7 @@
         health.backoff = 0.0
 
 
-def note_unreachable(table: HealthTable, upstream: str, now: float) -> None:
+def record_unreachable(table: HealthTable, upstream: str, now: float) -> None:
     """Start a back-off, twice as long as the last one if the upstream still fails."""
     health = table.upstreams.setdefault(upstream, Health(updated_at=now))
     if now < health.backoff_until:
--- a/src/waxwingwell/routing/silence.py
+++ b/src/waxwingwell/routing/idle_timeout.py
@@ -18,7 +18,7 @@
 """Multiple of the expected wait allowed for a first event."""
 
 
-def silence_limit(*, started: bool, expected: float) -> float:
+def find_idle_timeout(*, started: bool, expected: float) -> float:
     """Return the seconds without data after which an upstream is unresponsive.
 
     ``expected`` is the estimated wait for the first event, in seconds.
--- a/src/waxwingwell/routing/load.py
+++ b/src/waxwingwell/routing/load.py
@@ -60,7 +60,7 @@
     """Time at which that number was last reported."""
 
 
-def note_work(table: LoadTable, work: float, now: float) -> None:
+def record_prefill(table: LoadTable, work: float, now: float) -> None:
     """Record the prefill work of a request that is sent, in milliseconds."""
     table.recent_prefills.append((now, work))
     while (
@@ -88,7 +88,7 @@
 
     Without recent totals, each other gateway is assumed to send as much as this one.
     """
-    work = read_work(table, now)
+    work = sum_recent_prefill(table, now)
     if now - table.others_at <= MAX_TOTAL_AGE_SECONDS:
         work += table.others_prefill_ms
     else:
@@ -97,27 +97,27 @@
     return work / (1000.0 * USAGE_WINDOW_SECONDS * max(engines, 1))
 
 
-def read_work(table: LoadTable, now: float) -> float:
+def sum_recent_prefill(table: LoadTable, now: float) -> float:
     """Return the milliseconds of prefill that this gateway requested recently."""
     since = now - USAGE_WINDOW_SECONDS
     return sum(amount for at, amount in table.recent_prefills if at >= since)
 
 
-def begin_use(table: LoadTable, upstream: str, work: float) -> None:
+def add_running(table: LoadTable, upstream: str, work: float) -> None:
     """Count a request that is sent to an upstream."""
     use = table.own.setdefault(upstream, UpstreamLoad())
     use.running += 1
     use.backlog += work
 
 
-def end_prefill(table: LoadTable, upstream: str, work: float) -> None:
+def remove_backlog(table: LoadTable, upstream: str, work: float) -> None:
     """Remove the prefill of a request from the backlog."""
     use = table.own.get(upstream)
     if use is not None:
         use.backlog = max(use.backlog - work, 0.0)
 
 
-def end_use(table: LoadTable, upstream: str) -> None:
+def remove_running(table: LoadTable, upstream: str) -> None:
     """Stop counting a request that has ended."""
     use = table.own.get(upstream)
     if use is None:
@@ -128,7 +128,7 @@
         del table.own[upstream]
 
 
-def list_use(table: LoadTable) -> tuple[UpstreamUse, ...]:
+def list_own_load(table: LoadTable) -> tuple[UpstreamUse, ...]:
     """Return this gateway's own load, to be reported to the others."""
     return tuple(
         UpstreamUse(upstream=name, running=use.running, backlog=round(use.backlog))
@@ -136,7 +136,7 @@
     )
 
 
-def take_sum(
+def apply_totals(
     table: LoadTable,
     total: Iterable[UpstreamUse],
     reported: Iterable[UpstreamUse],
@@ -163,7 +163,7 @@
         table.peak_at = now
 
 
-def read_use(table: LoadTable, upstream: str) -> UpstreamLoad:
+def get_total_load(table: LoadTable, upstream: str) -> UpstreamLoad:
     """Return the load that all gateways together have at an upstream."""
     own = table.own.get(upstream)
     other = table.others.get(upstream)
--- a/src/waxwingwell/routing/models.py
+++ b/src/waxwingwell/routing/models.py
@@ -59,7 +59,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Stake:
+class EscalationInputs:
     """Inputs of the decision on an escalation: its expected cost and gain."""
 
     output_tokens: int
@@ -77,7 +77,7 @@
     """Share of the larger model's engines' time spent on prefill."""
 
 
-def is_sized(route: Route, wanted: str) -> bool:
+def has_model_choice(route: Route, wanted: str) -> bool:
     """Return whether the gateway chooses the model."""
     return len(route.models) > 0 and wanted == ANY_MODEL
 
@@ -89,13 +89,13 @@
 
 def find_pool(route: Route, wanted: str, model: str) -> Pool:
     """Return the pool of engines for a model; any, unless the gateway chose it."""
-    if not is_sized(route, wanted) or len(route.models) < 2:
+    if not has_model_choice(route, wanted) or len(route.models) < 2:
         return Pool.ANY
 
     return Pool.SMALL if model == first_model(route) else Pool.LARGE
 
 
-def wants_larger(confidence: float, stake: Stake) -> bool:
+def should_escalate(confidence: float, stake: EscalationInputs) -> bool:
     """Return whether to escalate to a larger model after the smallest one's response.
 
     The gain must exceed the price, both as parts of a good response's value. The price
@@ -105,10 +105,10 @@
     on_time = estimate_on_time_probability(stake.pressure)
     larger = LATE_VALUE + (1.0 - LATE_VALUE) * on_time
     gain = larger - (1.0 - estimate_poor_probability(confidence))
-    return gain > find_price(stake)
+    return gain > estimate_price(stake)
 
 
-def weigh_size(
+def update_request_weight(
     typical_sizes: dict[str, float], route: str, prompt_tokens: int, output_tokens: int
 ) -> float:
     """Return a request's value relative to its route's typical request.
@@ -132,7 +132,7 @@
     return min(max((LATE_PRESSURE - pressure) / range_width, 0.0), 1.0)
 
 
-def find_price(stake: Stake) -> float:
+def estimate_price(stake: EscalationInputs) -> float:
     """Return the price of an escalation, as a part of a good response's value."""
     value = TOKEN_VALUE * max(stake.output_tokens, 1) * stake.weight
     billed_tokens = (
--- a/src/waxwingwell/routing/placement.py
+++ b/src/waxwingwell/routing/placement.py
@@ -13,9 +13,9 @@
 from .health import failure_rate
 from .health import is_backing_off
 from .load import LoadTable
-from .load import read_use
-from .prefixes import Part
+from .load import get_total_load
 from .prefixes import PrefixTable
+from .prefixes import PromptBlock
 from .prefixes import estimate_cached_tokens
 from .prefixes import prefer_upstream
 from .records import Service
@@ -64,7 +64,7 @@
     service: Service
     model: str = ""
     prompt_tokens: int = 0
-    parts: tuple[Part, ...] = ()
+    prompt_blocks: tuple[PromptBlock, ...] = ()
     token_ms: float = 0.02
     """Milliseconds of prefill per prompt token of the model."""
     pool: frozenset[str] = frozenset()
@@ -72,7 +72,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Surroundings:
+class PlacementContext:
     """State of a gateway that placement depends on."""
 
     data_centre: str
@@ -100,7 +100,7 @@
 def place_request(
     demand: Demand,
     candidates: Collection[Announcement],
-    context: Surroundings,
+    context: PlacementContext,
     now: float,
     draw: Callable[[], float],
 ) -> Placement | None:
@@ -120,17 +120,17 @@
     if not usable:
         return None
 
-    preferred = prefer_for(demand, usable, context.data_centre)
+    preferred = choose_preferred(demand, usable, context.data_centre)
     compared = usable
     if len(usable) > MAX_COMPARED_UPSTREAMS:
         compared = draw_sample(demand, usable, context.data_centre, draw)
         compared += find_best_cached(demand, usable, context, now, preferred=preferred)
 
     placements = [
-        weigh_upstream(demand, one, context, now, preferred=preferred)
+        estimate_cost(demand, one, context, now, preferred=preferred)
         for one in compared
     ]
-    return min(placements, key=lambda placement: placement.cost * scatter(draw))
+    return min(placements, key=lambda placement: placement.cost * draw_jitter(draw))
 
 
 def draw_sample(
@@ -144,7 +144,7 @@
     Choosing the best of a few random upstreams spreads requests evenly, regardless of
     the number of gateways and the age of the totals.
     """
-    members = list_kept(demand, usable)
+    members = list_pool_members(demand, usable)
     local = [one for one in members if one.data_centre == data_centre]
     other_pool = [
         one for one in usable if demand.pool and one.upstream not in demand.pool
@@ -156,19 +156,19 @@
 def find_best_cached(
     demand: Demand,
     usable: list[Announcement],
-    context: Surroundings,
+    context: PlacementContext,
     now: float,
     *,
     preferred: str,
 ) -> list[Announcement]:
     """Return the upstream with the most expected cached tokens, if any has some."""
-    if not demand.parts:
+    if not demand.prompt_blocks:
         return []
 
     expected, best = max(
         (
             (estimate_cached(demand, one, context, now, preferred=preferred), one)
-            for one in list_kept(demand, usable)
+            for one in list_pool_members(demand, usable)
         ),
         key=lambda pair: pair[0],
     )
@@ -178,7 +178,7 @@
 def estimate_cached(
     demand: Demand,
     upstream: Announcement,
-    context: Surroundings,
+    context: PlacementContext,
     now: float,
     *,
     preferred: str,
@@ -188,49 +188,51 @@
         context.prefixes,
         upstream.upstream,
         demand.model,
-        demand.parts,
+        demand.prompt_blocks,
         now,
         preferred=upstream.upstream == preferred,
     )
 
 
-def list_kept(demand: Demand, usable: list[Announcement]) -> list[Announcement]:
+def list_pool_members(demand: Demand, usable: list[Announcement]) -> list[Announcement]:
     """Return the upstreams in the pool of a request's model, or all if none is."""
     members = [one for one in usable if one.upstream in demand.pool]
     return members or usable
 
 
-def scatter(draw: Callable[[], float]) -> float:
+def draw_jitter(draw: Callable[[], float]) -> float:
     """Return a random cost factor, so that gateways don't choose alike."""
     return 1.0 + JITTER * draw()
 
 
-def prefer_for(demand: Demand, usable: list[Announcement], data_centre: str) -> str:
+def choose_preferred(
+    demand: Demand, usable: list[Announcement], data_centre: str
+) -> str:
     """Return the upstream that should cache the longest shared prefix of the prompt.
 
     Each data centre that has an upstream in the model's pool has one of its own.
     """
-    shared = demand.parts[:-1]
+    shared = demand.prompt_blocks[:-1]
     if not shared:
         return ""
 
     part = shared[-1][0]
-    members = list_kept(demand, usable)
+    members = list_pool_members(demand, usable)
     local = [one.upstream for one in members if one.data_centre == data_centre]
     names = local or [one.upstream for one in members]
     return prefer_upstream(names, f"{demand.model}/{part}")
 
 
-def weigh_upstream(
+def estimate_cost(
     demand: Demand,
     upstream: Announcement,
-    context: Surroundings,
+    context: PlacementContext,
     now: float,
     *,
     preferred: str,
 ) -> Placement:
     """Return an upstream with its expected wait and cost for a request."""
-    use = read_use(context.load, upstream.upstream)
+    use = get_total_load(context.load, upstream.upstream)
     wait = 1.0
     if upstream.data_centre != context.data_centre:
         wait += REMOTE_STREAM_MS if demand.service.memory_tokens else REMOTE_MS
--- a/src/waxwingwell/routing/speeds.py
+++ b/src/waxwingwell/routing/prefill_speed.py
@@ -39,7 +39,7 @@
     samples: dict[str, int] = field(default_factory=dict)
 
 
-def guess_speed(table: SpeedTable, models: Sequence[str], model: str) -> float:
+def estimate_token_ms(table: SpeedTable, models: Sequence[str], model: str) -> float:
     """Return the estimated milliseconds of prefill per prompt token of a model."""
     speed = table.token_ms.get(model)
     if speed is not None:
@@ -52,14 +52,14 @@
     )
 
 
-def learn_speed(
+def record_prefill_time(
     table: SpeedTable, models: Sequence[str], model: str, tokens: int, took_ms: float
 ) -> None:
     """Update the estimate with the time that a prompt took on an idle upstream."""
     if tokens < MIN_SAMPLE_TOKENS:
         return
 
-    guess = guess_speed(table, models, model)
+    guess = estimate_token_ms(table, models, model)
     sample = max(took_ms - FIRST_EVENT_OVERHEAD_MS, 0.1) / tokens
     sample = min(max(sample, guess / MAX_SAMPLE_FACTOR), guess * MAX_SAMPLE_FACTOR)
     table.samples[model] = table.samples.get(model, 0) + 1
--- a/src/waxwingwell/routing/prefixes.py
+++ b/src/waxwingwell/routing/prefixes.py
@@ -40,7 +40,7 @@
 """Time for which reports must have come without a gap before a block's absence from
 them is taken into account."""
 
-Part = tuple[str, int]
+PromptBlock = tuple[str, int]
 """Id of a prompt block, and its number of tokens."""
 
 
@@ -67,8 +67,12 @@
     return hash_text(upstream) ^ hash_text(f"{model}/{block}")
 
 
-def note_parts(
-    table: PrefixTable, upstream: str, model: str, blocks: tuple[Part, ...], now: float
+def record_blocks(
+    table: PrefixTable,
+    upstream: str,
+    model: str,
+    blocks: tuple[PromptBlock, ...],
+    now: float,
 ) -> None:
     """Record that an upstream has processed the blocks of a prompt.
 
@@ -92,18 +96,20 @@
         table.prefilled_at.popitem(last=False)
 
 
-def list_news(table: PrefixTable) -> tuple[int, ...]:
+def list_unreported_blocks(table: PrefixTable) -> tuple[int, ...]:
     """Return the blocks for the next report."""
     return tuple(table.unreported)[:MAX_REPORTED_BLOCKS]
 
 
-def drop_news(table: PrefixTable, reported: Iterable[int]) -> None:
+def mark_reported(table: PrefixTable, reported: Iterable[int]) -> None:
     """Remove blocks that have been reported."""
     for key in reported:
         table.unreported.pop(key, None)
 
 
-def take_told(table: PrefixTable, reported: Iterable[int], now: float) -> None:
+def apply_reported_blocks(
+    table: PrefixTable, reported: Iterable[int], now: float
+) -> None:
     """Store blocks that the other gateways have reported."""
     if now - table.reported_at > MAX_TOTAL_AGE_SECONDS:
         table.reporting_since = now
@@ -116,7 +122,7 @@
     table: PrefixTable,
     upstream: str,
     model: str,
-    blocks: tuple[Part, ...],
+    blocks: tuple[PromptBlock, ...],
     now: float,
     *,
     preferred: bool,
--- a/src/waxwingwell/routing/reports.py
+++ b/src/waxwingwell/routing/reports.py
@@ -30,7 +30,7 @@
 USE_TTL_SECONDS = 1.0
 """Seconds for which a gateway's reported load counts. A gateway that has attached to
 another control is counted at both for as long."""
-REPORT_LIFE = 3.0
+REPORT_TTL_SECONDS = 3.0
 """Seconds without a report after which a gateway is dropped."""
 EVIDENCE_RESEND_SECONDS = 2.0
 """Seconds after which unchanged evidence is sent again, as a link may have been
@@ -80,7 +80,7 @@
 class ReportTable:
     """Reports that a control has received."""
 
-    homed: dict[str, GatewayEntry] = field(default_factory=dict)
+    attached: dict[str, GatewayEntry] = field(default_factory=dict)
     """Reports of attached gateways, by gateway."""
     controls: dict[str, ControlEntry] = field(default_factory=dict)
     """Reports of other controls, by control."""
@@ -96,11 +96,11 @@
     """Hashes of prompt blocks for the next report to the other controls."""
 
 
-def take_report(table: ReportTable, report: GatewayReport, now: float) -> None:
+def receive_report(table: ReportTable, report: GatewayReport, now: float) -> None:
     """Store a report of an attached gateway."""
-    held = table.homed.get(report.gateway)
+    held = table.attached.get(report.gateway)
     if held is None:
-        table.homed[report.gateway] = GatewayEntry(report, now)
+        table.attached[report.gateway] = GatewayEntry(report, now)
     else:
         if report.run != held.report.run:
             record_departed(table, held)
@@ -124,7 +124,7 @@
         table.departed.append(DepartedGateway(used, held.received_at))
 
 
-def take_control_report(
+def receive_control_report(
     table: ReportTable, control: str, report: ControlReport, now: float
 ) -> None:
     """Store another control's report on the gateways attached to it."""
@@ -142,24 +142,24 @@
             queue[key] = None
 
 
-def drop_old(table: ReportTable, now: float) -> None:
+def drop_expired(table: ReportTable, now: float) -> None:
     """Drop gateways, controls and evidence without recent reports."""
-    for held in table.homed.values():
-        if now - held.received_at > REPORT_LIFE:
+    for held in table.attached.values():
+        if now - held.received_at > REPORT_TTL_SECONDS:
             record_departed(table, held)
 
     table.departed = [
         one for one in table.departed if now - one.received_at <= table.retry_window
     ]
-    table.homed = {
+    table.attached = {
         name: one
-        for name, one in table.homed.items()
-        if now - one.received_at <= REPORT_LIFE
+        for name, one in table.attached.items()
+        if now - one.received_at <= REPORT_TTL_SECONDS
     }
     table.controls = {
         name: one
         for name, one in table.controls.items()
-        if now - one.received_at <= REPORT_LIFE
+        if now - one.received_at <= REPORT_TTL_SECONDS
     }
     table.evidence = {
         name: one
@@ -177,7 +177,7 @@
     once.
     """
     evidence = []
-    for name, held in table.homed.items():
+    for name, held in table.attached.items():
         versions = held.report.evidence
         # Evidence that was sent already may be older than another control's, if the
         # gateway has attached to that one since.
@@ -198,7 +198,7 @@
         total=total,
         evidence=tuple(evidence),
         untold=tuple(
-            name for name, held in table.homed.items() if held.report.held < 0
+            name for name, held in table.attached.items() if held.report.held < 0
         ),
     )
 
@@ -207,7 +207,7 @@
     """Return the totals over the attached gateways."""
     total = sum_totals(
         make_total(held.report, fresh=now - held.received_at <= USE_TTL_SECONDS)
-        for held in table.homed.values()
+        for held in table.attached.values()
     )
     departed = (part for one in table.departed for part in one.repeats)
     repeats = sum_retries([*total.repeats, *departed])
@@ -272,7 +272,7 @@
     counted = [one for one in totals if one.gateways or one.repeats]
     return FleetReport(
         gateways=sum(one.gateways for one in counted),
-        use=add_use(use for one in counted for use in one.use),
+        use=sum_use(use for one in counted for use in one.use),
         work=sum(one.work for one in counted),
         held=min((one.held for one in counted if one.gateways), default=-1),
         kept=tuple({place for one in counted for place in one.kept}),
@@ -280,7 +280,7 @@
     )
 
 
-def add_use(parts: Iterable[UpstreamUse]) -> tuple[UpstreamUse, ...]:
+def sum_use(parts: Iterable[UpstreamUse]) -> tuple[UpstreamUse, ...]:
     """Return the sum of the load at each upstream."""
     running: dict[str, tuple[int, int]] = {}
     for part in parts:
@@ -293,13 +293,13 @@
     )
 
 
-def list_untold(table: ReportTable) -> list[str]:
+def list_unreported_gateways(table: ReportTable) -> list[str]:
     """Return the gateways that do not report which state they have.
 
     Older releases never report it. While such a gateway is connected, no session
     changes its version in the first half of a roll-out.
     """
-    names = {name for name, held in table.homed.items() if held.report.held < 0}
+    names = {name for name, held in table.attached.items() if held.report.held < 0}
     for one in table.controls.values():
         names.update(one.report.untold)
 
--- a/src/waxwingwell/routing/retries.py
+++ b/src/waxwingwell/routing/retries.py
@@ -28,7 +28,7 @@
 FAILURE_PART = 0.9
 """Part of the budget that retries after failures may use. The rest covers gateways that
 know of too few other gateways, and traffic that shifts between gateways."""
-CHOICE_PART = 0.6
+OPTIONAL_PART = 0.6
 """Part of the budget that optional retries may use, such as escalations to a larger
 model. With one part for both, escalations use up the budget, and broken streams are not
 resumed."""
@@ -92,7 +92,7 @@
     """Gateways that share the budget."""
     began_at: float = -math.inf
     """Start time of this gateway."""
-    phase: float = 0.5
+    initial_credit: float = 0.5
     """Initial credit, chosen at random below 1. With equal values all gateways would
     reach the credit of a whole retry at the same time, or none of them ever."""
 
@@ -101,7 +101,7 @@
     """Return a service's account after removing entries older than ``since``."""
     account = table.accounts.get(service)
     if account is None:
-        account = table.accounts[service] = ServiceAccount(credit=table.phase)
+        account = table.accounts[service] = ServiceAccount(credit=table.initial_credit)
 
     for times in (account.requests, account.retries):
         while times and times[0] < since:
@@ -110,14 +110,14 @@
     return account
 
 
-def note_request(
+def record_request(
     table: RetryTable, service: str, now: float, limits: RetryLimits
 ) -> None:
     """Record a caller's request."""
     find_account(table, service, now - limits.window).requests.append(now)
 
 
-def note_repeat(
+def record_retry(
     table: RetryTable, service: str, now: float, limits: RetryLimits
 ) -> None:
     """Record a retry, and charge it to the credit if the own part is used up."""
@@ -128,7 +128,7 @@
     account.credit = max(account.credit - drawn, 0.0)
 
 
-def list_repeats(
+def list_retries(
     table: RetryTable, limits: RetryLimits, now: float
 ) -> tuple[ServiceRepeats, ...]:
     """Return this gateway's counts by service, to be reported to the others."""
@@ -192,7 +192,7 @@
     return tuple(totals.values())
 
 
-def take_repeats(
+def apply_retry_totals(
     table: RetryTable,
     total: Iterable[ServiceRepeats],
     reported: Iterable[ServiceRepeats],
@@ -214,7 +214,7 @@
     table.others_at = now
 
 
-def may_repeat(
+def may_retry(
     table: RetryTable,
     service: str,
     limits: RetryLimits,
--- a/src/waxwingwell/routing/rollouts.py
+++ b/src/waxwingwell/routing/rollouts.py
@@ -69,7 +69,7 @@
     as long as gateways restart.
     """
 
-    counted: dict[tuple[str, str], Evidence] = field(default_factory=dict)
+    last_counters: dict[tuple[str, str], Evidence] = field(default_factory=dict)
     """Latest counters by gateway and version."""
     totals: dict[str, Evidence] = field(default_factory=dict)
     """Totals over the gateways and their restarts, by version."""
@@ -87,15 +87,15 @@
 
 def hash_share(key: str) -> float:
     """Return a hash from 0 to 1 that is the same at all gateways."""
-    return share_of(xxh32_intdigest(key.encode()))
+    return position_to_share(xxh32_intdigest(key.encode()))
 
 
-def hash_place(rollout: RolloutState, session: str) -> int:
+def hash_session(rollout: RolloutState, session: str) -> int:
     """Return a session's hash position in a roll-out, the same at all gateways."""
     return xxh32_intdigest(f"{rollout.ordered_at}/{session}".encode())
 
 
-def share_of(place: int) -> float:
+def position_to_share(place: int) -> float:
     """Return the share of sessions with a lower hash position than ``place``."""
     return place / MAX_HASH
 
@@ -124,7 +124,7 @@
     )
 
 
-def count_report(
+def record_counters(
     table: EvidenceTable, gateway: str, parts: Sequence[VersionEvidence]
 ) -> None:
     """Add the increase of a gateway's counters of a service since its last report.
@@ -132,15 +132,15 @@
     Missing counters mean that the process has restarted, and its counters with it.
     """
     present = {part.version for part in parts}
-    for key in [key for key in table.counted if key[0] == gateway]:
+    for key in [key for key in table.last_counters if key[0] == gateway]:
         if key[1] not in present:
-            del table.counted[key]
+            del table.last_counters[key]
 
     for part in parts:
         key = (gateway, part.version)
         latest = add_evidence([part])
-        gained = subtract_evidence(latest, table.counted.get(key, Evidence()))
-        table.counted[key] = latest
+        gained = subtract_evidence(latest, table.last_counters.get(key, Evidence()))
+        table.last_counters[key] = latest
         total = table.totals.get(part.version, Evidence())
         table.totals[part.version] = add_evidence([total, gained])
 
--- a/src/waxwingwell/routing/sessions.py
+++ b/src/waxwingwell/routing/sessions.py
@@ -14,8 +14,8 @@
 
 from .rollouts import FIRST_SHARE
 from .rollouts import MIGRATION_SHARE
-from .rollouts import hash_place
-from .rollouts import share_of
+from .rollouts import hash_session
+from .rollouts import position_to_share
 
 
 if TYPE_CHECKING:
@@ -51,7 +51,7 @@
     knew their first share before it was reported."""
 
 
-def begin_session(
+def start_session(
     table: SessionTable, service: str, session: str, version: str, now: float
 ) -> None:
     """Record that a session's request is sent to a version."""
@@ -60,7 +60,7 @@
     record_session(table, key, version, now)
 
 
-def end_session(
+def finish_session(
     table: SessionTable, service: str, session: str, version: str, now: float
 ) -> None:
     """Record that a session's request has ended."""
@@ -82,7 +82,7 @@
         table.last.popitem(last=False)
 
 
-def find_last(
+def find_last_version(
     table: SessionTable, key: SessionKey, now: float
 ) -> tuple[str, float] | None:
     """Return a session's last version at this gateway, and the time of its use."""
@@ -93,7 +93,7 @@
     return last[0], now
 
 
-def list_kept(
+def list_kept_sessions(
     table: SessionTable,
     rollouts: Iterable[RolloutState],
     session_life: float,
@@ -111,8 +111,11 @@
         if rollout is None or key not in table.last:
             continue
 
-        position = hash_place(rollout, session)
-        if table.last[key][0] != rollout.target and share_of(position) < FIRST_SHARE:
+        position = hash_session(rollout, session)
+        if (
+            table.last[key][0] != rollout.target
+            and position_to_share(position) < FIRST_SHARE
+        ):
             positions.add(position)
 
     return tuple(positions)
@@ -135,7 +138,7 @@
     return rollout.state == "in_progress" and rollout.share < MIGRATION_SHARE
 
 
-def note_moves(
+def record_rollouts(
     table: SessionTable, rollouts: Iterable[RolloutState], index: int
 ) -> None:
     """Record the index in the controls' log at which first shares became known."""
@@ -150,7 +153,7 @@
     table.settled &= active
 
 
-def take_kept(table: SessionTable, kept: Iterable[int], held: int) -> None:
+def apply_kept_sessions(table: SessionTable, kept: Iterable[int], held: int) -> None:
     """Store the sessions that all gateways together keep on a former version.
 
     ``held`` is the lowest index in the controls' log among the gateways. A roll-out is
--- a/src/waxwingwell/routing/faults.py
+++ b/src/waxwingwell/routing/validation.py
@@ -15,7 +15,7 @@
     from .records import Route
 
 
-def find_faults(document: Document) -> tuple[Finding, ...]:
+def find_document_problems(document: Document) -> tuple[Finding, ...]:
     """Return all findings that prevent the document's publication."""
     return (
         *check_routes(document),
--- a/src/waxwingwell/routing/versions.py
+++ b/src/waxwingwell/routing/versions.py
@@ -9,8 +9,8 @@
 from typing import TYPE_CHECKING
 
 from .rollouts import MIGRATION_SHARE
-from .rollouts import hash_place
-from .rollouts import share_of
+from .rollouts import hash_session
+from .rollouts import position_to_share
 from .sessions import is_early
 
 
@@ -23,7 +23,7 @@
     from .messages import RolloutState
 
 
-def list_allowed(
+def list_allowed_upstreams(
     upstreams: Sequence[Announcement],
     rollout: RolloutState | None,
     *,
@@ -85,8 +85,8 @@
 
     While the share is small, an active session keeps the former version.
     """
-    place = hash_place(rollout, session)
-    if share_of(place) >= rollout.share:
+    place = hash_session(rollout, session)
+    if position_to_share(place) >= rollout.share:
         return False
 
     if rollout.share >= MIGRATION_SHARE:
--- a/tests/adapters/gateway/support.py
+++ b/tests/adapters/gateway/support.py
@@ -16,8 +16,8 @@
 from twisted.internet.testing import StringTransportWithDisconnection
 from twisted.python.failure import Failure
 
+from tests.routing.factories import make_announcement
 from tests.routing.factories import make_document
-from tests.routing.factories import make_news
 from tests.routing.factories import make_route
 from waxwingwell.adapters.gateway.arrivals import handle_request
 from waxwingwell.adapters.gateway.context import GatewayContext
@@ -30,7 +30,7 @@
 from waxwingwell.adapters.http.records import HttpLimits
 from waxwingwell.adapters.http.server import HttpConnection
 from waxwingwell.adapters.http.server import HttpService
-from waxwingwell.routing.fleet import take_news
+from waxwingwell.routing.fleet import apply_announcement
 from waxwingwell.routing.lookup import index_document
 
 
@@ -269,7 +269,7 @@
     document = make_document(routes=(make_route(**route),))
     gateway.context.index = index_document(document)
     for name in names or ("u1", "u2", "u3"):
-        take_news(gateway.context.fleet, make_news(name), 0.0)
+        apply_announcement(gateway.context.fleet, make_announcement(name), 0.0)
 
     gateway.service = HttpService(
         reactor=gateway.reactor,
--- a/tests/adapters/gateway/test_exchange.py
+++ b/tests/adapters/gateway/test_exchange.py
@@ -5,7 +5,7 @@
 import unittest
 
 from waxwingwell.adapters.gateway.waiting import WAIT_SECONDS
-from waxwingwell.routing.load import begin_use
+from waxwingwell.routing.load import add_running
 from waxwingwell.routing.records import RouteKind
 
 from .support import LAST_CHUNK
@@ -91,7 +91,7 @@
         gateway = make_gateway("u1", "u2", kind=RouteKind.ONCE)
         for name in ("u1", "u2"):
             for _ in range(500):
-                begin_use(gateway.context.load, name, 0.0)
+                add_running(gateway.context.load, name, 0.0)
 
         caller = gateway.ask(X_Budget="5")
         self.assertEqual(gateway.upstreams, [])
--- a/tests/adapters/gateway/test_resuming.py
+++ b/tests/adapters/gateway/test_resuming.py
@@ -6,16 +6,16 @@
 from typing import Any
 from unittest import mock
 
+from tests.routing.factories import make_announcement
 from tests.routing.factories import make_document
-from tests.routing.factories import make_news
 from tests.routing.factories import make_rollout
 from tests.routing.factories import make_route
 from waxwingwell.adapters.gateway import exchange
 from waxwingwell.adapters.gateway.exchange import MAX_ATTEMPTS
 from waxwingwell.adapters.gateway.exchange import RETRY_DELAY_SECONDS
 from waxwingwell.routing.fleet import UpstreamState
-from waxwingwell.routing.fleet import take_news
-from waxwingwell.routing.load import begin_use
+from waxwingwell.routing.fleet import apply_announcement
+from waxwingwell.routing.load import add_running
 from waxwingwell.routing.lookup import index_document
 from waxwingwell.routing.records import Service
 from waxwingwell.routing.records import Target
@@ -152,8 +152,8 @@
         for response_started, attempts in ((True, 2), (False, 1)):
             with self.subTest(response_started=response_started):
                 gateway = make_sole_gateway("u1", "u2")
-                target = make_news("u3", version="v2", incarnation=5)
-                take_news(gateway.context.fleet, target, 0.0)
+                target = make_announcement("u3", version="v2", incarnation=5)
+                apply_announcement(gateway.context.fleet, target, 0.0)
                 gateway.context.rollouts = {"chat": make_rollout(share=1.0)}
                 caller = gateway.ask()
                 upstream = gateway.upstreams[0]
@@ -264,7 +264,7 @@
         gateway = make_sole_gateway("u1", "u2")
         caller, first = start_stream(gateway, X_Budget="1.7")
         for _ in range(2000):
-            begin_use(gateway.context.load, "u2", 0.0)
+            add_running(gateway.context.load, "u2", 0.0)
 
         gateway.reactor.advance(1.6)
         [running] = gateway.context.exchanges
@@ -276,10 +276,10 @@
 
     def test_changes_that_do_not_end_a_running_stream(self) -> None:
         """The stream's upstream continues it to the end despite the change."""
-        leaves = make_news("u1", sequence=2, state=UpstreamState.LEAVING)
-        gone = make_news("u1", sequence=2, state=UpstreamState.GONE)
-        port = make_news("u1").port
-        successor = make_news("other", port=port, incarnation=2)
+        leaves = make_announcement("u1", sequence=2, state=UpstreamState.LEAVING)
+        gone = make_announcement("u1", sequence=2, state=UpstreamState.GONE)
+        port = make_announcement("u1").port
+        successor = make_announcement("other", port=port, incarnation=2)
         for name, news, rollouts in (
             ("the upstream leaves", leaves, {}),
             ("the upstream is gone from the table", gone, {}),
@@ -291,7 +291,7 @@
                 gateway = make_sole_gateway("u1")
                 caller, upstream = start_stream(gateway)
                 if news is not None:
-                    take_news(gateway.context.fleet, news, 0.0)
+                    apply_announcement(gateway.context.fleet, news, 0.0)
 
                 if rollouts:
                     rollout = make_rollout(share=1.0, **rollouts)
--- a/tests/adapters/gateway/test_steering.py
+++ b/tests/adapters/gateway/test_steering.py
@@ -9,14 +9,14 @@
 
 import msgspec
 
+from tests.routing.factories import make_announcement
 from tests.routing.factories import make_document
-from tests.routing.factories import make_news
 from tests.routing.factories import make_rollout
 from waxwingwell.adapters.gateway.choice import list_candidates
 from waxwingwell.adapters.gateway.steering import apply_routing
 from waxwingwell.adapters.gateway.steering import send_report
 from waxwingwell.adapters.gateway.steering import take_cast
-from waxwingwell.routing.fleet import take_news
+from waxwingwell.routing.fleet import apply_announcement
 from waxwingwell.routing.messages import FleetReport
 from waxwingwell.routing.messages import RolloutState
 from waxwingwell.routing.messages import ShareHeartbeats
@@ -25,8 +25,8 @@
 from waxwingwell.routing.messages import ShareRouting
 from waxwingwell.routing.messages import UpstreamUse
 from waxwingwell.routing.rollouts import FIRST_SHARE
-from waxwingwell.routing.rollouts import hash_place
-from waxwingwell.routing.rollouts import share_of
+from waxwingwell.routing.rollouts import hash_session
+from waxwingwell.routing.rollouts import position_to_share
 
 from .support import make_gateway
 
@@ -101,7 +101,7 @@
 
     def test_an_announced_departure_applies_at_once(self) -> None:
         gateway = make_gateway("u1", "u2")
-        leaving = make_news("u1", state="leaving", sequence=9)
+        leaving = make_announcement("u1", state="leaving", sequence=9)
         take_cast(gateway.context, "control", ShareNews(news=(leaving,)))
         self.assertEqual(self.list_names(gateway), {"u2"})
 
@@ -226,7 +226,9 @@
         [report] = sent
         self.assertEqual(report.held, 1)
         total = FleetReport(gateways=2, use=(), held=report.held, kept=report.kept)
-        take_news(other.context.fleet, make_news("n1", version="v2"), 0.0)
+        apply_announcement(
+            other.context.fleet, make_announcement("n1", version="v2"), 0.0
+        )
         take_cast(other.context, "control", total)
         found = {
             session: list_candidates(other.context, "chat", session, 0.1)[0].version
@@ -246,7 +248,7 @@
     return [
         name
         for name in map(str, range(400))
-        if share_of(hash_place(rollout, name)) < FIRST_SHARE
+        if position_to_share(hash_session(rollout, name)) < FIRST_SHARE
     ]
 
 
--- a/tests/adapters/registry/test_hub.py
+++ b/tests/adapters/registry/test_hub.py
@@ -8,7 +8,7 @@
 from typing import cast
 from unittest import mock
 
-from tests.routing.factories import make_news
+from tests.routing.factories import make_announcement
 from waxwingwell.adapters.registry import hub
 from waxwingwell.adapters.registry.api import announce
 from waxwingwell.adapters.registry.api import withdraw
@@ -48,7 +48,7 @@
         for remote in ("gateway-1", "127.0.0.2"):
             with self.subTest(remote=remote):
                 registry = make_registry()
-                announce(registry.context, make_news("u1"))
+                announce(registry.context, make_announcement("u1"))
                 connection = registry.accept(remote)
                 handle_connection(registry.context, connection)
                 self.assertEqual(find_announced(connection.sent), ["u1"])
@@ -63,7 +63,7 @@
         handle_connection(registry.context, gateway)
         control = cast("Any", registry.context.controls["127.0.0.2"]).protocol
         for name, step in (
-            ("new", lambda: announce(registry.context, make_news("u1"))),
+            ("new", lambda: announce(registry.context, make_announcement("u1"))),
             ("leaving", lambda: withdraw(registry.context, "u1", 1)),
         ):
             with self.subTest(name):
@@ -82,9 +82,9 @@
         registry = make_registry()
         gateway = registry.accept("gateway-1")
         handle_connection(registry.context, gateway)
-        announce(registry.context, make_news("u1"))
+        announce(registry.context, make_announcement("u1"))
         sent = len(gateway.sent)
-        announce(registry.context, make_news("u1", sequence=2))
+        announce(registry.context, make_announcement("u1", sequence=2))
         self.assertEqual(len(gateway.sent), sent)
         take_cast(
             registry.context,
@@ -103,7 +103,7 @@
         for remote in ("gateway-1", "127.0.0.2"):
             with self.subTest(remote=remote):
                 registry = make_registry()
-                announce(registry.context, make_news("u1"))
+                announce(registry.context, make_announcement("u1"))
                 connection = registry.accept(remote)
                 handle_connection(registry.context, connection)
                 link: Any = SimpleNamespace(protocol=connection, stopped=False)
@@ -133,7 +133,7 @@
                 registry = make_registry()
                 self.assertIs(withdraw(registry.context, "u9", incarnation), known)
                 held = registry.context.fleet.upstreams.get("u9")
-                state = held.news.state if held else None
+                state = held.announcement.state if held else None
                 self.assertEqual(state, UpstreamState.GONE if known else None)
 
 
--- a/tests/adapters/registry/test_rollouts.py
+++ b/tests/adapters/registry/test_rollouts.py
@@ -18,8 +18,8 @@
 from waxwingwell.routing.messages import GrowRollout
 from waxwingwell.routing.messages import RolloutState
 from waxwingwell.routing.messages import VersionEvidence
-from waxwingwell.routing.reports import REPORT_LIFE
-from waxwingwell.routing.reports import take_report
+from waxwingwell.routing.reports import REPORT_TTL_SECONDS
+from waxwingwell.routing.reports import receive_report
 from waxwingwell.routing.rollouts import FIRST_SHARE
 
 from .support import make_registry
@@ -61,7 +61,7 @@
     ) -> None:
         """Receive a gateway's report."""
         report = GatewayReport(gateway=gateway, use=(), evidence=evidence, held=held)
-        take_report(self.context.reports, report, self.context.clock())
+        receive_report(self.context.reports, report, self.context.clock())
 
     def step(self) -> None:
         """Check the evidence, then advance the clock to the next check."""
@@ -94,7 +94,7 @@
                 leader.report("g2", FORMER)
                 leader.step()
                 self.assertEqual(leader.ended, [])
-                for _ in range(round(REPORT_LIFE / REPORT_SECONDS) + 2):
+                for _ in range(round(REPORT_TTL_SECONDS / REPORT_SECONDS) + 2):
                     leader.report("g2", FORMER)
                     if returns:
                         leader.report("g1")
@@ -128,7 +128,7 @@
         handle_connection(leader.context, connection)
         leader.report("g2", held=ROLLOUT_INDEX - 1)
         held = []
-        for _ in range(round(REPORT_LIFE / REPORT_SECONDS) + 2):
+        for _ in range(round(REPORT_TTL_SECONDS / REPORT_SECONDS) + 2):
             leader.report("g1")
             leader.step()
             totals = [one for one in connection.sent if isinstance(one, FleetReport)]
--- a/tests/adapters/registry/test_stop.py
+++ b/tests/adapters/registry/test_stop.py
@@ -17,7 +17,7 @@
 from tests.adapters.transports import BufferedTransport
 from tests.adapters.transports import carry
 from tests.adapters.transports import join
-from tests.routing.factories import make_news
+from tests.routing.factories import make_announcement
 from waxwingwell.adapters import events
 from waxwingwell.adapters.http.records import HttpLimits
 from waxwingwell.adapters.http.records import HttpRequest
@@ -236,7 +236,7 @@
         requests to an upstream that has gone.
         """
         fixture = Fixture()
-        announce(fixture.context, make_news("u1"))
+        announce(fixture.context, make_announcement("u1"))
         carry(*fixture.links)
         fixture.received.clear()
         caller = fixture.open_caller(DEREGISTRATION)
--- a/tests/platform_adapter/test_bodies.py
+++ b/tests/platform_adapter/test_bodies.py
@@ -7,10 +7,10 @@
 
 import msgspec
 
-from waxwingwell.routing.faults import find_faults
 from waxwingwell.routing.fleet import UpstreamState
 from waxwingwell.routing.records import RouteKind
 from waxwingwell.routing.records import Target
+from waxwingwell.routing.validation import find_document_problems
 from waxwingwell_platform.documents import read_document
 from waxwingwell_platform.settings import read_gateway
 from waxwingwell_platform.settings import read_registry
@@ -57,7 +57,7 @@
         self.assertEqual(route.targets, (Target("desk", 1),))
         self.assertEqual((route.timeout, route.objective), (0.6, 0.12))
         self.assertEqual(document.workspaces[0].keys, ("k1",))
-        self.assertEqual(find_faults(document), ())
+        self.assertEqual(find_document_problems(document), ())
 
     def test_weights_take_precedence_over_a_single_service(self) -> None:
         weights = [{"backend": "desk", "weight": 9}, {"backend": "new", "weight": 1}]
--- a/tests/platform_adapter/test_headers.py
+++ b/tests/platform_adapter/test_headers.py
@@ -42,7 +42,7 @@
                     model="*",
                     prompt_tokens=1460,
                     output_tokens=80,
-                    parts=(("5c", 800), ("91", 410)),
+                    prompt_blocks=(("5c", 800), ("91", 410)),
                     session="s1",
                     resume_after="12",
                 ),
@@ -54,7 +54,7 @@
                     (b"Waxwingwell-Token-Usage", b"x"),
                     (b"Waxwingwell-Prefix-Hash", b"5c,:,91:y"),
                 ],
-                RequestFacts(request_id="", parts=(("", 0), ("91", 0))),
+                RequestFacts(request_id="", prompt_blocks=(("", 0), ("91", 0))),
             ),
         ):
             with self.subTest(name):
--- a/tests/routing/budget_plays.py
+++ b/tests/routing/budget_plays.py
@@ -19,26 +19,26 @@
 from waxwingwell.adapters.registry.hub import EXCHANGE_SECONDS
 from waxwingwell.adapters.registry.hub import REPORT_SECONDS
 from waxwingwell.routing.load import LoadTable
+from waxwingwell.routing.load import apply_totals
 from waxwingwell.routing.load import count_gateways
-from waxwingwell.routing.load import take_sum
 from waxwingwell.routing.messages import ControlReport
 from waxwingwell.routing.messages import FleetReport
 from waxwingwell.routing.messages import GatewayReport
 from waxwingwell.routing.messages import ServiceRepeats
 from waxwingwell.routing.reports import ReportTable
-from waxwingwell.routing.reports import drop_old
+from waxwingwell.routing.reports import drop_expired
 from waxwingwell.routing.reports import make_control_report
+from waxwingwell.routing.reports import receive_control_report
+from waxwingwell.routing.reports import receive_report
 from waxwingwell.routing.reports import sum_fleet
-from waxwingwell.routing.reports import take_control_report
-from waxwingwell.routing.reports import take_report
 from waxwingwell.routing.retries import FAILURE_PART
 from waxwingwell.routing.retries import RetryLimits
 from waxwingwell.routing.retries import RetryTable
-from waxwingwell.routing.retries import list_repeats
-from waxwingwell.routing.retries import may_repeat
-from waxwingwell.routing.retries import note_repeat
-from waxwingwell.routing.retries import note_request
-from waxwingwell.routing.retries import take_repeats
+from waxwingwell.routing.retries import apply_retry_totals
+from waxwingwell.routing.retries import list_retries
+from waxwingwell.routing.retries import may_retry
+from waxwingwell.routing.retries import record_request
+from waxwingwell.routing.retries import record_retry
 
 
 if TYPE_CHECKING:
@@ -176,7 +176,8 @@
             Gateway(
                 f"gateway-{index}",
                 RetryTable(
-                    began_at=self.random.random() * 0.3, phase=self.random.random()
+                    began_at=self.random.random() * 0.3,
+                    initial_credit=self.random.random(),
                 ),
                 self.random.randrange(CONTROLS),
             )
@@ -276,7 +277,9 @@
             gateway.up = False
 
         def start(now: float) -> None:
-            gateway.retries = RetryTable(began_at=now, phase=self.random.random())
+            gateway.retries = RetryTable(
+                began_at=now, initial_credit=self.random.random()
+            )
             gateway.load = LoadTable()
             gateway.run += 1
             gateway.reported = ()
@@ -313,7 +316,7 @@
                 gateway.control_index = self.random.randrange(CONTROLS)
 
             control = self.controls[gateway.control_index]
-            repeats = list_repeats(gateway.retries, self.limits, now)
+            repeats = list_retries(gateway.retries, self.limits, now)
             body = GatewayReport(
                 gateway=gateway.name,
                 run=gateway.run,
@@ -328,7 +331,7 @@
                 if control.paused:
                     self._schedule_at(at + 0.1, arrive)
                 elif control.up and control.run == run:
-                    take_report(control.reports, body, at)
+                    receive_report(control.reports, body, at)
 
             self._send(now, arrive)
 
@@ -345,7 +348,7 @@
 
         hot = up[0] is self.gateways[0] and self.random.random() < self.scenario.hot
         gateway = up[0] if hot else self.random.choice(up)
-        note_request(gateway.retries, SERVICE, now, self.limits)
+        record_request(gateway.retries, SERVICE, now, self.limits)
         self.outcome.requests.append(now)
         if self.random.random() < self._failure_rate(now):
             for _ in range(self.scenario.retries_per_failure):
@@ -363,7 +366,7 @@
 
     def _request_retry(self, gateway: Gateway, now: float) -> None:
         self.outcome.requested += 1
-        if not may_repeat(
+        if not may_retry(
             gateway.retries,
             SERVICE,
             self.limits,
@@ -373,7 +376,7 @@
         ):
             return
 
-        note_repeat(gateway.retries, SERVICE, now, self.limits)
+        record_retry(gateway.retries, SERVICE, now, self.limits)
         self.outcome.sent_retries.append(now)
 
     # --- controls -------------------------------------------------------------
@@ -403,7 +406,7 @@
             if receiver.paused:
                 self._schedule_at(at + 0.1, arrive)
             elif receiver.up and receiver.run == run:
-                take_control_report(receiver.reports, sender, body, at)
+                receive_control_report(receiver.reports, sender, body, at)
 
         return arrive
 
@@ -414,10 +417,10 @@
             if not control.up or control.paused:
                 return
 
-            drop_old(control.reports, now)
+            drop_expired(control.reports, now)
             body = sum_fleet(control.reports, now)
             for gateway in self.gateways:
-                if gateway.name in control.reports.homed:
+                if gateway.name in control.reports.attached:
                     self._send(now, self._receive(gateway, body))
 
         return share
@@ -429,8 +432,8 @@
             if not gateway.up or not gateway.linked or gateway.retries is not retries:
                 return
 
-            take_sum(gateway.load, (), (), work=0.0, gateways=body.gateways, now=at)
-            take_repeats(gateway.retries, body.repeats, gateway.reported, at)
+            apply_totals(gateway.load, (), (), work=0.0, gateways=body.gateways, now=at)
+            apply_retry_totals(gateway.retries, body.repeats, gateway.reported, at)
 
         return arrive
 
--- a/tests/routing/factories.py
+++ b/tests/routing/factories.py
@@ -15,7 +15,7 @@
 from waxwingwell.routing.records import Workspace
 
 
-def make_news(upstream: str = "u1", **fields: Any) -> Announcement:
+def make_announcement(upstream: str = "u1", **fields: Any) -> Announcement:
     """Return an announcement of a serving upstream."""
     defaults: dict[str, Any] = {
         "upstream": upstream,
--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -5,7 +5,7 @@
 import unittest
 
 from waxwingwell.routing.admission import can_be_served
-from waxwingwell.routing.admission import choose_pause
+from waxwingwell.routing.admission import choose_retry_after
 
 
 class AdmissionTest(unittest.TestCase):
@@ -28,4 +28,4 @@
             (2.0, 9.0, 2.0),
         ):
             with self.subTest(wait=wait, remaining=remaining):
-                self.assertAlmostEqual(choose_pause(wait, remaining), pause)
+                self.assertAlmostEqual(choose_retry_after(wait, remaining), pause)
--- a/tests/routing/test_document.py
+++ b/tests/routing/test_document.py
@@ -4,12 +4,12 @@
 
 import unittest
 
-from waxwingwell.routing.faults import find_faults
 from waxwingwell.routing.lookup import find_route
 from waxwingwell.routing.lookup import find_workspace
 from waxwingwell.routing.lookup import index_document
 from waxwingwell.routing.records import Target
 from waxwingwell.routing.records import Workspace
+from waxwingwell.routing.validation import find_document_problems
 
 from .factories import make_document
 from .factories import make_route
@@ -63,12 +63,12 @@
             ),
         ):
             with self.subTest(name):
-                found = [finding.place for finding in find_faults(document)]
+                found = [finding.place for finding in find_document_problems(document)]
                 self.assertEqual(found, places)
 
     def test_no_finding_shows_a_key(self) -> None:
         pair = tuple(Workspace(name=one, keys=("secret",)) for one in ("a", "b"))
-        for finding in find_faults(make_document(workspaces=pair)):
+        for finding in find_document_problems(make_document(workspaces=pair)):
             self.assertNotIn("secret", f"{finding.place}{finding.message}")
 
 
--- a/tests/routing/test_fleet.py
+++ b/tests/routing/test_fleet.py
@@ -7,11 +7,11 @@
 
 from waxwingwell.routing.fleet import FleetTable
 from waxwingwell.routing.fleet import UpstreamState
+from waxwingwell.routing.fleet import apply_announcement
+from waxwingwell.routing.fleet import apply_heartbeats
 from waxwingwell.routing.fleet import list_serving
-from waxwingwell.routing.fleet import refresh
-from waxwingwell.routing.fleet import take_news
 
-from .factories import make_news
+from .factories import make_announcement
 
 
 class AnnouncementTest(unittest.TestCase):
@@ -31,15 +31,21 @@
         for name, first, late in cases:
             with self.subTest(name):
                 table = FleetTable()
-                take_news(table, make_news(**first), 0.0)
-                self.assertFalse(take_news(table, make_news(**late), 1.0))
-                held = table.upstreams["u1"].news
-                self.assertEqual(held, make_news(**first))
+                apply_announcement(table, make_announcement(**first), 0.0)
+                self.assertFalse(
+                    apply_announcement(table, make_announcement(**late), 1.0)
+                )
+                held = table.upstreams["u1"].announcement
+                self.assertEqual(held, make_announcement(**first))
 
     def test_a_restarted_upstream_of_the_same_id_serves(self) -> None:
         table = FleetTable()
-        take_news(table, make_news(state=UpstreamState.GONE, sequence=9), 0.0)
-        self.assertTrue(take_news(table, make_news(incarnation=2), 1.0))
+        apply_announcement(
+            table, make_announcement(state=UpstreamState.GONE, sequence=9), 0.0
+        )
+        self.assertTrue(
+            apply_announcement(table, make_announcement(incarnation=2), 1.0)
+        )
         self.assertEqual(len(list_serving(table, "chat", heard_after=0.0)), 1)
 
     def test_an_address_belongs_to_the_upstream_started_last(self) -> None:
@@ -49,9 +55,11 @@
         starts at its address.
         """
         table = FleetTable()
-        take_news(table, make_news("old", port=9000), 0.0)
-        take_news(
-            table, make_news("new", port=9000, service="desk", incarnation=7), 0.1
+        apply_announcement(table, make_announcement("old", port=9000), 0.0)
+        apply_announcement(
+            table,
+            make_announcement("new", port=9000, service="desk", incarnation=7),
+            0.1,
         )
         self.assertEqual(list_serving(table, "chat", heard_after=-9.0), [])
         self.assertEqual(len(list_serving(table, "desk", heard_after=-9.0)), 1)
@@ -66,7 +74,7 @@
         ):
             with self.subTest(name):
                 table = FleetTable()
-                take_news(table, make_news(**fields), 1.0)
+                apply_announcement(table, make_announcement(**fields), 1.0)
                 found = list_serving(table, "chat", heard_after=heard_after)
                 self.assertEqual(bool(found), used)
 
@@ -78,6 +86,6 @@
         ):
             with self.subTest(name):
                 table = FleetTable()
-                take_news(table, make_news(), 1.0)
-                refresh(table, [heard], 5.0)
+                apply_announcement(table, make_announcement(), 1.0)
+                apply_heartbeats(table, [heard], 5.0)
                 self.assertEqual(table.upstreams["u1"].heard_at, until)
--- a/tests/routing/test_model_load.py
+++ b/tests/routing/test_model_load.py
@@ -16,23 +16,23 @@
 
 from waxwingwell.routing.health import HealthTable
 from waxwingwell.routing.load import LoadTable
-from waxwingwell.routing.load import begin_use
-from waxwingwell.routing.load import end_prefill
-from waxwingwell.routing.load import end_use
+from waxwingwell.routing.load import add_running
 from waxwingwell.routing.load import estimate_usage
-from waxwingwell.routing.load import note_work
-from waxwingwell.routing.models import Stake
+from waxwingwell.routing.load import record_prefill
+from waxwingwell.routing.load import remove_backlog
+from waxwingwell.routing.load import remove_running
+from waxwingwell.routing.models import EscalationInputs
 from waxwingwell.routing.models import estimate_poor_probability
-from waxwingwell.routing.models import wants_larger
-from waxwingwell.routing.models import weigh_size
+from waxwingwell.routing.models import should_escalate
+from waxwingwell.routing.models import update_request_weight
 from waxwingwell.routing.placement import Demand
 from waxwingwell.routing.placement import Placement
-from waxwingwell.routing.placement import Surroundings
+from waxwingwell.routing.placement import PlacementContext
 from waxwingwell.routing.placement import place_request
 from waxwingwell.routing.prefixes import PrefixTable
 from waxwingwell.routing.records import Service
 
-from .factories import make_news
+from .factories import make_announcement
 
 
 ENGINES = 6
@@ -46,7 +46,7 @@
 SECONDS = 60.0
 CHAT = Service(name="chat", slots=32, memory_tokens=500_000)
 NAMES = [f"e{number}" for number in range(ENGINES)]
-UPSTREAMS = [make_news(name, slots=32) for name in NAMES]
+UPSTREAMS = [make_announcement(name, slots=32) for name in NAMES]
 
 
 @dataclass(frozen=True)
@@ -66,7 +66,7 @@
     Kind("answer", 0.25, 600, 950, 1.0, 2.5),
     Kind("tag", 0.5, 1_800, 84, 1.0, 0.33),
 )
-Policy = Callable[[float, Stake], bool]
+Policy = Callable[[float, EscalationInputs], bool]
 
 
 @dataclass
@@ -80,21 +80,23 @@
     draw: random.Random = field(default_factory=lambda: random.Random(7))
 
     def __post_init__(self) -> None:
-        self.context = Surroundings("north", self.load, HealthTable(), PrefixTable())
+        self.context = PlacementContext(
+            "north", self.load, HealthTable(), PrefixTable()
+        )
 
     def process_until(self, now: float) -> None:
         """Process prefills and requests that have ended."""
         while self.ends and self.ends[0][0] <= now:
             _, _, what, name, work = heapq.heappop(self.ends)
             if what == "read":
-                end_prefill(self.load, name, work)
+                remove_backlog(self.load, name, work)
             else:
-                end_use(self.load, name)
+                remove_running(self.load, name)
 
     def send(self, name: str, work: float, now: float) -> float:
         """Send a prompt to an engine; return the time of its first event."""
-        begin_use(self.load, name, work)
-        note_work(self.load, work, now)
+        add_running(self.load, name, work)
+        record_prefill(self.load, work, now)
         read_at = max(self.free_at.get(name, 0.0), now) + work / 1000
         self.free_at[name] = read_at
         self.sent += 1
@@ -120,7 +122,7 @@
         now += draw.expovariate(find_rate(load))
         kind = draw.choices(KINDS, [one.share for one in KINDS])[0]
         prompt = int(kind.prompt * draw.lognormvariate(-0.5, 1.0))
-        weight = weigh_size(typical_sizes, kind.name, prompt, kind.output)
+        weight = update_request_weight(typical_sizes, kind.name, prompt, kind.output)
         value = kind.value * weight
         value_offered += value
         answered_at = now + SMALL_SECONDS
@@ -128,7 +130,7 @@
         confidence = draw.random()
         placement = place(engines, prompt, answered_at)
         remaining = kind.objective - SMALL_SECONDS
-        stake = Stake(
+        stake = EscalationInputs(
             output_tokens=kind.output,
             prompt_tokens=prompt,
             uncached=prompt,
@@ -163,22 +165,22 @@
     return found
 
 
-def ask_never(confidence: float, stake: Stake) -> bool:
+def ask_never(confidence: float, stake: EscalationInputs) -> bool:
     """Never escalate."""
     return False
 
 
-def ask_always(confidence: float, stake: Stake) -> bool:
+def ask_always(confidence: float, stake: EscalationInputs) -> bool:
     """Escalate every request."""
     return True
 
 
-def ask_below_threshold(confidence: float, stake: Stake) -> bool:
+def ask_below_threshold(confidence: float, stake: EscalationInputs) -> bool:
     """Escalate at low confidence, regardless of the cost."""
     return confidence < 0.55
 
 
-def ask_below_falling_threshold(confidence: float, stake: Stake) -> bool:
+def ask_below_falling_threshold(confidence: float, stake: EscalationInputs) -> bool:
     """Escalate below a threshold that falls with pressure and usage only."""
     time_factor = min(max(1.25 - stake.pressure, 0.0), 1.0)
     capacity_factor = min(max((1.2 - stake.usage) / 0.6, 0.0), 1.0)
@@ -196,7 +198,7 @@
         for load in (0.3, 0.7, 1.0, 1.5, 2.5):
             best = max(run_policy(policy, load) for policy in FIXED)
             with self.subTest(load=load):
-                self.assertGreaterEqual(run_policy(wants_larger, load), best)
+                self.assertGreaterEqual(run_policy(should_escalate, load), best)
 
 
 if __name__ == "__main__":
--- a/tests/routing/test_models.py
+++ b/tests/routing/test_models.py
@@ -5,14 +5,14 @@
 import unittest
 from typing import Any
 
-from waxwingwell.routing.models import Stake
+from waxwingwell.routing.models import EscalationInputs
 from waxwingwell.routing.models import estimate_poor_probability
-from waxwingwell.routing.models import find_price
-from waxwingwell.routing.models import wants_larger
-from waxwingwell.routing.models import weigh_size
+from waxwingwell.routing.models import estimate_price
+from waxwingwell.routing.models import should_escalate
+from waxwingwell.routing.models import update_request_weight
 
 
-def make_inputs(**fields: Any) -> Stake:
+def make_inputs(**fields: Any) -> EscalationInputs:
     """Return the inputs of the decision for a typical request on idle engines."""
     known: dict[str, Any] = {
         "output_tokens": 1_000,
@@ -23,7 +23,7 @@
         "pressure": 0.1,
         "usage": 0.2,
     }
-    return Stake(**{**known, **fields})
+    return EscalationInputs(**{**known, **fields})
 
 
 class ModelTest(unittest.TestCase):
@@ -41,7 +41,7 @@
             ("high confidence, free", 0.8, {"cost": 0.0}, False),
         ):
             with self.subTest(name):
-                found = wants_larger(confidence, make_inputs(**fields))
+                found = should_escalate(confidence, make_inputs(**fields))
                 self.assertIs(found, expected)
 
     def test_fewer_escalations_at_high_usage(self) -> None:
@@ -59,7 +59,7 @@
             ("far over capacity", 0.0, {"usage": 2.0}, False),
         ):
             with self.subTest(name):
-                found = wants_larger(confidence, make_inputs(**fields))
+                found = should_escalate(confidence, make_inputs(**fields))
                 self.assertIs(found, expected)
 
     def test_a_late_response_has_less_value_than_an_unsure_one_in_time(self) -> None:
@@ -71,7 +71,7 @@
             ("late, very low confidence", 0.1, 1.5, True),
         ):
             with self.subTest(name):
-                found = wants_larger(confidence, make_inputs(pressure=pressure))
+                found = should_escalate(confidence, make_inputs(pressure=pressure))
                 self.assertIs(found, expected)
 
     def test_a_large_request_gets_as_good_a_model_as_a_small_one(self) -> None:
@@ -82,15 +82,15 @@
         """
         typical_sizes: dict[str, float] = {}
         for _ in range(200):
-            weigh_size(typical_sizes, "r1", 6_000, 1_000)
+            update_request_weight(typical_sizes, "r1", 6_000, 1_000)
 
-        weight = weigh_size(typical_sizes, "r1", 40_000, 1_000)
+        weight = update_request_weight(typical_sizes, "r1", 40_000, 1_000)
         self.assertGreater(weight, 2.0)
         large = make_inputs(
             prompt_tokens=40_000, uncached=35_000, weight=weight, pressure=0.6
         )
-        self.assertTrue(wants_larger(0.45, large))
-        self.assertLess(find_price(large), 3.0 * find_price(make_inputs()))
+        self.assertTrue(should_escalate(0.45, large))
+        self.assertLess(estimate_price(large), 3.0 * estimate_price(make_inputs()))
 
     def test_poor_probability_falls_with_confidence(self) -> None:
         probabilities = [estimate_poor_probability(place / 10) for place in range(11)]
--- a/tests/routing/test_placement.py
+++ b/tests/routing/test_placement.py
@@ -6,30 +6,30 @@
 from typing import Any
 
 from waxwingwell.routing.health import HealthTable
-from waxwingwell.routing.health import note_answer
-from waxwingwell.routing.health import note_unreachable
+from waxwingwell.routing.health import record_response
+from waxwingwell.routing.health import record_unreachable
+from waxwingwell.routing.idle_timeout import find_idle_timeout
 from waxwingwell.routing.load import LoadTable
-from waxwingwell.routing.load import begin_use
+from waxwingwell.routing.load import add_running
+from waxwingwell.routing.load import apply_totals
 from waxwingwell.routing.load import count_gateways
-from waxwingwell.routing.load import end_prefill
-from waxwingwell.routing.load import end_use
 from waxwingwell.routing.load import estimate_usage
-from waxwingwell.routing.load import note_work
-from waxwingwell.routing.load import take_sum
+from waxwingwell.routing.load import record_prefill
+from waxwingwell.routing.load import remove_backlog
+from waxwingwell.routing.load import remove_running
 from waxwingwell.routing.placement import Demand
-from waxwingwell.routing.placement import Surroundings
+from waxwingwell.routing.placement import PlacementContext
+from waxwingwell.routing.placement import choose_preferred
 from waxwingwell.routing.placement import find_best_cached
 from waxwingwell.routing.placement import place_request
-from waxwingwell.routing.placement import prefer_for
+from waxwingwell.routing.prefill_speed import SpeedTable
+from waxwingwell.routing.prefill_speed import estimate_token_ms
+from waxwingwell.routing.prefill_speed import record_prefill_time
 from waxwingwell.routing.prefixes import PrefixTable
-from waxwingwell.routing.prefixes import note_parts
+from waxwingwell.routing.prefixes import record_blocks
 from waxwingwell.routing.records import Service
-from waxwingwell.routing.silence import silence_limit
-from waxwingwell.routing.speeds import SpeedTable
-from waxwingwell.routing.speeds import guess_speed
-from waxwingwell.routing.speeds import learn_speed
 
-from .factories import make_news
+from .factories import make_announcement
 
 
 DESK = Service(name="desk", slots=4)
@@ -40,9 +40,9 @@
 def place(demand: Demand, **around: Any) -> str:
     """Return the upstream chosen among two local ones and a remote one."""
     upstreams = [
-        make_news("near", slots=4),
-        make_news("near2", slots=4),
-        make_news("far", slots=4, data_centre="south"),
+        make_announcement("near", slots=4),
+        make_announcement("near2", slots=4),
+        make_announcement("far", slots=4, data_centre="south"),
     ]
     known = {
         "data_centre": "north",
@@ -50,7 +50,7 @@
         "health": HealthTable(),
         "prefixes": PrefixTable(),
     }
-    context = Surroundings(**{**known, **around})
+    context = PlacementContext(**{**known, **around})
     placement = place_request(demand, upstreams, context, 10.0, lambda: 0.0)
     return placement.upstream.upstream if placement else ""
 
@@ -60,7 +60,7 @@
     table = LoadTable()
     for name, count in running.items():
         for _ in range(count):
-            begin_use(table, name, 100.0)
+            add_running(table, name, 100.0)
 
     return table
 
@@ -83,22 +83,22 @@
         """Guards against an upstream that announces itself but fails half its calls."""
         health = HealthTable()
         for position in range(8):
-            note_answer(health, "near", 10.0, failed=position % 2 == 0)
+            record_response(health, "near", 10.0, failed=position % 2 == 0)
 
         self.assertEqual(place(Demand(DESK), health=health), "near2")
 
     def test_upstreams_that_can_not_be_reached_are_the_last_resort(self) -> None:
         health = HealthTable()
         for name in ("near", "near2"):
-            note_unreachable(health, name, 9.9)
+            record_unreachable(health, name, 9.9)
 
         self.assertEqual(place(Demand(DESK), health=health), "far")
-        note_unreachable(health, "far", 9.9)
+        record_unreachable(health, "far", 9.9)
         self.assertNotEqual(place(Demand(DESK), health=health), "")
 
     def test_a_prompt_goes_to_the_upstream_with_its_blocks(self) -> None:
         prefixes = PrefixTable()
-        note_parts(prefixes, "near2", "small", PARTS, 9.0)
+        record_blocks(prefixes, "near2", "small", PARTS, 9.0)
         demand = Demand(ENGINE, "small", 4_600, PARTS)
         self.assertEqual(place(demand, prefixes=prefixes), "near2")
         busy = make_load(near2=15)
@@ -106,16 +106,16 @@
 
     def test_an_unknown_prompt_has_no_best_cached_upstream(self) -> None:
         """Guards against all gateways comparing the same engine without a cause."""
-        engines = [make_news(f"e{number}") for number in range(8)]
-        around = Surroundings("north", LoadTable(), HealthTable(), PrefixTable())
-        for name, parts, expected in (
+        engines = [make_announcement(f"e{number}") for number in range(8)]
+        around = PlacementContext("north", LoadTable(), HealthTable(), PrefixTable())
+        for name, blocks, expected in (
             ("last block only", (("own", 100),), 0),
             ("no block", (), 0),
             ("shared blocks", PARTS, 1),
         ):
             with self.subTest(name):
-                demand = Demand(ENGINE, "small", 4_600, parts)
-                preferred = prefer_for(demand, engines, "north")
+                demand = Demand(ENGINE, "small", 4_600, blocks)
+                preferred = choose_preferred(demand, engines, "north")
                 found = find_best_cached(
                     demand, engines, around, 10.0, preferred=preferred
                 )
@@ -129,7 +129,7 @@
         ):
             with self.subTest(name):
                 load = LoadTable()
-                begin_use(load, "near2", backlog)
+                add_running(load, "near2", backlog)
                 demand = Demand(ENGINE, "small", 100, pool=frozenset({"near2"}))
                 self.assertEqual(place(demand, load=load), expected)
 
@@ -143,15 +143,15 @@
 
     def test_an_idle_upstream_has_no_entry(self) -> None:
         table = LoadTable()
-        begin_use(table, "u1", 30.0)
-        end_prefill(table, "u1", 30.0)
-        end_use(table, "u1")
+        add_running(table, "u1", 30.0)
+        remove_backlog(table, "u1", 30.0)
+        remove_running(table, "u1")
         self.assertEqual(table.own, {})
 
     def test_many_gateways_are_assumed_before_the_first_totals(self) -> None:
         table = LoadTable()
         self.assertGreaterEqual(count_gateways(table), 64)
-        take_sum(table, (), (), work=0.0, gateways=9, now=1.0)
+        apply_totals(table, (), (), work=0.0, gateways=9, now=1.0)
         self.assertEqual(count_gateways(table), 9)
 
     def test_usage(self) -> None:
@@ -160,10 +160,10 @@
                 table = LoadTable(
                     others_prefill_ms=1_200.0, others_at=others_at, gateways=8
                 )
-                note_work(table, 600.0, 9.0)
+                record_prefill(table, 600.0, 9.0)
                 self.assertAlmostEqual(estimate_usage(table, 2, 10.0), expected)
 
-        note_work(table, 0.0, 20.0)
+        record_prefill(table, 0.0, 20.0)
         self.assertEqual(estimate_usage(table, 2, 20.0), 0.0)
 
 
@@ -174,19 +174,24 @@
         table = SpeedTable()
         models = ("small", "large")
         self.assertLess(
-            guess_speed(table, models, "small"), guess_speed(table, models, "large")
+            estimate_token_ms(table, models, "small"),
+            estimate_token_ms(table, models, "large"),
         )
         for _ in range(300):
-            learn_speed(table, models, "small", 4_000, 25.0 + 4_000 * 0.01)
+            record_prefill_time(table, models, "small", 4_000, 25.0 + 4_000 * 0.01)
 
-        self.assertAlmostEqual(guess_speed(table, models, "small"), 0.01, places=4)
+        self.assertAlmostEqual(
+            estimate_token_ms(table, models, "small"), 0.01, places=4
+        )
         for _ in range(8):
-            learn_speed(table, models, "large", 4_000, 25.0 + 4_000 * 0.02)
+            record_prefill_time(table, models, "large", 4_000, 25.0 + 4_000 * 0.02)
 
-        self.assertAlmostEqual(guess_speed(table, models, "large"), 0.02, delta=0.004)
-        learn_speed(table, models, "small", 4_000, 60_000.0)
-        self.assertLess(guess_speed(table, models, "small"), 0.011)
+        self.assertAlmostEqual(
+            estimate_token_ms(table, models, "large"), 0.02, delta=0.004
+        )
+        record_prefill_time(table, models, "small", 4_000, 60_000.0)
+        self.assertLess(estimate_token_ms(table, models, "small"), 0.011)
 
     def test_idle_timeouts(self) -> None:
-        self.assertLess(silence_limit(started=True, expected=9.0), 2.0)
-        self.assertGreater(silence_limit(started=False, expected=2.0), 5.0)
+        self.assertLess(find_idle_timeout(started=True, expected=9.0), 2.0)
+        self.assertGreater(find_idle_timeout(started=False, expected=2.0), 5.0)
--- a/tests/routing/test_prefixes.py
+++ b/tests/routing/test_prefixes.py
@@ -11,11 +11,11 @@
 from waxwingwell.routing.prefixes import MIN_REPORTING_SECONDS
 from waxwingwell.routing.prefixes import REPORT_AGAIN_SECONDS
 from waxwingwell.routing.prefixes import PrefixTable
-from waxwingwell.routing.prefixes import drop_news
+from waxwingwell.routing.prefixes import apply_reported_blocks
 from waxwingwell.routing.prefixes import estimate_cached_tokens
-from waxwingwell.routing.prefixes import list_news
-from waxwingwell.routing.prefixes import note_parts
-from waxwingwell.routing.prefixes import take_told
+from waxwingwell.routing.prefixes import list_unreported_blocks
+from waxwingwell.routing.prefixes import mark_reported
+from waxwingwell.routing.prefixes import record_blocks
 
 
 PARTS = (("shared", 500), ("team", 4_000), ("own", 100))
@@ -23,9 +23,9 @@
 
 def report(sender: PrefixTable, receiver: PrefixTable, now: float) -> None:
     """Report one gateway's blocks to another gateway."""
-    reported = list_news(sender)
-    drop_news(sender, reported)
-    take_told(receiver, reported, now)
+    reported = list_unreported_blocks(sender)
+    mark_reported(sender, reported)
+    apply_reported_blocks(receiver, reported, now)
 
 
 def estimate(
@@ -52,16 +52,16 @@
         ):
             with self.subTest(name):
                 first, second = PrefixTable(), PrefixTable()
-                note_parts(first, "u1", "small", PARTS, 10.0)
+                record_blocks(first, "u1", "small", PARTS, 10.0)
                 report(first, second, 10.0)
                 found = estimate(second, upstream, now, preferred=False)
                 self.assertEqual(found, expected)
 
     def test_the_sender_includes_the_last_block(self) -> None:
         table = PrefixTable()
-        note_parts(table, "u1", "small", PARTS, 10.0)
+        record_blocks(table, "u1", "small", PARTS, 10.0)
         self.assertEqual(estimate(table, "u1", 11.0, preferred=False), 4_600)
-        self.assertEqual(len(list_news(table)), 2)
+        self.assertEqual(len(list_unreported_blocks(table)), 2)
 
     def test_a_block_is_reported_at_intervals(self) -> None:
         """Guards against traffic for blocks that were reported recently."""
@@ -71,19 +71,19 @@
         ):
             with self.subTest(name):
                 first, second = PrefixTable(), PrefixTable()
-                note_parts(first, "u1", "small", PARTS, 10.0)
+                record_blocks(first, "u1", "small", PARTS, 10.0)
                 report(first, second, 10.0)
-                note_parts(second, "u1", "small", PARTS, 10.0 + pause)
-                self.assertEqual(len(list_news(second)), count)
+                record_blocks(second, "u1", "small", PARTS, 10.0 + pause)
+                self.assertEqual(len(list_unreported_blocks(second)), count)
 
     def test_tables_are_bounded(self) -> None:
         table = PrefixTable()
         for place in range(MAX_BLOCKS):
-            parts = ((f"a{place}", 10), (f"b{place}", 10))
-            note_parts(table, "u1", "small", parts, 1.0)
+            blocks = ((f"a{place}", 10), (f"b{place}", 10))
+            record_blocks(table, "u1", "small", blocks, 1.0)
 
         self.assertEqual(len(table.prefilled_at), MAX_BLOCKS)
-        self.assertEqual(len(list_news(table)), MAX_REPORTED_BLOCKS)
+        self.assertEqual(len(list_unreported_blocks(table)), MAX_REPORTED_BLOCKS)
 
 
 class UnreportedBlocksTest(unittest.TestCase):
@@ -99,7 +99,7 @@
             with self.subTest(name):
                 table = PrefixTable()
                 for at in reported:
-                    take_told(table, (), float(at))
+                    apply_reported_blocks(table, (), float(at))
 
                 found = estimate(table, "u1", now, preferred=True)
                 self.assertEqual(found > 1_000, assumed)
--- a/tests/routing/test_reports.py
+++ b/tests/routing/test_reports.py
@@ -12,17 +12,17 @@
 from waxwingwell.routing.messages import UpstreamUse
 from waxwingwell.routing.messages import VersionEvidence
 from waxwingwell.routing.reports import EVIDENCE_RESEND_SECONDS
-from waxwingwell.routing.reports import REPORT_LIFE
+from waxwingwell.routing.reports import REPORT_TTL_SECONDS
 from waxwingwell.routing.reports import USE_TTL_SECONDS
 from waxwingwell.routing.reports import ReportTable
-from waxwingwell.routing.reports import drop_old
-from waxwingwell.routing.reports import list_untold
+from waxwingwell.routing.reports import drop_expired
+from waxwingwell.routing.reports import list_unreported_gateways
 from waxwingwell.routing.reports import make_control_report
 from waxwingwell.routing.reports import make_total
+from waxwingwell.routing.reports import receive_control_report
+from waxwingwell.routing.reports import receive_report
 from waxwingwell.routing.reports import sum_fleet
 from waxwingwell.routing.reports import sum_totals
-from waxwingwell.routing.reports import take_control_report
-from waxwingwell.routing.reports import take_report
 
 
 USE = (UpstreamUse(upstream="u1", running=2, backlog=10),)
@@ -90,8 +90,8 @@
         """Exchange the reports of both controls; return the second control's report."""
         first = make_control_report(self.first, now, urgent=urgent)
         second = make_control_report(self.second, now, urgent=urgent)
-        take_control_report(self.first, "second", second, now)
-        take_control_report(self.second, "first", first, now)
+        receive_control_report(self.first, "second", second, now)
+        receive_control_report(self.second, "first", first, now)
         return second
 
 
@@ -101,10 +101,10 @@
     def test_both_controls_have_the_totals_of_all(self) -> None:
         controls = Controls()
         repeats = (ServiceRepeats("chat", 10, 4),)
-        take_report(
+        receive_report(
             controls.first, make_report("a", use=USE, held=8, repeats=repeats), 0.0
         )
-        take_report(
+        receive_report(
             controls.second, make_report("b", use=USE, held=7, repeats=repeats), 0.0
         )
         controls.exchange(0.0)
@@ -118,7 +118,7 @@
     def test_a_control_without_gateways_delays_no_rollout(self) -> None:
         """Guards against roll-outs that stall while a control has no gateway."""
         controls = Controls()
-        take_report(controls.first, make_report("a", held=8), 0.0)
+        receive_report(controls.first, make_report("a", held=8), 0.0)
         controls.exchange(0.0)
         self.assertEqual(sum_fleet(controls.first, 0.0).held, 8)
 
@@ -130,17 +130,17 @@
         for age, running, gateways in (
             (USE_TTL_SECONDS, 2, 1),
             (USE_TTL_SECONDS + 0.1, 0, 1),
-            (REPORT_LIFE, 0, 1),
-            (REPORT_LIFE + 0.1, 0, 0),
+            (REPORT_TTL_SECONDS, 0, 1),
+            (REPORT_TTL_SECONDS + 0.1, 0, 0),
         ):
             for place in ("its control", "the other control"):
                 with self.subTest(age=age, place=place):
                     controls = Controls()
-                    take_report(controls.second, make_report("b", use=USE), 0.0)
+                    receive_report(controls.second, make_report("b", use=USE), 0.0)
                     controls.exchange(0.0)
                     attached = place == "its control"
                     table = controls.second if attached else controls.first
-                    drop_old(table, age)
+                    drop_expired(table, age)
                     total = sum_fleet(table, age)
                     self.assertEqual(sum(one.running for one in total.use), running)
                     self.assertEqual(total.gateways, gateways)
@@ -148,9 +148,9 @@
     def test_a_gateway_that_attaches_to_another_control(self) -> None:
         """Guards against requests counted at both controls for more than a moment."""
         controls = Controls()
-        take_report(controls.first, make_report("a", use=USE), 0.0)
+        receive_report(controls.first, make_report("a", use=USE), 0.0)
         at = USE_TTL_SECONDS + 0.1
-        take_report(controls.second, make_report("a", use=USE), at)
+        receive_report(controls.second, make_report("a", use=USE), at)
         controls.exchange(at)
         for table in (controls.first, controls.second):
             self.assertEqual(sum_fleet(table, at).use, USE)
@@ -164,8 +164,8 @@
         for name, run, age, requests, repeats in (
             ("it reports", 1, 0.0, 20, 4),
             ("it stalls", None, USE_TTL_SECONDS + 0.1, 0, 4),
-            ("it is gone", None, REPORT_LIFE + 0.1, 0, 4),
-            ("its window is over", None, REPORT_LIFE + 10.1, 0, 0),
+            ("it is gone", None, REPORT_TTL_SECONDS + 0.1, 0, 4),
+            ("its window is over", None, REPORT_TTL_SECONDS + 10.1, 0, 0),
             ("it has restarted", 2, 0.5, 1, 5),
             ("it restarted long ago", 2, 10.5, 1, 1),
         ):
@@ -173,15 +173,15 @@
                 with self.subTest(name, place=place):
                     controls = Controls()
                     report = make_report("a", run=1, repeats=make_counts(20, 4))
-                    take_report(controls.second, report, 0.0)
+                    receive_report(controls.second, report, 0.0)
                     controls.exchange(0.0)
                     if run is not None:
                         counts = make_counts(20, 4) if run == 1 else make_counts(1, 1)
                         report = make_report("a", run=run, repeats=counts)
-                        take_report(controls.second, report, age)
+                        receive_report(controls.second, report, age)
 
                     for table in (controls.first, controls.second):
-                        drop_old(table, age)
+                        drop_expired(table, age)
 
                     controls.exchange(age)
                     attached = place == "its control"
@@ -192,11 +192,11 @@
 
     def test_gateways_that_do_not_report_their_state(self) -> None:
         controls = Controls()
-        take_report(controls.first, make_report("a", held=-1), 0.0)
-        take_report(controls.second, make_report("b", held=-1), 0.0)
-        take_report(controls.second, make_report("c", held=3), 0.0)
+        receive_report(controls.first, make_report("a", held=-1), 0.0)
+        receive_report(controls.second, make_report("b", held=-1), 0.0)
+        receive_report(controls.second, make_report("c", held=3), 0.0)
         controls.exchange(0.0)
-        self.assertEqual(list_untold(controls.first), ["a", "b"])
+        self.assertEqual(list_unreported_gateways(controls.first), ["a", "b"])
 
 
 class BlockReportTest(unittest.TestCase):
@@ -205,7 +205,7 @@
     def test_each_control_reports_a_block_once(self) -> None:
         """Guards against blocks that are reported with all totals, or to some only."""
         controls = Controls()
-        take_report(controls.second, make_report("b", read=(7, 8)), 0.0)
+        receive_report(controls.second, make_report("b", read=(7, 8)), 0.0)
         controls.exchange(0.0)
         controls.exchange(0.1)
         for table in (controls.first, controls.second):
@@ -229,7 +229,7 @@
                 controls = Controls()
                 for now, responses in ((10.0, 1), (10.0 + at, answers)):
                     report = make_report("b", evidence=make_evidence(responses))
-                    take_report(controls.second, report, now)
+                    receive_report(controls.second, report, now)
                     exchanged = controls.exchange(now, urgent=urgent)
 
                 self.assertIs(bool(exchanged.evidence), expected)
@@ -238,10 +238,10 @@
         """Guards against responses counted twice after a change of control."""
         controls = Controls()
         old = make_report("b", evidence=make_evidence(5))
-        take_report(controls.second, old, 10.0)
+        receive_report(controls.second, old, 10.0)
         controls.exchange(10.0, urgent=True)
         new = make_report("b", evidence=make_evidence(6))
-        take_report(controls.first, new, 10.5)
+        receive_report(controls.first, new, 10.5)
         for now in (
             10.5,
             10.0 + EVIDENCE_RESEND_SECONDS,
@@ -255,9 +255,9 @@
         """Guards against failures that are lost with their gateway's control."""
         controls = Controls()
         report = make_report("b", evidence=make_evidence(3))
-        take_report(controls.second, report, 0.0)
+        receive_report(controls.second, report, 0.0)
         controls.exchange(0.0, urgent=True)
-        drop_old(controls.first, REPORT_LIFE + 0.1)
+        drop_expired(controls.first, REPORT_TTL_SECONDS + 0.1)
         known = controls.first.evidence["b"].versions
         self.assertEqual(known, make_evidence(3))
 
--- a/tests/routing/test_retries.py
+++ b/tests/routing/test_retries.py
@@ -6,17 +6,17 @@
 import unittest
 
 from waxwingwell.routing.messages import ServiceRepeats
-from waxwingwell.routing.retries import CHOICE_PART
 from waxwingwell.routing.retries import FAILURE_PART
+from waxwingwell.routing.retries import OPTIONAL_PART
 from waxwingwell.routing.retries import RetryLimits
 from waxwingwell.routing.retries import RetryTable
+from waxwingwell.routing.retries import apply_retry_totals
 from waxwingwell.routing.retries import count_own
-from waxwingwell.routing.retries import list_repeats
-from waxwingwell.routing.retries import may_repeat
-from waxwingwell.routing.retries import note_repeat
-from waxwingwell.routing.retries import note_request
+from waxwingwell.routing.retries import list_retries
+from waxwingwell.routing.retries import may_retry
+from waxwingwell.routing.retries import record_request
+from waxwingwell.routing.retries import record_retry
 from waxwingwell.routing.retries import sum_retries
-from waxwingwell.routing.retries import take_repeats
 
 
 LIMITS = RetryLimits(ratio=0.5, slack=40.0, window=10.0)
@@ -26,7 +26,7 @@
     """Return a table with requests of one service."""
     table = RetryTable()
     for _ in range(requests):
-        note_request(table, "chat", at, LIMITS)
+        record_request(table, "chat", at, LIMITS)
 
     return table
 
@@ -38,14 +38,14 @@
     own = count_own(table, "chat", LIMITS, now)
     requests, repeats, drawn = others
     mine = ServiceRepeats("chat", requests, repeats, drawn, shares)
-    take_repeats(table, sum_retries((mine, own)), (own,), now)
+    apply_retry_totals(table, sum_retries((mine, own)), (own,), now)
 
 
 def count_allowed(table: RetryTable, part: float, gateways: int, now: float) -> int:
     """Send retries until the budget refuses one; return their number."""
     count = 0
-    while may_repeat(table, "chat", LIMITS, part=part, gateways=gateways, now=now):
-        note_repeat(table, "chat", now, LIMITS)
+    while may_retry(table, "chat", LIMITS, part=part, gateways=gateways, now=now):
+        record_retry(table, "chat", now, LIMITS)
         count += 1
 
     return count
@@ -77,20 +77,20 @@
         return sum(allowed) / len(allowed)
 
     def _handle_request(self, table: RetryTable, now: float) -> list[bool]:
-        note_request(table, "chat", now, self.LIMITS)
+        record_request(table, "chat", now, self.LIMITS)
         if self.random.random() < 0.5:
             return []
 
-        allowed = may_repeat(
-            table, "chat", self.LIMITS, part=CHOICE_PART, gateways=195, now=now
+        allowed = may_retry(
+            table, "chat", self.LIMITS, part=OPTIONAL_PART, gateways=195, now=now
         )
         if allowed:
-            note_repeat(table, "chat", now, self.LIMITS)
+            record_retry(table, "chat", now, self.LIMITS)
 
         return [allowed]
 
     def _exchange_totals(self, now: float) -> None:
-        reports = [list_repeats(one, self.LIMITS, now) for one in self.tables]
+        reports = [list_retries(one, self.LIMITS, now) for one in self.tables]
         total = sum_retries(part for report in reports for part in report)
         for one in total:
             budget = self.LIMITS.ratio * one.requests + self.LIMITS.slack
@@ -98,7 +98,7 @@
 
         if self.shared:
             for table, report in zip(self.tables, reports, strict=True):
-                take_repeats(table, total, report, now)
+                apply_retry_totals(table, total, report, now)
 
 
 class BudgetTest(unittest.TestCase):
@@ -172,9 +172,9 @@
                 total = 0
                 for _ in range(gateways):
                     table = make_table(0)
-                    table.phase = rng.random()
+                    table.initial_credit = rng.random()
                     for _ in range(10):
-                        note_request(table, "chat", 0.0, LIMITS)
+                        record_request(table, "chat", 0.0, LIMITS)
 
                     apply_counts(table, (requests, 0, 0.0), 1.0, shares)
                     total += count_allowed(table, FAILURE_PART, gateways, 1.0)
@@ -220,5 +220,5 @@
         When an upstream then crashes, its streams must be resumed elsewhere.
         """
         table = make_table(100)
-        count_allowed(table, CHOICE_PART, 10, 1.0)
+        count_allowed(table, OPTIONAL_PART, 10, 1.0)
         self.assertGreaterEqual(count_allowed(table, FAILURE_PART, 10, 1.0), 15)
--- a/tests/routing/test_rollouts.py
+++ b/tests/routing/test_rollouts.py
@@ -8,13 +8,13 @@
 from waxwingwell.routing.rollouts import Evidence
 from waxwingwell.routing.rollouts import EvidenceTable
 from waxwingwell.routing.rollouts import add_evidence
-from waxwingwell.routing.rollouts import count_report
+from waxwingwell.routing.rollouts import record_counters
 from waxwingwell.routing.rollouts import split_evidence
 from waxwingwell.routing.rollouts import step_rollout
 from waxwingwell.routing.rollouts import subtract_evidence
-from waxwingwell.routing.versions import list_allowed
+from waxwingwell.routing.versions import list_allowed_upstreams
 
-from .factories import make_news
+from .factories import make_announcement
 from .factories import make_rollout
 
 
@@ -86,7 +86,7 @@
                 table = EvidenceTable()
                 for report in reports:
                     parts = [make_part(*report)] if report else []
-                    count_report(table, "g1", parts)
+                    record_counters(table, "g1", parts)
 
                 target, former = split_evidence(table, "v2")
                 self.assertEqual((target.answers, target.failures), expected)
@@ -97,7 +97,10 @@
     """Versions of the upstreams that a session may use."""
 
     def test_allowed_versions(self) -> None:
-        both = [make_news("a", version="v1"), make_news("b", version="v2")]
+        both = [
+            make_announcement("a", version="v1"),
+            make_announcement("b", version="v2"),
+        ]
         for name, rollout, last, expected in (
             ("none ordered", None, None, {"v1"}),
             ("not started", make_rollout(share=0.0), None, {"v1"}),
@@ -108,7 +111,7 @@
             ("active, second half", make_rollout(share=1.0), ("v1", 9.0), {"v2"}),
         ):
             with self.subTest(name):
-                found = list_allowed(
+                found = list_allowed_upstreams(
                     both,
                     rollout,
                     established={"chat": "v1"},
@@ -120,13 +123,16 @@
                 self.assertEqual({one.version for one in found}, expected)
 
     def test_a_growing_share_only_adds_sessions(self) -> None:
-        both = [make_news("a", version="v1"), make_news("b", version="v2")]
+        both = [
+            make_announcement("a", version="v1"),
+            make_announcement("b", version="v2"),
+        ]
         moved: set[str] = set()
         for share in (0.0, 0.08, 0.3, 1.0):
             now_moved = {
                 session
                 for session in map(str, range(300))
-                if list_allowed(
+                if list_allowed_upstreams(
                     both,
                     make_rollout(share=share),
                     established={},
--- a/tests/routing/test_sessions.py
+++ b/tests/routing/test_sessions.py
@@ -9,18 +9,18 @@
 
 from waxwingwell.routing.messages import RolloutState
 from waxwingwell.routing.rollouts import FIRST_SHARE
-from waxwingwell.routing.rollouts import hash_place
-from waxwingwell.routing.rollouts import share_of
+from waxwingwell.routing.rollouts import hash_session
+from waxwingwell.routing.rollouts import position_to_share
 from waxwingwell.routing.sessions import SessionTable
-from waxwingwell.routing.sessions import begin_session
-from waxwingwell.routing.sessions import end_session
-from waxwingwell.routing.sessions import find_last
-from waxwingwell.routing.sessions import list_kept
-from waxwingwell.routing.sessions import note_moves
-from waxwingwell.routing.sessions import take_kept
-from waxwingwell.routing.versions import list_allowed
-
-from .factories import make_news
+from waxwingwell.routing.sessions import apply_kept_sessions
+from waxwingwell.routing.sessions import find_last_version
+from waxwingwell.routing.sessions import finish_session
+from waxwingwell.routing.sessions import list_kept_sessions
+from waxwingwell.routing.sessions import record_rollouts
+from waxwingwell.routing.sessions import start_session
+from waxwingwell.routing.versions import list_allowed_upstreams
+
+from .factories import make_announcement
 from .factories import make_rollout
 
 
@@ -29,7 +29,10 @@
 """Index in the controls' log of the order, which has no share yet."""
 SHARE_INDEX = 8
 """Index in the controls' log of the first share."""
-BOTH_VERSIONS = [make_news("a", version="v1"), make_news("b", version="v2")]
+BOTH_VERSIONS = [
+    make_announcement("a", version="v1"),
+    make_announcement("b", version="v2"),
+]
 
 
 @dataclass
@@ -44,17 +47,17 @@
         """Apply the state of the controls."""
         self.rollout = rollout
         self.held = index
-        note_moves(self.sessions, [rollout], index)
+        record_rollouts(self.sessions, [rollout], index)
 
     def choose(self, session: str, now: float) -> str:
         """Return the version that a session would use."""
         rollout = self.rollout
-        allowed = list_allowed(
+        allowed = list_allowed_upstreams(
             BOTH_VERSIONS,
             rollout,
             established={"chat": "v1"},
             session=session,
-            last=find_last(self.sessions, ("chat", session), now),
+            last=find_last_version(self.sessions, ("chat", session), now),
             session_life=SESSION_LIFE,
             now=now,
             kept=self.sessions.kept,
@@ -65,9 +68,9 @@
     def run(self, session: str, now: float, *, ends: bool = True) -> str:
         """Simulate a request of a session; return its version."""
         version = self.choose(session, now)
-        begin_session(self.sessions, "chat", session, version, now)
+        start_session(self.sessions, "chat", session, version, now)
         if ends:
-            end_session(self.sessions, "chat", session, version, now)
+            finish_session(self.sessions, "chat", session, version, now)
 
         return version
 
@@ -78,18 +81,20 @@
     kept = {
         place
         for peer, known in zip(peers, rollouts, strict=True)
-        for place in list_kept(peer.sessions, known, SESSION_LIFE, now)
+        for place in list_kept_sessions(peer.sessions, known, SESSION_LIFE, now)
     }
     held = min(peer.held for peer in peers)
     for peer in peers:
-        take_kept(peer.sessions, kept, held)
+        apply_kept_sessions(peer.sessions, kept, held)
 
 
 def find_session(rollout: RolloutState) -> str:
     """Return a session of the first share."""
     names = map(str, range(1_000))
     return next(
-        name for name in names if share_of(hash_place(rollout, name)) < FIRST_SHARE
+        name
+        for name in names
+        if position_to_share(hash_session(rollout, name)) < FIRST_SHARE
     )
 
 
@@ -187,7 +192,7 @@
     def test_sessions_are_reported_only_in_the_first_half(self) -> None:
         peer = self.peers[0]
         peer.run(self.session, 10.0)
-        place = hash_place(self.begun, self.session)
+        place = hash_session(self.begun, self.session)
         for name, rollout, expected in (
             ("ordered", self.ordered, (place,)),
             ("first share", self.begun, (place,)),
@@ -195,7 +200,7 @@
             ("completed", make_rollout(state="completed"), ()),
         ):
             with self.subTest(name):
-                found = list_kept(peer.sessions, [rollout], SESSION_LIFE, 11.0)
+                found = list_kept_sessions(peer.sessions, [rollout], SESSION_LIFE, 11.0)
                 self.assertEqual(found, expected)
 
 
