--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -20,8 +20,8 @@
 from waxwingwell.decisions.tables import WorkspaceDemand
 from waxwingwell.decisions.upstreams import UpstreamChoice
 from waxwingwell.decisions.upstreams import choose_upstream
-from waxwingwell.decisions.upstreams import note_dispatch
-from waxwingwell.decisions.upstreams import note_finish
+from waxwingwell.decisions.upstreams import record_dispatch
+from waxwingwell.decisions.upstreams import record_finish
 from waxwingwell.records import Announcement
 from waxwingwell.records import LoadReport
 from waxwingwell.records import Priority
@@ -43,11 +43,11 @@
 
 def make_fleet(size: int, random: Random) -> Tables:
     """Return the tables of an entry with ``size`` upstreams under some load."""
-    tables = Tables(distances={"a": 0.0003, "b": 0.004, "c": 0.004})
+    tables = Tables(one_way_seconds={"a": 0.0003, "b": 0.004, "c": 0.004})
     for number in range(WORKSPACES):
         name = WorkspaceId(f"w{number}")
         tables.workspaces[name] = WorkspaceConfig(name, 1, (VERSION,), ())
-        tables.demand[name] = WorkspaceDemand(rate=2.0, elsewhere_rate=14.0)
+        tables.demand[name] = WorkspaceDemand(rate=2.0, other_entries_rate=14.0)
 
     for number in range(size):
         upstream = UpstreamId(f"engine-{number}")
@@ -98,8 +98,8 @@
         choice = choose_upstream(tables, work, VERSION, now=now, draw=draw)
         seconds += time.perf_counter() - started
         if isinstance(choice, UpstreamChoice):
-            note_dispatch(tables, choice.upstream, work, now=now)
-            note_finish(tables, choice.upstream, failed=False, now=now)
+            record_dispatch(tables, choice.upstream, work, now=now)
+            record_finish(tables, choice.upstream, failed=False, now=now)
 
     return seconds / CHOICES * 1e6
 
--- a/bench/versions.py
+++ b/bench/versions.py
@@ -14,8 +14,8 @@
 
 from tabulate import tabulate
 
-from waxwingwell.decisions.evidence import note_rating
-from waxwingwell.decisions.evidence import note_sent
+from waxwingwell.decisions.evidence import record_rating
+from waxwingwell.decisions.evidence import record_sent
 from waxwingwell.decisions.versions import choose_version
 from waxwingwell.experiments.worlds import KINDS
 from waxwingwell.experiments.worlds import World
@@ -45,8 +45,8 @@
             answers = draw_answers(world, (name, kind.name))
             for version, rating in answers.items():
                 for _ in range(RATINGS):
-                    note_sent(world.tables, work, version, rate=True, now=NOW)
-                    note_rating(world.tables, name, kind, version, rating, NOW)
+                    record_sent(world.tables, work, version, rate=True, now=NOW)
+                    record_rating(world.tables, name, kind, version, rating, NOW)
 
     return world
 
--- a/src/waxwingwell/adapters/entry/attempts.py
+++ b/src/waxwingwell/adapters/entry/attempts.py
@@ -10,8 +10,8 @@
 from opentelemetry.trace import StatusCode
 from twisted.web.client import readBody
 
-from ...decisions.upstreams import note_dispatch
-from ...decisions.upstreams import note_finish
+from ...decisions.upstreams import record_dispatch
+from ...decisions.upstreams import record_finish
 from ...invariants import Promise
 from ...invariants import check
 from ..telemetry import make_traceparent
@@ -77,7 +77,7 @@
     )
     attempt_span.set_attribute("upstream", upstream)
     call = make_call(make_traceparent(attempt_span))
-    note_dispatch(context.tables, upstream, work, now=context.clock())
+    record_dispatch(context.tables, upstream, work, now=context.clock())
     limit = context.settings.progress_timeout * HEADERS_TIMEOUT_FACTOR
     try:
         response = await send_call(context, row, call, limit=limit)
@@ -110,7 +110,7 @@
     context: EntryContext, upstream: UpstreamId, *, failed: bool
 ) -> None:
     """Count a finished attempt; ``failed`` if the upstream was at fault."""
-    note_finish(context.tables, upstream, failed=failed, now=context.clock())
+    record_finish(context.tables, upstream, failed=failed, now=context.clock())
 
 
 async def read_response_body(
--- a/src/waxwingwell/adapters/entry/daemon.py
+++ b/src/waxwingwell/adapters/entry/daemon.py
@@ -120,7 +120,7 @@
         metrics=open_metrics(settings.telemetry, settings.node),
         traces=open_traces(settings.telemetry, settings.node),
     )
-    context.tables.distances = {
+    context.tables.one_way_seconds = {
         name: value / 1000 for name, value in settings.distances_ms.items()
     }
     context.tables.rating_price = settings.rating_price
--- a/src/waxwingwell/adapters/entry/placement.py
+++ b/src/waxwingwell/adapters/entry/placement.py
@@ -8,10 +8,10 @@
 
 from twisted.internet.defer import Deferred
 
+from ...decisions.queue import dequeue_next
 from ...decisions.queue import place_work
 from ...decisions.queue import remove_waiting
 from ...decisions.queue import shed_expired
-from ...decisions.queue import take_next
 from ...decisions.tables import Refusal
 from ...decisions.tables import Waiting
 from ...decisions.upstreams import UpstreamChoice
@@ -73,7 +73,7 @@
         _resolve(placements, expired.waiting.work.request, expired.result)
 
     while context.tables.waiting:
-        placed = take_next(context.tables, now, context.random.random())
+        placed = dequeue_next(context.tables, now, context.random.random())
         if placed is None:
             return
 
--- a/src/waxwingwell/adapters/entry/ratings.py
+++ b/src/waxwingwell/adapters/entry/ratings.py
@@ -11,8 +11,8 @@
 from twisted.web.client import readBody
 from twisted.web.http_headers import Headers
 
-from ...decisions.evidence import note_rating
-from ...decisions.evidence import note_unrated
+from ...decisions.evidence import record_rating
+from ...decisions.evidence import record_unrated
 from ...decisions.tables import Work
 from ...records import VersionId
 from .upstream_client import BytesProducer
@@ -69,7 +69,7 @@
     except Exception as error:
         logger.debug("rating: No rating of {}: {}.", answer.version, error)
         context.metrics.count("ratings.missing", 1)
-        note_unrated(
+        record_unrated(
             context.tables,
             work.workspace,
             work.kind,
@@ -78,7 +78,7 @@
         )
         return None
 
-    note_rating(
+    record_rating(
         context.tables,
         work.workspace,
         work.kind,
--- a/src/waxwingwell/adapters/entry/resuming.py
+++ b/src/waxwingwell/adapters/entry/resuming.py
@@ -15,7 +15,7 @@
 from twisted.internet.task import deferLater
 
 from ...decisions.retries import may_retry
-from ...decisions.upstreams import note_dispatch
+from ...decisions.upstreams import record_dispatch
 from ...records import OutcomeKind
 from ...records import RowStatus
 from .attempts import find_row
@@ -122,7 +122,7 @@
         request=run.stream.request,
         priority=run.chosen.work.priority.value,
     )
-    note_dispatch(context.tables, upstream, run.chosen.work, now=context.clock())
+    record_dispatch(context.tables, upstream, run.chosen.work, now=context.clock())
     limit = context.settings.progress_timeout
     try:
         response = await send_call(context, row, call, limit=limit)
--- a/src/waxwingwell/adapters/entry/streaming.py
+++ b/src/waxwingwell/adapters/entry/streaming.py
@@ -15,9 +15,9 @@
 from twisted.internet.defer import Deferred
 from twisted.web.client import readBody
 
-from ...decisions.evidence import note_sent
-from ...decisions.evidence import note_unrated
-from ...decisions.upstreams import note_silence
+from ...decisions.evidence import record_sent
+from ...decisions.evidence import record_unrated
+from ...decisions.upstreams import record_missed_deadline
 from ...invariants import Promise
 from ...invariants import check
 from ...messages import Reserved
@@ -134,7 +134,7 @@
     failed = end is not End.DONE and not run.sink.gone and run.refusal is None
     finish_attempt(context, run.upstream, failed=failed)
     if end is End.SILENT:
-        note_silence(context.tables, run.upstream, now=context.clock())
+        record_missed_deadline(context.tables, run.upstream, now=context.clock())
 
     if failed:
         logger.info(
@@ -299,7 +299,7 @@
 
     run.evidence_recorded = True
     choice = run.chosen.choice
-    note_sent(
+    record_sent(
         context.tables,
         run.chosen.work,
         run.version,
@@ -315,7 +315,7 @@
     """Close the row of a request without a complete response."""
     if run.evidence_recorded and run.chosen.choice.rate:
         work = run.chosen.work
-        note_unrated(context.tables, work.workspace, work.kind, run.version)
+        record_unrated(context.tables, work.workspace, work.kind, run.version)
 
     # An attached response belongs to another request, which its own entry or control
     # settles.
--- a/src/waxwingwell/adapters/entry/upkeep.py
+++ b/src/waxwingwell/adapters/entry/upkeep.py
@@ -13,8 +13,8 @@
 from ...decisions.admission import smooth_demand
 from ...decisions.candidates import index_upstreams
 from ...decisions.evidence import confirm_increments
-from ...decisions.evidence import merge_sums
-from ...decisions.evidence import take_increments
+from ...decisions.evidence import get_pending_increments
+from ...decisions.evidence import merge_totals
 from ...messages import ConfigSnapshot
 from ...messages import LeaseBehind
 from ...messages import LeaseGranted
@@ -139,7 +139,7 @@
         if isinstance(reply, LeaseGranted):
             finish_renewal(context.lease, renewal.number, reply, context.clock())
             raise_floor(context.fencing, reply.term)
-            merge_sums(context.tables, reply.evidence, context.clock())
+            merge_totals(context.tables, reply.evidence, context.clock())
             return True
 
         if not isinstance(reply, LeaseBehind):
@@ -173,7 +173,7 @@
 
 async def flush_evidence(context: EntryContext, upkeep: Upkeep) -> None:
     """Send new evidence about versions; a retry carries the same sequence number."""
-    rows = take_increments(context.tables)
+    rows = get_pending_increments(context.tables)
     if not rows:
         return
 
--- a/src/waxwingwell/adapters/entry/web.py
+++ b/src/waxwingwell/adapters/entry/web.py
@@ -11,7 +11,7 @@
 
 from ...decisions.admission import admit
 from ...decisions.admission import release
-from ...decisions.retries import note_request
+from ...decisions.retries import record_request
 from ...decisions.tables import Refusal
 from ...decisions.tables import Work
 from ...records import VersionStatus
@@ -179,7 +179,7 @@
         context.metrics.count(f"refused.{admitted.code}", 1)
         raise make_problem(admitted)
 
-    note_request(context.budget, now)
+    record_request(context.budget, now)
     context.running += 1
     request.notifyFinish().addErrback(
         lambda _: remove_from_queue(context, placements, work.request)
--- a/src/waxwingwell/adapters/entry/whole.py
+++ b/src/waxwingwell/adapters/entry/whole.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
-from ...decisions.evidence import note_sent
-from ...decisions.evidence import note_unrated
+from ...decisions.evidence import record_sent
+from ...decisions.evidence import record_unrated
 from ...decisions.retries import DispatchState
 from ...decisions.retries import is_retry_safe
 from ...decisions.retries import may_retry
@@ -131,7 +131,7 @@
 ) -> CompleteResponse:
     """Run one version; all but a plan's last are rated before they are served."""
     work, rate = chosen.work, chosen.choice.rate or not step.last
-    note_sent(
+    record_sent(
         context.tables,
         work,
         step.version,
@@ -147,7 +147,7 @@
         )
     except Problem:
         if rate:
-            note_unrated(
+            record_unrated(
                 context.tables,
                 work.workspace,
                 work.kind,
--- a/src/waxwingwell/decisions/admission.py
+++ b/src/waxwingwell/decisions/admission.py
@@ -133,10 +133,10 @@
 
 def get_limit_share(demand: WorkspaceDemand) -> float:
     """Return this entry's share of the workspace's limits, by offered rate."""
-    if demand.elsewhere_rate <= 0.0:
+    if demand.other_entries_rate <= 0.0:
         return 1.0
 
-    return max(demand.rate / (demand.rate + demand.elsewhere_rate), MIN_SHARE)
+    return max(demand.rate / (demand.rate + demand.other_entries_rate), MIN_SHARE)
 
 
 def get_in_flight_limit(demand: WorkspaceDemand, limits: Limits) -> int:
@@ -146,8 +146,8 @@
     could take the same free capacity at once, so each takes at most its fair share of
     the limit and half of the free capacity beyond that.
     """
-    free = max(limits.max_in_flight - demand.elsewhere_in_flight, 0)
-    if demand.elsewhere_rate <= 0.0:
+    free = max(limits.max_in_flight - demand.other_entries_in_flight, 0)
+    if demand.other_entries_rate <= 0.0:
         return free
 
     fair_share = limits.max_in_flight * get_limit_share(demand)
--- a/src/waxwingwell/decisions/evidence.py
+++ b/src/waxwingwell/decisions/evidence.py
@@ -1,6 +1,6 @@
 """Evidence: counts of requests and ratings, kept in tables and flushed to the leader.
 
-``note_sent`` and ``note_rating`` update this entry's tables at once and accumulate
+``record_sent`` and ``record_rating`` update this entry's tables at once and accumulate
 increments. The leader adds up the increments of all entries and sends the totals back.
 """
 
@@ -47,7 +47,7 @@
     )
 
 
-def note_sent(
+def record_sent(
     tables: Tables,
     work: Work,
     version: VersionId,
@@ -95,7 +95,7 @@
         add_credit(account, surplus)
 
 
-def note_rating(
+def record_rating(
     tables: Tables,
     workspace: WorkspaceId,
     kind: WorkKind,
@@ -117,13 +117,13 @@
     _add_row(tables, key, row)
     update_rating_stats(tables, key, row)
     _drop_outstanding(tables, key)
-    tables.rating_heard_at = max(tables.rating_heard_at, now)
+    tables.last_rating_at = max(tables.last_rating_at, now)
     if served:
         account = get_account(tables, workspace, kind.name)
         add_credit(account, value - kind.quality_target)
 
 
-def note_unrated(
+def record_unrated(
     tables: Tables,
     workspace: WorkspaceId,
     kind: WorkKind,
@@ -148,7 +148,7 @@
     return _count_unexpired(tables.cell_outstanding.get(key), now)
 
 
-def take_increments(tables: Tables) -> tuple[Evidence, ...]:
+def get_pending_increments(tables: Tables) -> tuple[Evidence, ...]:
     """Return the rows to send as ``RecordEvidence`` under the next sequence.
 
     Until ``confirm_increments`` is called, the same rows are returned, so that a retry
@@ -166,7 +166,7 @@
     tables.flushing = {}
 
 
-def merge_sums(tables: Tables, rows: Iterable[Evidence], now: float) -> None:
+def merge_totals(tables: Tables, rows: Iterable[Evidence], now: float) -> None:
     """Apply the leader's totals over all entries, plus the increments it lacks.
 
     Call ``confirm_increments`` first if the totals may include the rows being flushed.
@@ -182,7 +182,7 @@
         change = _subtract(merged, before)
         update_rating_stats(tables, key, change)
         if change.rated > 0:
-            tables.rating_heard_at = max(tables.rating_heard_at, now)
+            tables.last_rating_at = max(tables.last_rating_at, now)
 
 
 def _count_unexpired(times: list[float] | None, now: float) -> int:
--- a/src/waxwingwell/decisions/load.py
+++ b/src/waxwingwell/decisions/load.py
@@ -35,7 +35,7 @@
 MAX_KEPT_TIMES = 512
 """Maximum number of dispatch or completion times kept for one upstream."""
 
-BOUNDS = {
+PRIORITY_LOAD_LIMITS = {
     Priority.ORDER: 1.25,
     Priority.QUESTION: 1.0,
     Priority.TAG: 0.95,
@@ -53,7 +53,7 @@
     other_rate = 0.0
     for demand in tables.demand.values():
         own_rate += demand.rate
-        other_rate += demand.elsewhere_rate
+        other_rate += demand.other_entries_rate
 
     if other_rate <= 0.0:
         return 1.0
@@ -83,7 +83,10 @@
 
 
 def get_outstanding_limit(row: UpstreamRow, share: float) -> float:
-    """Return the maximum number of outstanding requests, for a share of ``BOUNDS``."""
+    """Return the maximum number of outstanding requests.
+
+    ``share`` is one of ``PRIORITY_LOAD_LIMITS``.
+    """
     return max(row.announcement.capacity * share, 1.0)
 
 
--- a/src/waxwingwell/decisions/offers.py
+++ b/src/waxwingwell/decisions/offers.py
@@ -26,7 +26,7 @@
 """Number of values of the 64-bit hash."""
 
 
-def is_candidate_open(
+def is_candidate_offered(
     tables: Tables,
     config: WorkspaceConfig,
     work: Work,
--- a/src/waxwingwell/decisions/prefixes.py
+++ b/src/waxwingwell/decisions/prefixes.py
@@ -84,7 +84,7 @@
     return best
 
 
-def remember_prefixes(
+def record_prefixes(
     tables: Tables, upstream: UpstreamId, digests: Iterable[str], now: float
 ) -> None:
     """Record that the upstream received prompts with these prefixes at ``now``."""
@@ -103,7 +103,9 @@
     drop_oldest(tables.recent_upstreams, MAX_INDEXED_PREFIXES)
 
 
-def note_evicted(tables: Tables, upstream: UpstreamId, digests: Iterable[str]) -> None:
+def record_evicted(
+    tables: Tables, upstream: UpstreamId, digests: Iterable[str]
+) -> None:
     """Apply a cache event: the upstream has evicted these prefixes."""
     row = tables.upstreams.get(upstream)
     if row is None:
--- a/src/waxwingwell/decisions/queue.py
+++ b/src/waxwingwell/decisions/queue.py
@@ -19,7 +19,7 @@
 from .upstreams import BUSY
 from .upstreams import UpstreamChoice
 from .upstreams import choose_upstream
-from .waits import RANK
+from .waits import PRIORITY_RANK
 from .waits import count_ahead
 from .waits import estimate_finish_rate
 
@@ -49,8 +49,9 @@
 ) -> UpstreamChoice | Refusal | Waiting:
     """Choose an upstream for admitted work, or enqueue or refuse it.
 
-    New work never overtakes requests that already wait; call ``take_next`` afterwards.
-    The slot at a chosen upstream stays reserved until ``note_dispatch`` or ``release``.
+    New work never overtakes requests that already wait; call ``dequeue_next``
+    afterwards. The slot at a chosen upstream stays reserved until ``record_dispatch``
+    or ``release``.
     """
     if tables.waiting:
         return enqueue(tables, work, version, now)
@@ -66,7 +67,7 @@
 
 
 def enqueue(tables: Tables, work: Work, version: VersionId, now: float) -> Waiting:
-    """Enqueue an admitted request; ``take_next`` or ``shed_expired`` removes it."""
+    """Enqueue an admitted request; ``dequeue_next`` or ``shed_expired`` removes it."""
     config = tables.workspaces.get(work.workspace)
     expires_at = now + (config.limits.max_wait if config else 0.0)
     if work.deadline:
@@ -83,7 +84,7 @@
     return tables.waiting.pop(request, None)
 
 
-def take_next(tables: Tables, now: float, draw: float) -> Dequeued | None:
+def dequeue_next(tables: Tables, now: float, draw: float) -> Dequeued | None:
     """Dequeue the next request for which an upstream has capacity; None if none.
 
     Call it on each tick and after each completion until it returns None. The caller
@@ -97,12 +98,12 @@
             work = replace(work, priority=Priority.REPORT)
 
         pool = (work.service or waiting.version, list_allowed(tables, work))
-        if saturated.get(pool, len(RANK)) <= RANK[work.priority]:
+        if saturated.get(pool, len(PRIORITY_RANK)) <= PRIORITY_RANK[work.priority]:
             continue
 
         result = choose_upstream(tables, work, waiting.version, now=now, draw=draw)
         if isinstance(result, Refusal) and result.code == BUSY:
-            saturated[pool] = RANK[work.priority]
+            saturated[pool] = PRIORITY_RANK[work.priority]
             continue
 
         del tables.waiting[work.request]
@@ -130,7 +131,7 @@
         work = waiting.work
         return (
             (work.workspace, work.priority) in over_share,
-            RANK[work.priority],
+            PRIORITY_RANK[work.priority],
             held.get(work.workspace, 0),
             waiting.number,
         )
--- a/src/waxwingwell/decisions/retries.py
+++ b/src/waxwingwell/decisions/retries.py
@@ -42,7 +42,7 @@
     updated_at: float = 0.0
 
 
-def note_request(budget: RetryBudget, now: float) -> None:
+def record_request(budget: RetryBudget, now: float) -> None:
     """Record the first attempt of a request."""
     decay_budget(budget, now)
     budget.requests += 1.0
--- a/src/waxwingwell/decisions/rollouts.py
+++ b/src/waxwingwell/decisions/rollouts.py
@@ -70,7 +70,7 @@
     reason: str
 
 
-def judge_rollout(
+def evaluate_rollout(
     rollout: Rollout,
     candidate: Iterable[Evidence],
     incumbent: Iterable[Evidence],
@@ -119,7 +119,7 @@
 
     steps: list[RolloutStep] = []
     for rollout in rollouts.values():
-        evaluation = judge_rollout(
+        evaluation = evaluate_rollout(
             rollout,
             rows.get(rollout.candidate, ()),
             rows.get(rollout.incumbent, ()),
@@ -132,7 +132,7 @@
     return tuple(steps)
 
 
-def take_base(rollout: Rollout, evidence: Iterable[Evidence]) -> tuple[Evidence, ...]:
+def select_base(rollout: Rollout, evidence: Iterable[Evidence]) -> tuple[Evidence, ...]:
     """Return the rows to store as ``Rollout.base`` at the start of a stage.
 
     If a version regresses at a late stage, its earlier good ratings hide that in the
--- a/src/waxwingwell/decisions/tables.py
+++ b/src/waxwingwell/decisions/tables.py
@@ -52,7 +52,7 @@
     probing: bool = False
     """Whether it gets one request at a time after an ejection, until one succeeds."""
 
-    taken_at: float = 0.0
+    received_at: float = 0.0
     """When this entry received the announcement."""
 
 
@@ -83,8 +83,8 @@
     """When ``rate`` was last updated."""
     in_flight_by_priority: dict[Priority, int] = field(default_factory=dict)
     """This entry's admitted requests by priority."""
-    elsewhere_in_flight: int = 0
-    elsewhere_rate: float = 0.0
+    other_entries_in_flight: int = 0
+    other_entries_rate: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -166,7 +166,7 @@
     )
     upstreams: dict[UpstreamId, UpstreamRow] = field(default_factory=dict)
     demand: dict[WorkspaceId, WorkspaceDemand] = field(default_factory=dict)
-    distances: dict[str, float] = field(default_factory=dict)
+    one_way_seconds: dict[str, float] = field(default_factory=dict)
     """One-way seconds from this entry's data centre to each data centre."""
     waiting: dict[str, Waiting] = field(default_factory=dict)
     """Waiting queue, by request id."""
@@ -181,7 +181,7 @@
     """Upstreams by version or service; a hint, rebuilt by ``index_upstreams``."""
     recent_upstreams: dict[str, dict[UpstreamId, float]] = field(default_factory=dict)
     """Upstreams that recently received a prompt prefix, by digest; a hint."""
-    rating_heard_at: float = 0.0
+    last_rating_at: float = 0.0
     """When the last rating arrived; stale ratings make decisions conservative."""
     rating_price: float = 0.0
     """Price of one rating in micro-units."""
--- a/src/waxwingwell/decisions/upstreams.py
+++ b/src/waxwingwell/decisions/upstreams.py
@@ -17,7 +17,7 @@
 from .ejection import end_ejection
 from .ejection import record_failure
 from .ejection import record_success
-from .load import BOUNDS
+from .load import PRIORITY_LOAD_LIMITS
 from .load import estimate_outstanding
 from .load import estimate_scale
 from .load import estimate_wait
@@ -26,7 +26,7 @@
 from .load import trim_times
 from .prefixes import estimate_cached
 from .prefixes import find_home
-from .prefixes import remember_prefixes
+from .prefixes import record_prefixes
 from .rates import count_event
 from .tables import Refusal
 from .waits import FINISH_WINDOW
@@ -121,7 +121,7 @@
 ) -> list[tuple[UpstreamRow, float]]:
     """Return the upstreams with capacity for the work, with their estimated load."""
     scale = estimate_scale(tables)
-    share = BOUNDS[work.priority]
+    share = PRIORITY_LOAD_LIMITS[work.priority]
     found = []
     for row in rows:
         outstanding = estimate_outstanding(row, scale)
@@ -162,7 +162,7 @@
     announcement = row.announcement
     upstream = announcement.upstream
     wait = estimate_wait(row, work, outstanding, now)
-    round_trip = 2.0 * tables.distances.get(announcement.data_centre, 0.0)
+    round_trip = 2.0 * tables.one_way_seconds.get(announcement.data_centre, 0.0)
     if not work.prompt_tokens:
         return UpstreamEstimate(upstream, wait, wait + round_trip, 0.0, round_trip)
 
@@ -204,7 +204,7 @@
     )
 
 
-def note_dispatch(
+def record_dispatch(
     tables: Tables, upstream: UpstreamId, work: Work, *, now: float
 ) -> None:
     """Record that this entry dispatches a request to the upstream now."""
@@ -219,10 +219,10 @@
     row.in_flight += 1
     trim_times(row.dispatched, row.heard_at)
     row.dispatched.append(now)
-    remember_prefixes(tables, upstream, work.prefixes, now)
+    record_prefixes(tables, upstream, work.prefixes, now)
 
 
-def note_finish(
+def record_finish(
     tables: Tables, upstream: UpstreamId, *, failed: bool, now: float
 ) -> None:
     """Record the end of a request; ``failed`` means a fault of the upstream."""
@@ -243,6 +243,6 @@
         record_success(row)
 
 
-def note_silence(tables: Tables, upstream: UpstreamId, *, now: float) -> None:
+def record_missed_deadline(tables: Tables, upstream: UpstreamId, *, now: float) -> None:
     """Record a missed progress deadline; the request itself has not ended yet."""
     record_failure(tables, upstream, weight=UNRESPONSIVE_WEIGHT, now=now)
--- a/src/waxwingwell/decisions/versions.py
+++ b/src/waxwingwell/decisions/versions.py
@@ -14,7 +14,7 @@
 from .eligibility import check_pinned
 from .eligibility import list_eligible
 from .exploration import find_option_to_explore
-from .offers import is_candidate_open
+from .offers import is_candidate_offered
 from .options import build_context
 from .options import find_primary
 from .options import find_safest
@@ -90,8 +90,7 @@
 def have_ratings_stopped(tables: Tables, now: float) -> bool:
     """Return whether the last rating is so old that the evidence is stale."""
     return (
-        not tables.rating_heard_at
-        or now - tables.rating_heard_at > RATING_STALE_SECONDS
+        not tables.last_rating_at or now - tables.last_rating_at > RATING_STALE_SECONDS
     )
 
 
@@ -181,7 +180,7 @@
         ):
             continue
 
-        if not is_candidate_open(tables, context.config, context.work, rollout, now):
+        if not is_candidate_offered(tables, context.config, context.work, rollout, now):
             continue
 
         plan = tuple(
--- a/src/waxwingwell/decisions/waits.py
+++ b/src/waxwingwell/decisions/waits.py
@@ -18,16 +18,16 @@
 """Seconds over which the completion rate is smoothed."""
 MIN_FINISH_RATE = 0.2
 """Completions per second assumed if there were no recent ones."""
-RANK = {priority: rank for rank, priority in enumerate(PRIORITY_ORDER)}
+PRIORITY_RANK = {priority: rank for rank, priority in enumerate(PRIORITY_ORDER)}
 """Rank of each priority in the order of service, starting at 0."""
 
 
 def estimate_queue_wait(tables: Tables, work: Work, now: float) -> float:
     """Return the expected seconds that new work would wait in this entry's queue."""
     ahead: dict[WorkspaceId, int] = {}
-    rank = RANK[work.priority]
+    rank = PRIORITY_RANK[work.priority]
     for waiting in tables.waiting.values():
-        if RANK[waiting.work.priority] <= rank:
+        if PRIORITY_RANK[waiting.work.priority] <= rank:
             name = waiting.work.workspace
             ahead[name] = ahead.get(name, 0) + 1
 
--- a/src/waxwingwell/experiments/calls.py
+++ b/src/waxwingwell/experiments/calls.py
@@ -7,19 +7,19 @@
 
 from ..decisions.admission import admit
 from ..decisions.admission import release
+from ..decisions.queue import dequeue_next
 from ..decisions.queue import place_work
 from ..decisions.queue import remove_waiting
-from ..decisions.queue import take_next
 from ..decisions.retries import DispatchState
 from ..decisions.retries import is_retry_safe
 from ..decisions.retries import may_retry
-from ..decisions.retries import note_request
+from ..decisions.retries import record_request
 from ..decisions.tables import Refusal
 from ..decisions.upstreams import UpstreamChoice
 from ..decisions.upstreams import choose_upstream
-from ..decisions.upstreams import note_dispatch
-from ..decisions.upstreams import note_finish
-from ..decisions.upstreams import note_silence
+from ..decisions.upstreams import record_dispatch
+from ..decisions.upstreams import record_finish
+from ..decisions.upstreams import record_missed_deadline
 from ..records import UpstreamId
 from .engines import Job
 from .engines import cancel_job
@@ -59,7 +59,7 @@
         return
 
     now = world.clock.now
-    note_request(call.entry.budget, now)
+    record_request(call.entry.budget, now)
     if isinstance(admit(call.entry.tables, request.work, now), Refusal):
         record_outcome(world, call, "refused")
         return
@@ -77,7 +77,7 @@
 def dispatch_waiting(world: World, entry: Entry) -> None:
     """Dispatch every queued request for which an engine has capacity."""
     while True:
-        taken = take_next(entry.tables, world.clock.now, world.random.random())
+        taken = dequeue_next(entry.tables, world.clock.now, world.random.random())
         if taken is None:
             return
 
@@ -92,7 +92,7 @@
     """Send a call to an engine."""
     entry = call.entry
     engine = world.engines[name]
-    one_way = entry.tables.distances[engine.data_centre]
+    one_way = entry.tables.one_way_seconds[engine.data_centre]
     world.dispatches += 1
     world.remote_dispatches += engine.data_centre != entry.data_centre
     clock = world.clock
@@ -114,7 +114,7 @@
     entry.in_flight[name] = entry.in_flight.get(name, 0) + 1
     if world.policy.rule is None:
         work = call.request.work
-        note_dispatch(entry.tables, UpstreamId(name), work, now=clock.now)
+        record_dispatch(entry.tables, UpstreamId(name), work, now=clock.now)
 
     call_at(clock, clock.now + one_way, lambda: submit_job(engine, job))
     at = clock.now + FIRST_TOKEN_TIMEOUT_SECONDS
@@ -149,7 +149,7 @@
 
     if world.policy.rule is None:
         name = UpstreamId(call.engine.name)
-        note_silence(call.entry.tables, name, now=world.clock.now)
+        record_missed_deadline(call.entry.tables, name, now=world.clock.now)
 
     release_engine(world, call, failed=True)
     retry_call(world, call, DispatchState.SENT)
@@ -167,7 +167,7 @@
     if world.policy.rule is None:
         now = world.clock.now
         tables = call.entry.tables
-        note_finish(tables, UpstreamId(engine.name), failed=failed, now=now)
+        record_finish(tables, UpstreamId(engine.name), failed=failed, now=now)
 
 
 def retry_call(world: World, call: Call, state: DispatchState) -> None:
--- a/src/waxwingwell/experiments/engines.py
+++ b/src/waxwingwell/experiments/engines.py
@@ -14,7 +14,7 @@
 from dataclasses import field
 from functools import partial
 
-from ..decisions.waits import RANK
+from ..decisions.waits import PRIORITY_RANK
 from ..records import LoadReport
 from .events import Clock
 from .events import call_at
@@ -92,7 +92,7 @@
         job.on_end(False)
         return
 
-    entry = (RANK[job.request.work.priority], job.number, job)
+    entry = (PRIORITY_RANK[job.request.work.priority], job.number, job)
     heapq.heappush(engine.waiting, entry)
     fill_slots(engine)
 
--- a/src/waxwingwell/experiments/entries.py
+++ b/src/waxwingwell/experiments/entries.py
@@ -65,7 +65,7 @@
     """Return an entry configured with every engine and workspace."""
     data_centre = profile.data_centres[number % len(profile.data_centres)]
     tables = Tables(
-        distances={
+        one_way_seconds={
             name: 0.0003 if name == data_centre else profile.one_way
             for name in profile.data_centres
         }
@@ -175,7 +175,7 @@
     entry: Entry, engines: list[Engine], request: Request, random: Random
 ) -> str:
     """Pick the engine with the earliest first token by its true state (an oracle)."""
-    distances = entry.tables.distances
+    one_way_seconds = entry.tables.one_way_seconds
     rank = list(type(request.work.priority)).index(request.work.priority)
 
     def estimate_first_token(engine: Engine) -> float:
@@ -187,7 +187,7 @@
         wait = (
             excess * request.work.answer_tokens / engine.decode_rate / engine.capacity
         )
-        round_trip = 2.0 * distances[engine.data_centre]
+        round_trip = 2.0 * one_way_seconds[engine.data_centre]
         return round_trip + wait + (ahead + new) / engine.prefill_rate
 
     return min(engines, key=estimate_first_token).name
--- a/src/waxwingwell/experiments/feeds.py
+++ b/src/waxwingwell/experiments/feeds.py
@@ -7,8 +7,8 @@
 from typing import TYPE_CHECKING
 
 from ..decisions.load import trim_times
-from ..decisions.prefixes import note_evicted
-from ..decisions.prefixes import remember_prefixes
+from ..decisions.prefixes import record_evicted
+from ..decisions.prefixes import record_prefixes
 from ..records import UpstreamId
 from .engines import report_load
 from .events import call_at
@@ -104,8 +104,8 @@
 ) -> None:
     """Apply cache events at one entry."""
     upstream = UpstreamId(engine.name)
-    remember_prefixes(entry.tables, upstream, stored, at)
-    note_evicted(entry.tables, upstream, evicted)
+    record_prefixes(entry.tables, upstream, stored, at)
+    record_evicted(entry.tables, upstream, evicted)
 
 
 def publish_demand(world: World) -> None:
@@ -129,5 +129,5 @@
 
 def receive_demand(row: WorkspaceDemand, rate: float, in_flight_counts: int) -> None:
     """Apply the total demand of all other entries."""
-    row.elsewhere_rate = rate
-    row.elsewhere_in_flight = in_flight_counts
+    row.other_entries_rate = rate
+    row.other_entries_in_flight = in_flight_counts
--- a/src/waxwingwell/experiments/rollout_runs.py
+++ b/src/waxwingwell/experiments/rollout_runs.py
@@ -13,14 +13,14 @@
 from dataclasses import field
 from dataclasses import replace
 
-from ..decisions.evidence import note_rating
-from ..decisions.evidence import note_sent
-from ..decisions.evidence import note_unrated
-from ..decisions.offers import is_candidate_open
+from ..decisions.evidence import record_rating
+from ..decisions.evidence import record_sent
+from ..decisions.evidence import record_unrated
+from ..decisions.offers import is_candidate_offered
 from ..decisions.rollouts import RolloutAction
-from ..decisions.rollouts import judge_rollout
+from ..decisions.rollouts import evaluate_rollout
+from ..decisions.rollouts import select_base
 from ..decisions.rollouts import step_rollouts
-from ..decisions.rollouts import take_base
 from ..decisions.tables import Tables
 from ..decisions.tables import Work
 from ..records import Evidence
@@ -114,7 +114,7 @@
         _deliver_ratings(simulation, now)
         work = _draw_work(simulation, number)
         config = simulation.tables.workspaces[work.workspace]
-        offered = is_candidate_open(
+        offered = is_candidate_offered(
             simulation.tables, config, work, simulation.rollout, now
         )
         _serve(simulation, result, work, now, candidate=offered or result.completed)
@@ -146,7 +146,7 @@
         if number + 1 != window:
             continue
 
-        verdict = judge_rollout(
+        verdict = evaluate_rollout(
             simulation.rollout,
             _list_evidence(simulation, CANDIDATE),
             _list_evidence(simulation, INCUMBENT),
@@ -172,7 +172,7 @@
             stage=step.stage,
             status=step.status,
             stage_at=now,
-            base=take_base(simulation.rollout, rows)
+            base=select_base(simulation.rollout, rows)
             if advanced
             else simulation.rollout.base,
         )
@@ -202,7 +202,7 @@
         result.bad += int(simulation.current_loss > 0.0)
 
     rate = candidate or simulation.rng.random() < SAMPLE_SHARE
-    note_sent(simulation.tables, work, version, rate=rate, now=now)
+    record_sent(simulation.tables, work, version, rate=rate, now=now)
     if not rate:
         return
 
@@ -219,9 +219,9 @@
         due, index = heapq.heappop(simulation.pending_ratings)
         work, version, rating, missing = simulation.served[index]
         if missing:
-            note_unrated(simulation.tables, work.workspace, work.kind, version)
+            record_unrated(simulation.tables, work.workspace, work.kind, version)
         else:
-            note_rating(
+            record_rating(
                 simulation.tables, work.workspace, work.kind, version, rating, due
             )
 
@@ -240,7 +240,7 @@
 
 def _make_simulation(case: RolloutCase) -> RolloutSimulation:
     rng = random.Random(f"{case.profile}/{case.seed}")
-    tables = Tables(rating_heard_at=1.0)
+    tables = Tables(last_rating_at=1.0)
     for version, status in (
         (INCUMBENT, VersionStatus.ACTIVE),
         (CANDIDATE, VersionStatus.CANDIDATE),
--- a/src/waxwingwell/experiments/traffic.py
+++ b/src/waxwingwell/experiments/traffic.py
@@ -9,9 +9,9 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING
 
-from ..decisions.evidence import note_rating
-from ..decisions.evidence import note_sent
-from ..decisions.evidence import note_unrated
+from ..decisions.evidence import record_rating
+from ..decisions.evidence import record_sent
+from ..decisions.evidence import record_unrated
 from ..decisions.tables import Refusal
 from ..decisions.versions import choose_version
 from ..records import VersionId
@@ -143,13 +143,13 @@
     cost = 0.0
     for version in choice.plan[:-1]:
         cost += world.prices[version] + RATING_PRICE
-        note_sent(tables, work, version, rate=True, now=now, served=False)
+        record_sent(tables, work, version, rate=True, now=now, served=False)
         if totals.policy_rng.random() < MISSING_SHARE:
-            note_unrated(tables, work.workspace, work.kind, version)
+            record_unrated(tables, work.workspace, work.kind, version)
             continue
 
         accepted = qualities[version] >= choice.threshold
-        note_rating(
+        record_rating(
             tables,
             work.workspace,
             work.kind,
@@ -165,7 +165,7 @@
     last = choice.plan[-1]
     cost += world.prices[last]
     escalated = len(choice.plan) > 1
-    note_sent(
+    record_sent(
         tables,
         work,
         last,
@@ -250,7 +250,7 @@
         item = heapq.heappop(totals.ratings)
         workspace, name = item.cell
         if item.missing:
-            note_unrated(
+            record_unrated(
                 world.tables,
                 workspace,
                 kinds[name],
@@ -259,7 +259,7 @@
             )
             continue
 
-        note_rating(
+        record_rating(
             world.tables,
             workspace,
             kinds[name],
--- a/src/waxwingwell/state/demand.py
+++ b/src/waxwingwell/state/demand.py
@@ -69,8 +69,8 @@
     ``DEMAND_TIMEOUT``, so that its last report doesn't block a workspace for good.
     """
     for demand in tables.demand.values():
-        demand.elsewhere_in_flight = 0
-        demand.elsewhere_rate = 0.0
+        demand.other_entries_in_flight = 0
+        demand.other_entries_rate = 0.0
 
     expired = []
     for entry, row in memory.rows.items():
@@ -90,8 +90,8 @@
     triples = zip(message.workspaces, message.in_flight, message.rates, strict=True)
     for workspace, in_flight, rate in triples:
         demand = tables.demand.setdefault(workspace, WorkspaceDemand())
-        demand.elsewhere_in_flight += in_flight
-        demand.elsewhere_rate += rate
+        demand.other_entries_in_flight += in_flight
+        demand.other_entries_rate += rate
 
 
 def make_demand(
--- a/src/waxwingwell/state/membership.py
+++ b/src/waxwingwell/state/membership.py
@@ -71,7 +71,7 @@
         _reset_incarnation(row)
 
     _replace_announcement(row, announcement, expires_at, announced_at)
-    row.taken_at = now
+    row.received_at = now
     return True
 
 
@@ -120,7 +120,7 @@
 
     row.announcement = replace(row.announcement, leaving=True)
     row.left = True
-    row.taken_at = now
+    row.received_at = now
     return True
 
 
@@ -162,7 +162,7 @@
     rows = [
         row
         for row in tables.upstreams.values()
-        if row.taken_at > since and (row.announcement.leaving or not row.left)
+        if row.received_at > since and (row.announcement.leaving or not row.left)
     ]
     return SpreadAnnouncements(
         announcements=tuple(row.announcement for row in rows),
--- a/src/waxwingwell/state/rollouts.py
+++ b/src/waxwingwell/state/rollouts.py
@@ -16,7 +16,7 @@
 from itertools import pairwise
 from typing import TYPE_CHECKING
 
-from ..decisions.rollouts import take_base
+from ..decisions.rollouts import select_base
 from ..records import Finding
 from ..records import Rollout
 from ..records import RolloutPace
@@ -100,7 +100,7 @@
         started_at=change.at,
         stage_at=change.at,
     )
-    base = take_base(rollout, evidence)
+    base = select_base(rollout, evidence)
     table.rollouts[change.model] = replace(rollout, base=base)
     set_status(table, change.candidate, VersionStatus.CANDIDATE, change)
 
@@ -199,7 +199,7 @@
         status=status,
         stage_at=change.at if stage_changed else rollout.stage_at,
         reason=change.reason,
-        base=take_base(rollout, evidence) if stage_changed else rollout.base,
+        base=select_base(rollout, evidence) if stage_changed else rollout.base,
     )
     if rolled_back:
         set_status(table, rollout.candidate, VersionStatus.WITHDRAWN, change)
--- a/tests/decisions/factories.py
+++ b/tests/decisions/factories.py
@@ -67,7 +67,7 @@
     *rows: UpstreamRow, configs: tuple[WorkspaceConfig, ...] = ()
 ) -> Tables:
     """Return tables with these upstreams and workspaces."""
-    tables = Tables(distances={"bole": 0.0005, "cmc": 0.004})
+    tables = Tables(one_way_seconds={"bole": 0.0005, "cmc": 0.004})
     for config in configs or (make_config(),):
         tables.workspaces[config.workspace] = config
 
--- a/tests/decisions/fixtures_quality.py
+++ b/tests/decisions/fixtures_quality.py
@@ -4,8 +4,8 @@
 
 from typing import TYPE_CHECKING
 
-from waxwingwell.decisions.evidence import note_rating
-from waxwingwell.decisions.evidence import note_sent
+from waxwingwell.decisions.evidence import record_rating
+from waxwingwell.decisions.evidence import record_sent
 from waxwingwell.decisions.tables import Tables
 from waxwingwell.decisions.tables import Work
 from waxwingwell.records import Evidence
@@ -97,8 +97,8 @@
 ) -> None:
     """Record one request and its rating for each of ``ratings``."""
     for rating in ratings:
-        note_sent(tables, make_work(kind), version, rate=True, now=now)
-        note_rating(tables, WORKSPACE, kind, version, rating, now)
+        record_sent(tables, make_work(kind), version, rate=True, now=now)
+        record_rating(tables, WORKSPACE, kind, version, rating, now)
 
 
 def make_row(
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -71,7 +71,7 @@
         If each applied the full limit, the workspace would get twice its rate.
         """
         tables = make_tables(configs=(make_config(limits=Limits(10.0, 1000)),))
-        tables.demand[WORKSPACE] = WorkspaceDemand(rate=20.0, elsewhere_rate=20.0)
+        tables.demand[WORKSPACE] = WorkspaceDemand(rate=20.0, other_entries_rate=20.0)
         tables.demand[WORKSPACE].rate_updated_at = 0.001
         admitted = 0
         for number in range(200):
@@ -114,8 +114,8 @@
         for is_request, pause, elsewhere in events:
             now += pause
             demand = tables.demand.setdefault(WORKSPACE, WorkspaceDemand())
-            demand.elsewhere_in_flight = elsewhere
-            demand.elsewhere_rate = float(elsewhere)
+            demand.other_entries_in_flight = elsewhere
+            demand.other_entries_rate = float(elsewhere)
             if is_request:
                 work = make_work(f"r{now}")
                 if isinstance(admit(tables, work, now), Admitted):
--- a/tests/decisions/test_ejection.py
+++ b/tests/decisions/test_ejection.py
@@ -11,9 +11,9 @@
 from waxwingwell.decisions.ejection import FIRST_EJECTION_SECONDS
 from waxwingwell.decisions.upstreams import UpstreamChoice
 from waxwingwell.decisions.upstreams import choose_upstream
-from waxwingwell.decisions.upstreams import note_dispatch
-from waxwingwell.decisions.upstreams import note_finish
-from waxwingwell.decisions.upstreams import note_silence
+from waxwingwell.decisions.upstreams import record_dispatch
+from waxwingwell.decisions.upstreams import record_finish
+from waxwingwell.decisions.upstreams import record_missed_deadline
 from waxwingwell.records import UpstreamId
 
 from .factories import VERSION
@@ -35,8 +35,8 @@
 
 
 def fail_at(tables: Tables, upstream: UpstreamId, now: float) -> None:
-    note_dispatch(tables, upstream, make_work(), now=now)
-    note_finish(tables, upstream, failed=True, now=now)
+    record_dispatch(tables, upstream, make_work(), now=now)
+    record_finish(tables, upstream, failed=True, now=now)
 
 
 class TestEjection(unittest.TestCase):
@@ -49,20 +49,20 @@
         """
         tables = make_four_upstreams()
         row = tables.upstreams[A]
-        note_silence(tables, A, now=1.0)
+        record_missed_deadline(tables, A, now=1.0)
         self.assertEqual(row.ejected_until, 0.0)
-        note_silence(tables, A, now=2.0)
+        record_missed_deadline(tables, A, now=2.0)
         self.assertEqual(row.ejected_until, 2.0 + FIRST_EJECTION_SECONDS)
-        note_dispatch(tables, A, make_work(), now=8.0)
+        record_dispatch(tables, A, make_work(), now=8.0)
         others = frozenset(NAMES[1:])
         second = choose_upstream(
             tables, make_work(), VERSION, exclude=others, now=8.0, draw=0.0
         )
         self.assertNotIsInstance(second, UpstreamChoice)
-        note_finish(tables, A, failed=True, now=9.0)
+        record_finish(tables, A, failed=True, now=9.0)
         self.assertEqual(row.ejected_until, 9.0 + 2 * FIRST_EJECTION_SECONDS)
-        note_dispatch(tables, A, make_work(), now=20.0)
-        note_finish(tables, A, failed=False, now=21.0)
+        record_dispatch(tables, A, make_work(), now=20.0)
+        record_finish(tables, A, failed=False, now=21.0)
         self.assertFalse(row.probing)
         self.assertEqual((row.failures, row.ejections), (0, 0))
 
@@ -70,8 +70,8 @@
         tables = make_four_upstreams()
         for now in range(6):
             fail_at(tables, A, float(now))
-            note_dispatch(tables, A, make_work(), now=float(now))
-            note_finish(tables, A, failed=False, now=float(now))
+            record_dispatch(tables, A, make_work(), now=float(now))
+            record_finish(tables, A, failed=False, now=float(now))
 
         self.assertEqual(tables.upstreams[A].ejected_until, 0.0)
 
@@ -104,8 +104,8 @@
         now = 1.0
         for upstream, failed, pause in events:
             now += pause
-            note_dispatch(tables, upstream, make_work(), now=now)
-            note_finish(tables, upstream, failed=failed, now=now)
+            record_dispatch(tables, upstream, make_work(), now=now)
+            record_finish(tables, upstream, failed=failed, now=now)
             remaining = [
                 row for row in tables.upstreams.values() if row.ejected_until <= now
             ]
--- a/tests/decisions/test_evidence.py
+++ b/tests/decisions/test_evidence.py
@@ -8,11 +8,11 @@
 from waxwingwell.decisions.evidence import add_evidence
 from waxwingwell.decisions.evidence import confirm_increments
 from waxwingwell.decisions.evidence import count_outstanding
-from waxwingwell.decisions.evidence import merge_sums
-from waxwingwell.decisions.evidence import note_rating
-from waxwingwell.decisions.evidence import note_sent
-from waxwingwell.decisions.evidence import note_unrated
-from waxwingwell.decisions.evidence import take_increments
+from waxwingwell.decisions.evidence import get_pending_increments
+from waxwingwell.decisions.evidence import merge_totals
+from waxwingwell.decisions.evidence import record_rating
+from waxwingwell.decisions.evidence import record_sent
+from waxwingwell.decisions.evidence import record_unrated
 
 from .fixtures_quality import CHEAP
 from .fixtures_quality import QUESTION
@@ -34,37 +34,37 @@
         """
         tables = make_tables()
         rate_responses(tables, CHEAP, (0.5, 0.7), 1.0)
-        first = take_increments(tables)
+        first = get_pending_increments(tables)
         rate_responses(tables, CHEAP, (0.9,), 2.0)
-        self.assertEqual(take_increments(tables), first)
+        self.assertEqual(get_pending_increments(tables), first)
         confirm_increments(tables)
-        (row,) = take_increments(tables)
+        (row,) = get_pending_increments(tables)
         self.assertEqual((row.rated, row.sent, row.to_rate), (1, 1, 1))
         self.assertAlmostEqual(row.total, 0.9)
 
     def test_merged_totals_include_unflushed_increments(self) -> None:
         tables = make_tables()
         rate_responses(tables, CHEAP, (0.5,), 1.0)
-        (flushed,) = take_increments(tables)
+        (flushed,) = get_pending_increments(tables)
         confirm_increments(tables)
         rate_responses(tables, CHEAP, (1.0,), 2.0)
         others = add_evidence(flushed, flushed)
-        merge_sums(tables, (others,), 3.0)
+        merge_totals(tables, (others,), 3.0)
         self.assertEqual(tables.evidence[KEY].rated, 3)
         self.assertAlmostEqual(tables.evidence[KEY].total, 2.0)
         self.assertAlmostEqual(tables.rating_stats[KEY].total, 2.0)
-        self.assertEqual(tables.rating_heard_at, 3.0)
+        self.assertEqual(tables.last_rating_at, 3.0)
 
     def test_outstanding(self) -> None:
         tables = make_tables()
         for now in (1.0, 2.0, 3.0):
-            note_sent(tables, make_work(), CHEAP, rate=True, now=now)
+            record_sent(tables, make_work(), CHEAP, rate=True, now=now)
 
-        note_sent(tables, make_work(), CHEAP, rate=False, now=4.0)
+        record_sent(tables, make_work(), CHEAP, rate=False, now=4.0)
         self.assertEqual(count_outstanding(tables, CHEAP, 4.0), 3)
-        note_rating(tables, WORKSPACE, QUESTION, CHEAP, 0.5, 5.0)
+        record_rating(tables, WORKSPACE, QUESTION, CHEAP, 0.5, 5.0)
         self.assertEqual(count_outstanding(tables, CHEAP, 5.0), 2)
-        note_unrated(tables, WORKSPACE, QUESTION, CHEAP)
+        record_unrated(tables, WORKSPACE, QUESTION, CHEAP)
         self.assertEqual(count_outstanding(tables, CHEAP, 5.0), 1)
         late = 3.0 + OUTSTANDING_TIMEOUT
         self.assertEqual(count_outstanding(tables, CHEAP, late), 0)
@@ -79,8 +79,8 @@
 
     def test_escalated_responses_are_rated_separately(self) -> None:
         tables = make_tables()
-        note_sent(tables, make_work(), CHEAP, rate=True, now=1.0, escalated=True)
-        note_rating(tables, WORKSPACE, QUESTION, CHEAP, 0.2, 2.0, escalated=True)
+        record_sent(tables, make_work(), CHEAP, rate=True, now=1.0, escalated=True)
+        record_rating(tables, WORKSPACE, QUESTION, CHEAP, 0.2, 2.0, escalated=True)
         self.assertNotIn(KEY, tables.evidence)
         row = tables.evidence[WORKSPACE, "question+escalated", CHEAP]
         self.assertEqual((row.rated, row.sent), (1, 1))
@@ -96,23 +96,23 @@
         tables = make_tables()
         for number in range(100):
             rate = number % 2 == 0
-            note_sent(tables, make_work(), CHEAP, rate=rate, now=1.0)
+            record_sent(tables, make_work(), CHEAP, rate=rate, now=1.0)
             if rate:
-                note_rating(tables, WORKSPACE, QUESTION, CHEAP, 0.8, 1.0)
+                record_rating(tables, WORKSPACE, QUESTION, CHEAP, 0.8, 1.0)
 
         account = tables.accounts[WORKSPACE, "question"]
         credit_before = account.credit
         for number in range(40):
-            note_sent(tables, make_work(), CHEAP, rate=number % 2 == 0, now=2.0)
+            record_sent(tables, make_work(), CHEAP, rate=number % 2 == 0, now=2.0)
             if number % 2 == 0:
-                note_rating(tables, WORKSPACE, QUESTION, CHEAP, 0.3, 2.0)
+                record_rating(tables, WORKSPACE, QUESTION, CHEAP, 0.3, 2.0)
 
         self.assertLess(account.credit, credit_before - 40 * 0.4 * 0.5)
 
     def test_credit_counts_served_responses_only(self) -> None:
         tables = make_tables()
-        note_rating(tables, WORKSPACE, QUESTION, CHEAP, 0.1, 1.0, served=False)
+        record_rating(tables, WORKSPACE, QUESTION, CHEAP, 0.1, 1.0, served=False)
         self.assertNotIn((WORKSPACE, "question"), tables.accounts)
-        note_rating(tables, WORKSPACE, QUESTION, CHEAP, 0.9, 1.0)
+        record_rating(tables, WORKSPACE, QUESTION, CHEAP, 0.9, 1.0)
         account = tables.accounts[WORKSPACE, "question"]
         self.assertAlmostEqual(account.credit, 0.2)
--- a/tests/decisions/test_queue.py
+++ b/tests/decisions/test_queue.py
@@ -14,12 +14,12 @@
 from waxwingwell.decisions.admission import Admitted
 from waxwingwell.decisions.admission import admit
 from waxwingwell.decisions.admission import release
+from waxwingwell.decisions.queue import dequeue_next
 from waxwingwell.decisions.queue import enqueue
 from waxwingwell.decisions.queue import shed_expired
-from waxwingwell.decisions.queue import take_next
 from waxwingwell.decisions.upstreams import UpstreamChoice
-from waxwingwell.decisions.upstreams import note_dispatch
-from waxwingwell.decisions.upstreams import note_finish
+from waxwingwell.decisions.upstreams import record_dispatch
+from waxwingwell.decisions.upstreams import record_finish
 from waxwingwell.records import Limits
 from waxwingwell.records import Priority
 from waxwingwell.records import UpstreamId
@@ -52,10 +52,10 @@
 def dispatch_all(tables: Tables, now: float) -> list[Work]:
     """Dispatch all requests for which there is capacity; return them in order."""
     taken = []
-    while (dequeued := take_next(tables, now, 0.5)) is not None:
+    while (dequeued := dequeue_next(tables, now, 0.5)) is not None:
         assert isinstance(dequeued.result, UpstreamChoice)
         work = dequeued.waiting.work
-        note_dispatch(tables, dequeued.result.upstream, work, now=now)
+        record_dispatch(tables, dequeued.result.upstream, work, now=now)
         taken.append(work)
 
     return taken
@@ -104,7 +104,7 @@
 
         for ends_at, work in [pair for pair in running if pair[0] <= now]:
             running.remove((ends_at, work))
-            note_finish(tables, A, failed=False, now=now)
+            record_finish(tables, A, failed=False, now=now)
             release(tables, work, now)
             served[work.workspace] += 1
 
@@ -158,18 +158,18 @@
             enqueue(tables, work, VERSION, 1.0)
 
         taken = []
-        while (one := take_next(tables, 1.0, 0.5)) is not None:
+        while (one := dequeue_next(tables, 1.0, 0.5)) is not None:
             taken.append(one.waiting.work)
 
         self.assertEqual(len(taken), 5)
         release(tables, taken[0], 1.0)
-        self.assertIsNotNone(take_next(tables, 1.0, 0.5))
+        self.assertIsNotNone(dequeue_next(tables, 1.0, 0.5))
         for work in taken[1:]:
-            note_dispatch(tables, A, work, now=1.0)
+            record_dispatch(tables, A, work, now=1.0)
 
         self.assertEqual(tables.upstreams[A].in_flight, 4)
         self.assertEqual(tables.upstreams[A].claimed, 1)
-        self.assertIsNone(take_next(tables, 1.0, 0.5))
+        self.assertIsNone(dequeue_next(tables, 1.0, 0.5))
 
     def test_flood_does_not_starve_another_workspace(self) -> None:
         """One workspace sends orders at twenty times the engine's capacity.
@@ -238,7 +238,7 @@
                 enqueue(tables, work, VERSION, now)
 
             if finishes and running:
-                note_finish(tables, A, failed=False, now=now)
+                record_finish(tables, A, failed=False, now=now)
                 release(tables, running.pop(), now)
 
             shed = shed_expired(tables, now)
--- a/tests/decisions/test_retries.py
+++ b/tests/decisions/test_retries.py
@@ -13,7 +13,7 @@
 from waxwingwell.decisions.retries import RetryBudget
 from waxwingwell.decisions.retries import is_retry_safe
 from waxwingwell.decisions.retries import may_retry
-from waxwingwell.decisions.retries import note_request
+from waxwingwell.decisions.retries import record_request
 
 
 class TestRetries(unittest.TestCase):
@@ -42,7 +42,7 @@
         granted = 0
         for number in range(1000):
             now = number / 100
-            note_request(budget, now)
+            record_request(budget, now)
             granted += sum(may_retry(budget, now) for _ in range(3))
 
         self.assertLessEqual(granted, 3 * RETRY_FLOOR + RETRY_SHARE * 1000)
@@ -59,7 +59,7 @@
         for is_request, pause in events:
             now += pause
             if is_request:
-                note_request(budget, now)
+                record_request(budget, now)
             else:
                 may_retry(budget, now)
 
--- a/tests/decisions/test_rollouts.py
+++ b/tests/decisions/test_rollouts.py
@@ -13,9 +13,9 @@
 from waxwingwell.decisions.bets import log_mean_exp
 from waxwingwell.decisions.comparisons import get_baseline_deviations
 from waxwingwell.decisions.rollouts import RolloutAction
-from waxwingwell.decisions.rollouts import judge_rollout
+from waxwingwell.decisions.rollouts import evaluate_rollout
+from waxwingwell.decisions.rollouts import select_base
 from waxwingwell.decisions.rollouts import step_rollouts
-from waxwingwell.decisions.rollouts import take_base
 from waxwingwell.records import RolloutStatus
 
 from .fixtures_quality import CANDIDATE
@@ -45,13 +45,13 @@
         for name, stage, ratings, action in cases:
             with self.subTest(name):
                 row = make_row(CANDIDATE, ratings)
-                found = judge_rollout(make_rollout(stage), (row,), (OLD,), 1.0)
+                found = evaluate_rollout(make_rollout(stage), (row,), (OLD,), 1.0)
                 self.assertEqual(found.action, action, found)
 
     def test_few_ratings_of_the_incumbent_cause_no_action(self) -> None:
         old = make_row(CHEAP, [0.9] * 5)
         row = make_row(CANDIDATE, [0.1] * 50)
-        found = judge_rollout(make_rollout(), (row,), (old,), 1.0)
+        found = evaluate_rollout(make_rollout(), (row,), (old,), 1.0)
         self.assertEqual(found.action, RolloutAction.STAY)
 
     def test_ended_and_paused(self) -> None:
@@ -66,7 +66,7 @@
         for status, row, action in cases:
             with self.subTest(status):
                 rollout = replace(make_rollout(), status=status)
-                found = judge_rollout(rollout, (row,), (OLD,), 1.0)
+                found = evaluate_rollout(rollout, (row,), (OLD,), 1.0)
                 self.assertEqual(found.action, action)
 
     def test_repeated_evaluation_seldom_rolls_back_a_good_version(self) -> None:
@@ -75,7 +75,7 @@
         for seed in range(200):
             ratings = draw_ratings(1000 + seed, 0.8, 120)
             rolled_back += any(
-                judge_rollout(
+                evaluate_rollout(
                     make_rollout(), (make_row(CANDIDATE, ratings[:seen]),), (OLD,), 1.0
                 ).action
                 is RolloutAction.ROLL_BACK
@@ -92,10 +92,10 @@
         """
         before = make_row(CANDIDATE, draw_ratings(4, 0.8, 2000))
         rollout = make_rollout(stage=3)
-        rollout = replace(rollout, base=take_base(rollout, (before, OLD)))
+        rollout = replace(rollout, base=select_base(rollout, (before, OLD)))
         worse = draw_ratings(5, 0.4, 30)
         after = make_row(CANDIDATE, draw_ratings(4, 0.8, 2000) + worse)
-        found = judge_rollout(rollout, (after,), (OLD,), 1.0)
+        found = evaluate_rollout(rollout, (after,), (OLD,), 1.0)
         self.assertEqual(found.action, RolloutAction.ROLL_BACK, found)
 
     def test_totals_over_kinds(self) -> None:
@@ -104,7 +104,7 @@
             make_row(CANDIDATE, draw_ratings(7, 0.8, 40)),
             make_row(CANDIDATE, draw_ratings(8, 0.6, 40), "report"),
         )
-        found = judge_rollout(make_rollout(), rows, (OLD, old), 1.0)
+        found = evaluate_rollout(make_rollout(), rows, (OLD, old), 1.0)
         self.assertEqual(found.action, RolloutAction.ADVANCE, found)
         self.assertEqual(found.rated, 80)
 
@@ -115,11 +115,13 @@
         """
         rollout = make_rollout(stage=2)
         start = make_row(CANDIDATE, draw_ratings(9, 0.8, 100))
-        rollout = replace(rollout, base=take_base(rollout, (start, OLD)))
+        rollout = replace(rollout, base=select_base(rollout, (start, OLD)))
         candidate_ratings = draw_ratings(9, 0.8, 100) + draw_ratings(10, 0.6, 60)
         incumbent_ratings = draw_ratings(1, 0.8, 2000) + draw_ratings(11, 0.6, 200)
         rows = (make_row(CANDIDATE, candidate_ratings),)
-        found = judge_rollout(rollout, rows, (make_row(CHEAP, incumbent_ratings),), 1.0)
+        found = evaluate_rollout(
+            rollout, rows, (make_row(CHEAP, incumbent_ratings),), 1.0
+        )
         self.assertIsNot(found.action, RolloutAction.ROLL_BACK, found)
 
 
--- a/tests/decisions/test_upstreams.py
+++ b/tests/decisions/test_upstreams.py
@@ -14,8 +14,8 @@
 from waxwingwell.decisions.upstreams import BUSY
 from waxwingwell.decisions.upstreams import UpstreamChoice
 from waxwingwell.decisions.upstreams import choose_upstream
-from waxwingwell.decisions.upstreams import note_dispatch
-from waxwingwell.decisions.upstreams import note_finish
+from waxwingwell.decisions.upstreams import record_dispatch
+from waxwingwell.decisions.upstreams import record_finish
 from waxwingwell.records import LoadReport
 from waxwingwell.records import UpstreamId
 from waxwingwell.records import UpstreamKind
@@ -129,8 +129,8 @@
     def test_returns_to_a_cached_prefix(self) -> None:
         tables = make_tables(make_row("a"), make_row("b"))
         work = make_work(prefixes=("p",), prefix_tokens=(700,))
-        note_dispatch(tables, B, work, now=1.0)
-        note_finish(tables, B, failed=False, now=2.0)
+        record_dispatch(tables, B, work, now=1.0)
+        record_finish(tables, B, failed=False, now=2.0)
         choice = choose_upstream(tables, work, VERSION, now=3.0, draw=0.0)
         assert isinstance(choice, UpstreamChoice)
         self.assertEqual(choice.upstream, B)
@@ -182,13 +182,13 @@
         """
         half = LoadReport(running=4, tokens_per_second=50.0, prefill_per_second=8000.0)
         tables = make_tables(make_row("a"), make_row("b", load=half))
-        tables.demand[WORKSPACE] = WorkspaceDemand(rate=10.0, elsewhere_rate=0.0)
+        tables.demand[WORKSPACE] = WorkspaceDemand(rate=10.0, other_entries_rate=0.0)
         chosen = []
         for number in range(10):
             work = make_work(f"r{number}")
             choice = choose_upstream(tables, work, VERSION, now=1.0, draw=0.0)
             assert isinstance(choice, UpstreamChoice)
-            note_dispatch(tables, choice.upstream, work, now=1.0)
+            record_dispatch(tables, choice.upstream, work, now=1.0)
             chosen.append(choice.upstream)
 
         self.assertGreaterEqual(chosen.count(B), 2)
--- a/tests/decisions/test_versions.py
+++ b/tests/decisions/test_versions.py
@@ -13,8 +13,8 @@
 from waxwingwell.decisions.accounts import get_account
 from waxwingwell.decisions.eligibility import check_dispatch
 from waxwingwell.decisions.evidence import count_outstanding
-from waxwingwell.decisions.evidence import note_rating
-from waxwingwell.decisions.evidence import note_sent
+from waxwingwell.decisions.evidence import record_rating
+from waxwingwell.decisions.evidence import record_sent
 from waxwingwell.decisions.exploration import get_exploration_limit
 from waxwingwell.decisions.offers import get_candidate_share
 from waxwingwell.decisions.offers import get_session_position
@@ -162,7 +162,7 @@
         for name, cheap, strong, version in cases:
             with self.subTest(name):
                 tables = make_tables()
-                tables.rating_heard_at = 9.0
+                tables.last_rating_at = 9.0
                 rate_responses(tables, CHEAP, cheap, 9.0)
                 rate_responses(tables, STRONG, strong, 9.0)
                 self.assertEqual(choose(tables, make_work()).plan, (version,))
@@ -278,10 +278,10 @@
         for number in range(4):
             work = make_work(session=f"s{number}")
             self.assertEqual(choose(tables, work).plan, (CANDIDATE,))
-            note_sent(tables, work, CANDIDATE, rate=True, now=10.0)
+            record_sent(tables, work, CANDIDATE, rate=True, now=10.0)
 
         self.assertEqual(choose(tables, make_work(session="s9")).plan, (CHEAP,))
-        note_rating(tables, WORKSPACE, QUESTION, CANDIDATE, 0.9, 11.0)
+        record_rating(tables, WORKSPACE, QUESTION, CANDIDATE, 0.9, 11.0)
         self.assertEqual(choose(tables, make_work(session="s9")).plan, (CANDIDATE,))
 
 
@@ -351,7 +351,7 @@
         rng = random.Random(seed)
         tables = make_tables(make_rollout(stage=3))
         tables.entries = entries
-        tables.rating_heard_at = 1.0
+        tables.last_rating_at = 1.0
         waiting: list[tuple[VersionId, float]] = []
         cap = max(1, 20 // entries)
         for number in range(300):
@@ -359,7 +359,7 @@
             work = make_work(request=str(number))
             found = choose(tables, work, now=now, draw=rng.random())
             version = found.plan[0]
-            note_sent(
+            record_sent(
                 tables,
                 work,
                 version,
@@ -378,7 +378,7 @@
             if waiting and rng.random() < 0.7:
                 rated, _ = waiting.pop(rng.randrange(len(waiting)))
                 rating = min(1.0, max(0.0, rng.gauss(mean, 0.2)))
-                note_rating(tables, WORKSPACE, QUESTION, rated, rating, now)
+                record_rating(tables, WORKSPACE, QUESTION, rated, rating, now)
 
 
 def make_all_statuses() -> Tables:
--- a/tests/experiments/test_fleet.py
+++ b/tests/experiments/test_fleet.py
@@ -7,7 +7,7 @@
 from dataclasses import replace
 from random import Random
 
-from waxwingwell.decisions.load import BOUNDS
+from waxwingwell.decisions.load import PRIORITY_LOAD_LIMITS
 from waxwingwell.experiments.entries import LEAST_IN_FLIGHT
 from waxwingwell.experiments.entries import REAL
 from waxwingwell.experiments.fleet import FleetReport
@@ -89,7 +89,10 @@
         self.assertGreater(ours.goodput, plain.goodput * 0.95)
 
     def test_load_bounds_decrease_with_the_priority(self) -> None:
-        self.assertEqual(list(BOUNDS.values()), sorted(BOUNDS.values(), reverse=True))
+        self.assertEqual(
+            list(PRIORITY_LOAD_LIMITS.values()),
+            sorted(PRIORITY_LOAD_LIMITS.values(), reverse=True),
+        )
 
     def test_rejects_invalid_arguments(self) -> None:
         for profile, seeds in (("nowhere", 1), ("entoto", 0)):
--- a/tests/state/test_demand.py
+++ b/tests/state/test_demand.py
@@ -41,18 +41,20 @@
         accepted = [take_demand(memory, tables, message, 1.0) for message in messages]
         self.assertEqual(accepted, [True, False, True, False])
         demand = tables.demand[DEMO]
-        self.assertEqual((demand.elsewhere_in_flight, demand.elsewhere_rate), (1, 2.0))
+        self.assertEqual(
+            (demand.other_entries_in_flight, demand.other_entries_rate), (1, 2.0)
+        )
 
     def test_idle_entry_stops_counting(self) -> None:
         memory, tables = DemandMemory(), Tables()
         take_demand(memory, tables, make_message(5, 1), 1.0)
         sum_demand(memory, tables, 1.0 + DEMAND_TIMEOUT)
-        self.assertEqual(tables.demand[DEMO].elsewhere_in_flight, 0)
+        self.assertEqual(tables.demand[DEMO].other_entries_in_flight, 0)
         self.assertFalse(take_demand(memory, tables, make_message(5, 1), 2.0))
         sum_demand(memory, tables, 1.0 + SENDER_RETENTION)
         self.assertFalse(memory.rows)
 
     def test_own_demand_leaves_out_idle_workspaces(self) -> None:
-        tables = Tables(demand={DEMO: WorkspaceDemand(elsewhere_in_flight=4)})
+        tables = Tables(demand={DEMO: WorkspaceDemand(other_entries_in_flight=4)})
         message = make_demand(tables, entry=BOLE, incarnation=1, sequence=1)
         self.assertEqual(message.workspaces, ())
