--- a/src/waxwingwell/adapters/registry/members.py
+++ b/src/waxwingwell/adapters/registry/members.py
@@ -53,7 +53,7 @@
     open_to_all=True,
     snapshot_bytes=1 << 20,
     snapshot_tail=50,
-    absent=2.0,
+    absence_timeout=2.0,
 )
 """Times are in seconds. A stalled disk or a short freeze of the leader costs at most
 about 0.9 s, and members that all start at once elect a leader after 0.45 s (with
@@ -87,7 +87,7 @@
             store=store,
             machine=make_machine(context),
             send=lambda member, message: send_message(context, member, message),
-            timing=replace(TIMING, most_voters=count_voters(settings.tolerated_losses)),
+            timing=replace(TIMING, max_voters=count_voters(settings.tolerated_losses)),
             random=random.SystemRandom(),
             now=context.clock(),
             heard_at=heard_at,
@@ -274,7 +274,7 @@
     if group is None or not is_leading(context, context.clock()):
         return NotAccepted(reason="this control doesn't lead")
 
-    if group.replica.applied < group.replica.first_of_term:
+    if group.replica.applied < group.replica.term_start_index:
         return NotAccepted(reason="the new leader has not caught up yet")
 
     return RoutingNow(
--- a/src/waxwingwell/state/consensus/founding.py
+++ b/src/waxwingwell/state/consensus/bootstrap.py
@@ -12,7 +12,7 @@
 
 from typing import TYPE_CHECKING
 
-from .elections import stand_for_election
+from .elections import start_election
 from .log import last_index
 from .messages import JoinRequest
 from .messages import Probe
@@ -32,7 +32,7 @@
     return last_index(replica.log) == 0 and not replica.membership.voters
 
 
-def tend_founding(replica: Replica, now: float) -> None:
+def bootstrap_or_join(replica: Replica, now: float) -> None:
     """Probe and bootstrap, or request to join, once per ``probe_interval``."""
     if now < replica.probe_at:
         return
@@ -94,7 +94,7 @@
 
     ids = [member for member, _ in replica.probe_responses.values()]
     set_membership(replica, Membership(voters=(replica.member, *ids)), 0)
-    stand_for_election(replica, now)
+    start_election(replica, now)
 
 
 def request_join(replica: Replica) -> None:
--- a/src/waxwingwell/state/consensus/checks.py
+++ b/src/waxwingwell/state/consensus/checks.py
@@ -7,7 +7,7 @@
     """An invariant of the replicated log is violated; the process must stop."""
 
 
-def check(condition: bool, rule: str, *, member: str) -> None:
+def check_invariant(condition: bool, rule: str, *, member: str) -> None:
     """Raise ``InvariantError`` with ``rule`` and ``member`` unless ``condition``."""
     if condition:
         return
--- a/src/waxwingwell/state/consensus/dispatch.py
+++ b/src/waxwingwell/state/consensus/dispatch.py
@@ -4,16 +4,16 @@
 
 from typing import TYPE_CHECKING
 
+from .bootstrap import bootstrap_or_join
+from .bootstrap import is_empty
+from .bootstrap import receive_probe
+from .bootstrap import receive_probe_response
+from .bootstrap import retry_join
 from .elections import receive_timeout_now
 from .elections import receive_vote_request
 from .elections import receive_vote_response
 from .elections import start_pre_vote
-from .following import receive_append
-from .founding import is_empty
-from .founding import receive_probe
-from .founding import receive_probe_response
-from .founding import retry_join
-from .founding import tend_founding
+from .follower import receive_append
 from .lease import lost_quorum
 from .membership import receive_join_request
 from .membership import repair_membership
@@ -31,10 +31,10 @@
 from .records import Role
 from .replica import become_follower
 from .replica import is_voter
-from .replication import leave_if_removed
 from .replication import receive_append_response
 from .replication import receive_snapshot_response
 from .replication import send_heartbeats
+from .replication import step_down_if_removed
 from .snapshots import receive_snapshot
 
 
@@ -53,7 +53,7 @@
         return
 
     if is_empty(replica):
-        tend_founding(replica, now)
+        bootstrap_or_join(replica, now)
         return
 
     retry_join(replica, now)
@@ -63,7 +63,7 @@
 
 def tick_leader(replica: Replica, now: float) -> None:
     """Step down without a responding majority; else send heartbeats and repair."""
-    leave_if_removed(replica, now)
+    step_down_if_removed(replica, now)
     expire_transfer(replica, now)
     if replica.role is not Role.LEADER:
         return
--- a/src/waxwingwell/state/consensus/elections.py
+++ b/src/waxwingwell/state/consensus/elections.py
@@ -13,8 +13,8 @@
 from .records import quorum
 from .replica import Replica
 from .replica import become_follower
-from .replica import draw_election_time
 from .replica import is_voter
+from .replica import reset_election_timer
 from .replica import set_term
 from .replication import become_leader
 
@@ -44,13 +44,13 @@
     replica.election_at = now + replica.random.uniform(heartbeat, 2 * heartbeat)
 
 
-def stand_for_election(replica: Replica, now: float, *, transfer: bool = False) -> None:
+def start_election(replica: Replica, now: float, *, transfer: bool = False) -> None:
     """Become a candidate in the next term and request the other voters' votes."""
     set_term(replica, replica.term + 1, replica.member)
     replica.role = Role.CANDIDATE
     replica.leader = ""
     replica.votes = {replica.member}
-    draw_election_time(replica, now)
+    reset_election_timer(replica, now)
     request_votes(replica, replica.term, transfer=transfer)
     count_votes(replica, now)
 
@@ -83,7 +83,7 @@
         return
 
     if replica.role is Role.PRE_CANDIDATE:
-        stand_for_election(replica, now)
+        start_election(replica, now)
         return
 
     if replica.role is Role.CANDIDATE:
@@ -105,7 +105,7 @@
     granted = can_grant_vote(replica, request)
     if granted and not request.pre:
         set_term(replica, request.term, request.sender)
-        draw_election_time(replica, now)
+        reset_election_timer(replica, now)
 
     send_vote_response(replica, request, granted=granted)
 
@@ -179,4 +179,4 @@
     if not is_voter(replica):
         return
 
-    stand_for_election(replica, now, transfer=True)
+    start_election(replica, now, transfer=True)
--- a/src/waxwingwell/state/consensus/lease.py
+++ b/src/waxwingwell/state/consensus/lease.py
@@ -51,7 +51,7 @@
     if replica.role is not Role.LEADER or replica.lease_released:
         return False
 
-    if replica.commit < replica.first_of_term:
+    if replica.commit < replica.term_start_index:
         return False
 
     duration = replica.timing.election_min * (1 - replica.timing.drift)
--- a/src/waxwingwell/state/consensus/membership.py
+++ b/src/waxwingwell/state/consensus/membership.py
@@ -30,7 +30,7 @@
     return (
         replica.role is Role.LEADER
         and replica.transfer is None
-        and replica.commit >= replica.first_of_term
+        and replica.commit >= replica.term_start_index
         and replica.commit >= replica.membership_index
     )
 
@@ -119,8 +119,8 @@
 
 
 def is_at_capacity(replica: Replica) -> bool:
-    """Return whether the group has ``most_voters`` voters, if that is bounded."""
-    limit = replica.timing.most_voters
+    """Return whether the group has ``max_voters`` voters, if that is bounded."""
+    limit = replica.timing.max_voters
     return limit > 0 and len(replica.membership.voters) >= limit
 
 
@@ -140,7 +140,7 @@
             continue
 
         heard_at = max(progress.acknowledged_at, replica.elected_at)
-        if now > heard_at + replica.timing.absent:
+        if now > heard_at + replica.timing.absence_timeout:
             return voter
 
     return ""
--- a/src/waxwingwell/state/consensus/records.py
+++ b/src/waxwingwell/state/consensus/records.py
@@ -97,9 +97,9 @@
     """Whether the leader promotes learners and removes the voters they replace."""
     open_to_all: bool = False
     """Whether members of any name may join, or only those in the settings."""
-    most_voters: int = 0
+    max_voters: int = 0
     """Voter count at which learners wait until a voter is absent; 0: no limit."""
-    absent: float = 6.0
+    absence_timeout: float = 6.0
     """Seconds without a response after which a waiting learner replaces a voter."""
 
 
--- a/src/waxwingwell/state/consensus/replica.py
+++ b/src/waxwingwell/state/consensus/replica.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from .checks import check
+from .checks import check_invariant
 from .log import Log
 from .log import entry_at
 from .log import last_index
@@ -82,7 +82,7 @@
     progress: dict[str, Progress] = field(default_factory=dict)
     elected_at: float = -math.inf
     heartbeat_at: float = -math.inf
-    first_of_term: int = 0
+    term_start_index: int = 0
     """Index of the first entry that the leader appended in its term."""
     transfer: Transfer | None = None
     lease_released: bool = False
@@ -98,15 +98,17 @@
     snapshot_dirty: bool = False
     snapshot_staged: bool = False
     """The snapshot's data is durable, but not yet recorded as the current one."""
-    machine_stale: bool = False
+    restore_pending: bool = False
     """A received snapshot must still be restored into the state machine."""
 
 
 def set_term(replica: Replica, term: int, voted_for: str) -> None:
     """Adopt a later term, or vote in the current one."""
-    check(term >= replica.term, "the term never decreases", member=replica.member)
+    check_invariant(
+        term >= replica.term, "the term never decreases", member=replica.member
+    )
     if term == replica.term:
-        check(
+        check_invariant(
             replica.voted_for in ("", voted_for),
             "at most one vote per term",
             member=replica.member,
@@ -123,7 +125,7 @@
         set_term(replica, term, "")
 
     if replica.role is not Role.FOLLOWER or replica.leader != leader:
-        draw_election_time(replica, now)
+        reset_election_timer(replica, now)
 
     replica.role = Role.FOLLOWER
     replica.leader = leader
@@ -132,7 +134,7 @@
     replica.transfer = None
 
 
-def draw_election_time(replica: Replica, now: float) -> None:
+def reset_election_timer(replica: Replica, now: float) -> None:
     """Restart the election timer with a new random timeout."""
     timing = replica.timing
     replica.election_at = now + replica.random.uniform(
@@ -142,12 +144,12 @@
 
 def set_commit(replica: Replica, index: int) -> None:
     """Advance the commit index."""
-    check(
+    check_invariant(
         index >= replica.commit,
         "the commit index never decreases",
         member=replica.member,
     )
-    check(
+    check_invariant(
         index <= last_index(replica.log),
         "only entries in the log are committed",
         member=replica.member,
@@ -183,7 +185,7 @@
 
 def truncate_entries(replica: Replica, first: int) -> None:
     """Remove the entries from ``first`` on, which conflict with the leader's."""
-    check(
+    check_invariant(
         first > replica.commit,
         "no committed entry is overwritten",
         member=replica.member,
@@ -192,10 +194,10 @@
     replica.unwritten_from = min(replica.unwritten_from, first)
     replica.durable = min(replica.durable, first - 1)
     if replica.membership_index >= first:
-        find_membership(replica)
+        restore_membership(replica)
 
 
-def find_membership(replica: Replica) -> None:
+def restore_membership(replica: Replica) -> None:
     """Apply the latest membership in the log, or else in the snapshot."""
     log = replica.log
     for index in range(last_index(log), log.base_index, -1):
@@ -232,14 +234,14 @@
 
 def follow_leader(replica: Replica, leader: str, term: int, now: float) -> None:
     """Follow ``leader``, and grant no vote for ``election_min`` from now."""
-    check(
+    check_invariant(
         not (replica.role is Role.LEADER and term == replica.term),
         "at most one leader per term",
         member=replica.member,
     )
     become_follower(replica, term, leader, now)
     replica.heard_at = now
-    draw_election_time(replica, now)
+    reset_election_timer(replica, now)
 
 
 def leads_term(replica: Replica, term: int) -> bool:
--- a/src/waxwingwell/state/consensus/replication.py
+++ b/src/waxwingwell/state/consensus/replication.py
@@ -49,9 +49,9 @@
     replica.progress.clear()
     if replica.membership_index == 0:
         data = msgspec.msgpack.encode(replica.membership)
-        replica.first_of_term = append_entry(replica, EntryKind.MEMBERSHIP, data)
+        replica.term_start_index = append_entry(replica, EntryKind.MEMBERSHIP, data)
     else:
-        replica.first_of_term = append_entry(replica, EntryKind.NO_OP, b"")
+        replica.term_start_index = append_entry(replica, EntryKind.NO_OP, b"")
 
     track_members(replica)
 
@@ -250,7 +250,7 @@
     return progress.match if progress else 0
 
 
-def leave_if_removed(replica: Replica, now: float) -> None:
+def step_down_if_removed(replica: Replica, now: float) -> None:
     """Step down once this member's own removal is committed."""
     if replica.role is not Role.LEADER or is_voter(replica):
         return
--- a/src/waxwingwell/state/consensus/snapshots.py
+++ b/src/waxwingwell/state/consensus/snapshots.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from .checks import check
+from .checks import check_invariant
 from .log import compact_log
 from .log import entry_at
 from .log import term_at
@@ -15,8 +15,8 @@
 from .records import EntryKind
 from .records import Membership
 from .records import Snapshot
-from .replica import find_membership
 from .replica import follow_leader
+from .replica import restore_membership
 
 
 if TYPE_CHECKING:
@@ -28,7 +28,7 @@
     """Return a snapshot with ``data`` as the state after the applied entries."""
     index = replica.applied
     term = term_at(replica.log, index)
-    check(
+    check_invariant(
         term is not None, "the last applied entry is in the log", member=replica.member
     )
     membership, membership_index = membership_at(replica, index)
@@ -41,7 +41,7 @@
     )
 
 
-def use_snapshot(replica: Replica, snapshot: Snapshot) -> None:
+def adopt_snapshot(replica: Replica, snapshot: Snapshot) -> None:
     """Adopt a snapshot with durable data; compact all but a tail of its entries."""
     log = replica.log
     replica.snapshot = snapshot
@@ -123,9 +123,9 @@
     replica.snapshot = snapshot
     replica.snapshot_dirty = True
     replica.snapshot_staged = False
-    replica.machine_stale = True
+    replica.restore_pending = True
     replica.commit = snapshot.index
-    find_membership(replica)
+    restore_membership(replica)
 
 
 def send_snapshot_response(
--- a/src/waxwingwell/state/group_flush.py
+++ b/src/waxwingwell/state/group_flush.py
@@ -7,7 +7,7 @@
 from loguru import logger
 
 from .consensus.checks import InvariantError
-from .consensus.checks import check
+from .consensus.checks import check_invariant
 from .consensus.log import entry_at
 from .consensus.log import last_index
 from .consensus.records import EntryKind
@@ -15,8 +15,8 @@
 from .consensus.records import Role
 from .consensus.records import name_of
 from .consensus.replication import advance_commit
-from .consensus.replication import leave_if_removed
 from .consensus.replication import replicate
+from .consensus.replication import step_down_if_removed
 from .exceptions import StorageError
 from .group_records import Committed
 from .group_records import ProposalLost
@@ -167,7 +167,7 @@
 
     restore_machine(group)
     apply_committed(group)
-    leave_if_removed(replica, now)
+    step_down_if_removed(replica, now)
     compact_if_due(group)
     log_expulsion(group)
 
@@ -177,7 +177,7 @@
     replica = group.replica
     while replica.applied < min(replica.commit, replica.durable):
         index = replica.applied + 1
-        check(
+        check_invariant(
             index > replica.log.base_index,
             "entries are applied without a gap",
             member=replica.member,
--- a/src/waxwingwell/state/group_opening.py
+++ b/src/waxwingwell/state/group_opening.py
@@ -6,9 +6,9 @@
 
 from loguru import logger
 
-from .consensus.elections import stand_for_election
-from .consensus.founding import is_empty
-from .consensus.founding import tend_founding
+from .consensus.bootstrap import bootstrap_or_join
+from .consensus.bootstrap import is_empty
+from .consensus.elections import start_election
 from .consensus.log import Log
 from .consensus.log import last_index
 from .consensus.records import ID_BITS
@@ -16,8 +16,8 @@
 from .consensus.records import make_member_id
 from .consensus.records import name_of
 from .consensus.replica import Replica
-from .consensus.replica import draw_election_time
-from .consensus.replica import find_membership
+from .consensus.replica import reset_election_timer
+from .consensus.replica import restore_membership
 from .exceptions import CorruptStorageError
 from .exceptions import InvalidMemberError
 from .group_flush import flush_group
@@ -139,7 +139,7 @@
 
     replica.durable = last_index(replica.log)
     replica.unwritten_from = replica.durable + 1
-    find_membership(replica)
+    restore_membership(replica)
     return replica
 
 
@@ -151,15 +151,15 @@
     received a message from a leader at ``heard_at``.
     """
     if is_empty(replica):
-        tend_founding(replica, now)
+        bootstrap_or_join(replica, now)
         return
 
     if replica.membership.voters == (replica.member,):
-        stand_for_election(replica, now)
+        start_election(replica, now)
         return
 
     replica.heard_at = heard_at
-    draw_election_time(replica, heard_at)
+    reset_election_timer(replica, heard_at)
     # Jitter, so that members that start together don't all start an election at once.
     jitter = replica.random.uniform(0.0, 2 * replica.timing.heartbeat)
     replica.election_at = max(replica.election_at, now + jitter)
--- a/src/waxwingwell/state/group_snapshots.py
+++ b/src/waxwingwell/state/group_snapshots.py
@@ -4,8 +4,8 @@
 
 from typing import TYPE_CHECKING
 
+from .consensus.snapshots import adopt_snapshot
 from .consensus.snapshots import make_snapshot
-from .consensus.snapshots import use_snapshot
 from .storage_records import count_pieces
 from .storage_records import cut_piece
 
@@ -41,7 +41,7 @@
     if group.staged_parts < count_pieces(snapshot):
         return
 
-    use_snapshot(group.replica, snapshot)
+    adopt_snapshot(group.replica, snapshot)
     group.staging = None
 
 
@@ -60,11 +60,11 @@
 def restore_machine(group: Group) -> None:
     """Restore the machine from a received snapshot that is now durable."""
     replica = group.replica
-    if not replica.machine_stale or replica.snapshot is None:
+    if not replica.restore_pending or replica.snapshot is None:
         return
 
     group.machine.restore(replica.snapshot.data)
     replica.applied = replica.snapshot.index
-    replica.machine_stale = False
+    replica.restore_pending = False
     group.bytes_since_snapshot = 0
     group.staging = None
--- a/tests/state/consensus/fakes.py
+++ b/tests/state/consensus/fakes.py
@@ -361,7 +361,9 @@
     return group
 
 
-def put(cluster: Cluster, name: str, command: bytes) -> list[ProposalOutcome]:
+def propose_command(
+    cluster: Cluster, name: str, command: bytes
+) -> list[ProposalOutcome]:
     """Propose a command at a member; its outcome is appended to the returned list."""
     outcomes: list[ProposalOutcome] = []
     node = cluster.nodes[name]
--- a/tests/state/consensus/randomised.py
+++ b/tests/state/consensus/randomised.py
@@ -28,7 +28,7 @@
 from tests.state.consensus.fakes import lose_disk
 from tests.state.consensus.fakes import make_cluster
 from tests.state.consensus.fakes import partition
-from tests.state.consensus.fakes import put
+from tests.state.consensus.fakes import propose_command
 from tests.state.consensus.fakes import run_for
 from tests.state.consensus.fakes import run_until
 from tests.state.consensus.fakes import start_node
@@ -126,7 +126,9 @@
 
             for _ in range(count):
                 command = b"%d" % len(self.proposed)
-                self.proposed[command] = put(self.live_cluster(), name, command)
+                self.proposed[command] = propose_command(
+                    self.live_cluster(), name, command
+                )
 
     @rule(count=st.integers(1, 40), seconds=DURATIONS)
     def write_and_run(self, count: int, seconds: float) -> None:
--- a/tests/state/consensus/test_exchange.py
+++ b/tests/state/consensus/test_exchange.py
@@ -24,7 +24,7 @@
 from .fakes import start_node
 
 
-OPEN_TIMING = replace(FAST_TIMING, open_to_all=True, most_voters=5, absent=1.5)
+OPEN_TIMING = replace(FAST_TIMING, open_to_all=True, max_voters=5, absence_timeout=1.5)
 SEEDS = (1, 2, 3, 4, 5, 6, 7, 8)
 
 CATCH_UP_SECONDS = 4.0
@@ -129,7 +129,7 @@
         be left. No leader could be elected, and a document that had been accepted
         would never take effect.
         """
-        timing = replace(TIMING, most_voters=LEAST_VOTERS)
+        timing = replace(TIMING, max_voters=LEAST_VOTERS)
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 cluster = make_cluster(5, seed=seed, timing=timing)
--- a/tests/state/consensus/test_failures.py
+++ b/tests/state/consensus/test_failures.py
@@ -18,7 +18,7 @@
 from tests.state.consensus.fakes import lose_disk
 from tests.state.consensus.fakes import make_cluster
 from tests.state.consensus.fakes import partition
-from tests.state.consensus.fakes import put
+from tests.state.consensus.fakes import propose_command
 from tests.state.consensus.fakes import run_for
 from tests.state.consensus.fakes import run_until
 from tests.state.consensus.fakes import start_node
@@ -56,7 +56,7 @@
 
 def commit_command(cluster: Cluster, name: str, command: bytes) -> None:
     """Propose a command and run until it is committed."""
-    outcomes = put(cluster, name, command)
+    outcomes = propose_command(cluster, name, command)
     run_until(cluster, lambda: bool(outcomes))
     assert isinstance(outcomes[0], Committed), outcomes
 
@@ -113,7 +113,7 @@
         """
         cluster, leader, (second, _) = make_stable_cluster()
         for number in range(300):
-            put(cluster, leader, b"%d" % number)
+            propose_command(cluster, leader, b"%d" % number)
 
         run_for(cluster, 1.0)
         cluster.extra_delay[second] = 0.2
@@ -136,7 +136,7 @@
         start_node(cluster, second)
         member = group_of(cluster, second).replica.member
         for number in range(600):
-            put(cluster, leader, b"%d" % number)
+            propose_command(cluster, leader, b"%d" % number)
             step(cluster, 0.005)
 
         self.assertTrue(is_voter_at_leader(cluster, member))
@@ -176,7 +176,7 @@
         partition(cluster, (third,), (leader, second, *rest))
         run_until(cluster, lambda: member in replica.membership.voters)
         for number in range(300):
-            put(cluster, leader, b"%d" % number)
+            propose_command(cluster, leader, b"%d" % number)
 
         run_for(cluster, 1.0)
         self.assertNotEqual(
@@ -217,7 +217,7 @@
         lose_disk(cluster, second)
         crash(cluster, third)
         start_node(cluster, second)
-        outcomes = put(cluster, leader, b"b")
+        outcomes = propose_command(cluster, leader, b"b")
         run_for(cluster, 5.0)
         self.assertEqual(outcomes, [ProposalLost()])
         self.assertEqual(lease_holders(cluster), [])
@@ -300,7 +300,7 @@
         old = group_of(cluster, leader)
         partition(cluster, (leader,), tuple(others))
         cut_at = cluster.now
-        outcomes = put(cluster, leader, b"lost")
+        outcomes = propose_command(cluster, leader, b"lost")
         run_until(cluster, lambda: not leads(old, cluster.now))
         self.assertLess(cluster.now - cut_at, cluster.timing.election_min)
         self.assertEqual(lease_holders(cluster), [])
@@ -310,7 +310,7 @@
         )
         run_for(cluster, 1.0)
         self.assertEqual(outcomes, [ProposalLost()])
-        self.assertEqual(put(cluster, leader, b"refused"), [NotLeading("")])
+        self.assertEqual(propose_command(cluster, leader, b"refused"), [NotLeading("")])
         commit_command(cluster, new_leader, b"kept")
         heal(cluster)
         run_for(cluster, 1.0)
@@ -437,7 +437,7 @@
         partition(cluster, (leader, third), (second,))
         run_for(cluster, cluster.timing.election_max / 2)
         self.assertFalse(leads(old, cluster.now))
-        self.assertEqual(put(cluster, leader, b"a"), [NotLeading(second)])
+        self.assertEqual(propose_command(cluster, leader, b"a"), [NotLeading(second)])
         run_for(cluster, cluster.timing.election_max)
         heal(cluster)
         self.assertGreater(term_of(group_of(cluster, await_leader(cluster))), 1)
@@ -451,7 +451,7 @@
         """
         cluster, leader, (second, *others) = make_stable_cluster(5)
         cluster.extra_delay.update(dict.fromkeys(others, 5 * STEP_SECONDS))
-        outcomes = put(cluster, leader, b"a")
+        outcomes = propose_command(cluster, leader, b"a")
         old = group_of(cluster, leader)
         self.assertTrue(transfer_leadership(old, second, cluster.now))
         run_until(cluster, lambda: bool(outcomes))
@@ -588,7 +588,7 @@
         )
         new_leader = next(name for name in others if has_leader_role(cluster, name))
         group = group_of(cluster, new_leader)
-        self.assertLess(group.replica.commit, group.replica.first_of_term)
+        self.assertLess(group.replica.commit, group.replica.term_start_index)
         outcomes: list[object] = []
         member = group_of(cluster, others[0]).replica.member
         remove_member(group, member, outcomes.append, cluster.now)
@@ -607,7 +607,7 @@
         cluster, leader, _others = make_stable_cluster()
         commit_command(cluster, leader, b"a")
         cluster.nodes[leader].disk.full = True
-        outcomes = put(cluster, leader, b"b")
+        outcomes = propose_command(cluster, leader, b"b")
         run_for(cluster, STEP_SECONDS)
         group = group_of(cluster, leader)
         self.assertEqual(outcomes, [ProposalLost()])
@@ -615,7 +615,7 @@
         self.assertFalse(leads(group, cluster.now))
         new_leader = await_leader(cluster)
         commit_command(cluster, new_leader, b"c")
-        self.assertEqual(put(cluster, leader, b"d"), [NotLeading("")])
+        self.assertEqual(propose_command(cluster, leader, b"d"), [NotLeading("")])
         cluster.nodes[leader].disk.full = False
         start_node(cluster, leader)
         run_for(cluster, 1.0)
@@ -631,7 +631,7 @@
         cluster, leader, (second, third) = make_stable_cluster()
         crash(cluster, third)
         cluster.nodes[second].disk.full = True
-        outcomes = put(cluster, leader, b"a")
+        outcomes = propose_command(cluster, leader, b"a")
         run_for(cluster, 3.0)
         self.assertEqual(outcomes, [ProposalLost()])
 
@@ -643,7 +643,7 @@
         """
         cluster, leader, _ = make_stable_cluster()
         group = group_of(cluster, leader)
-        outcomes = put(cluster, leader, b"a")
+        outcomes = propose_command(cluster, leader, b"a")
         flush_started_at = cluster.now
         cluster.nodes[leader].frozen = True
         run_for(cluster, 2.0)
--- a/tests/state/consensus/test_power.py
+++ b/tests/state/consensus/test_power.py
@@ -24,9 +24,13 @@
     from waxwingwell.state.consensus.records import Timing
 
 
-QUICK_TIMING = replace(TIMING, most_voters=LEAST_VOTERS)
+QUICK_TIMING = replace(TIMING, max_voters=LEAST_VOTERS)
 SLOW_TIMING = replace(
-    QUICK_TIMING, heartbeat=0.15, election_min=0.6, election_max=1.2, absent=6.0
+    QUICK_TIMING,
+    heartbeat=0.15,
+    election_min=0.6,
+    election_max=1.2,
+    absence_timeout=6.0,
 )
 POWER_LOSS_DELAYS = (0.0, 0.1, 0.2, 0.3, 0.5, 0.8, 1.3, 2.1)
 """Seconds from the return of a member with a lost disk until power fails everywhere:
--- a/tests/state/test_group.py
+++ b/tests/state/test_group.py
@@ -11,7 +11,7 @@
 from tests.state.consensus.fakes import group_of
 from tests.state.consensus.fakes import lease_holders
 from tests.state.consensus.fakes import make_cluster
-from tests.state.consensus.fakes import put
+from tests.state.consensus.fakes import propose_command
 from tests.state.consensus.fakes import run_for
 from tests.state.consensus.fakes import run_until
 from tests.state.consensus.fakes import start_node
@@ -34,7 +34,7 @@
             with self.subTest(size=size):
                 cluster = make_cluster(size)
                 leader = await_leader(cluster)
-                outcomes = put(cluster, leader, b"a")
+                outcomes = propose_command(cluster, leader, b"a")
                 run_for(cluster, 0.5)
                 self.assertIsInstance(outcomes[0], Committed)
                 for name in cluster.names:
@@ -54,7 +54,7 @@
         leader = await_leader(cluster)
         run_for(cluster, 0.5)
         other = next(name for name in cluster.names if name != leader)
-        self.assertEqual(put(cluster, other, b"a"), [NotLeading(leader)])
+        self.assertEqual(propose_command(cluster, other, b"a"), [NotLeading(leader)])
 
     def test_fail_over_fits_the_client_lease(self) -> None:
         for seed in range(20):
@@ -65,7 +65,7 @@
         cluster = make_cluster(3)
         leader = await_leader(cluster)
         for number in range(300):
-            put(cluster, leader, b"%d" % number)
+            propose_command(cluster, leader, b"%d" % number)
             if number % 10 == 0:
                 run_for(cluster, 0.02)
 
--- a/tests/state/test_recovery.py
+++ b/tests/state/test_recovery.py
@@ -14,7 +14,7 @@
 from tests.state.consensus.fakes import lose_disk
 from tests.state.consensus.fakes import make_cluster
 from tests.state.consensus.fakes import open_fake_store
-from tests.state.consensus.fakes import put
+from tests.state.consensus.fakes import propose_command
 from tests.state.consensus.fakes import run_for
 from tests.state.consensus.fakes import start_node
 from waxwingwell.state.exceptions import InvalidMemberError
@@ -36,7 +36,7 @@
         await_voters(cluster)
         leader = await_leader(cluster)
         for number in range(100):
-            put(cluster, leader, b"%d" % number)
+            propose_command(cluster, leader, b"%d" % number)
 
         run_for(cluster, 1.0)
         term = term_of(group_of(cluster, leader))
