--- a/bench/control_plane.py
+++ b/bench/control_plane.py
@@ -27,7 +27,7 @@
 from twisted.internet.task import LoopingCall
 from twisted.internet.task import deferLater
 
-from waxwingwell.adapters.bodies import Body
+from waxwingwell.adapters.link_messages import Body
 from waxwingwell.adapters.links import Link
 from waxwingwell.adapters.links import LinkHandlers
 from waxwingwell.adapters.links import LinkNode
--- a/src/waxwingwell/adapters/admin_client.py
+++ b/src/waxwingwell/adapters/admin_client.py
@@ -22,9 +22,9 @@
 from ..messages import NotLeader
 from ..messages import Rejected
 from ..records import Finding
+from .admin_transport import AdminRequest
+from .admin_transport import AdminResponse
 from .admin_transport import Unreachable
-from .admin_transport import WireReply
-from .admin_transport import WireRequest
 from .admin_views import ErrorView
 
 
@@ -75,7 +75,7 @@
     addresses: tuple[str, ...]
     """Base URLs of the control processes, tried in this order."""
     key: str
-    send: Callable[[WireRequest], WireReply | Unreachable]
+    send: Callable[[AdminRequest], AdminResponse | Unreachable]
     clock: Callable[[], float] = time.monotonic
     pause: Callable[[float], None] = time.sleep
 
@@ -142,14 +142,16 @@
     return decode_body(response, kind)
 
 
-def ask_in_force(client: AdminClient, config_version: int) -> Result[InForce, Problem]:
+def fetch_in_force(
+    client: AdminClient, config_version: int
+) -> Result[InForce, Problem]:
     """Fetch whether a configuration version is in force at every entry."""
     return fetch_view(client, f"/in-force?config_version={config_version}", InForce)
 
 
 def send_with_failover(
     client: AdminClient, method: str, path: str, body: bytes | None = None
-) -> WireReply | Problem:
+) -> AdminResponse | Problem:
     """Send a request to each address in turn, in rounds, until one responds."""
     deadline = client.clock() + RETRY_SECONDS
     last_error = "no address of the administration API is configured"
@@ -157,7 +159,7 @@
         wait = DEFAULT_PAUSE_SECONDS
         for address in client.addresses:
             url = address.rstrip("/") + API + path
-            response = client.send(WireRequest(method, url, client.key, body))
+            response = client.send(AdminRequest(method, url, client.key, body))
             if isinstance(response, Unreachable):
                 last_error = response.reason
                 continue
@@ -177,7 +179,7 @@
     return Problem(ProblemKind.UNAVAILABLE, last_error)
 
 
-def decode_body(response: WireReply, kind: type[ViewT]) -> Result[ViewT, Problem]:
+def decode_body(response: AdminResponse, kind: type[ViewT]) -> Result[ViewT, Problem]:
     """Decode the body of a response; a malformed body is a problem."""
     try:
         return Success(msgspec.json.decode(response.body, type=kind))
@@ -186,7 +188,7 @@
         return Failure(Problem(ProblemKind.UNAVAILABLE, message))
 
 
-def decode_error(response: WireReply) -> Problem:
+def decode_error(response: AdminResponse) -> Problem:
     """Return the problem that an error response describes."""
     try:
         view = msgspec.json.decode(response.body, type=ErrorView)
--- a/src/waxwingwell/adapters/admin_transport.py
+++ b/src/waxwingwell/adapters/admin_transport.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WireRequest:
+class AdminRequest:
     """An HTTP request with the operator's key."""
 
     method: str
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WireReply:
+class AdminResponse:
     """An HTTP response."""
 
     status: int
@@ -56,7 +56,7 @@
 
 def make_transport(
     ca_file: str = "",
-) -> Callable[[WireRequest], WireReply | Unreachable]:
+) -> Callable[[AdminRequest], AdminResponse | Unreachable]:
     """Return a function that sends a request.
 
     ``ca_file`` holds the trusted certificates; empty for those of the system.
@@ -68,7 +68,7 @@
         _NoRedirects(),
     )
 
-    def send(request: WireRequest) -> WireReply | Unreachable:
+    def send(request: AdminRequest) -> AdminResponse | Unreachable:
         http_request = urllib.request.Request(
             request.url,
             data=request.body,
@@ -80,11 +80,11 @@
         )
         try:
             with opener.open(http_request, timeout=request.timeout) as response:
-                return WireReply(response.status, response.read(MAX_RESPONSE_BYTES))
+                return AdminResponse(response.status, response.read(MAX_RESPONSE_BYTES))
         except urllib.error.HTTPError as error:
             with error:
                 wait = parse_retry_after(error.headers.get("Retry-After", ""))
-                return WireReply(error.code, error.read(MAX_RESPONSE_BYTES), wait)
+                return AdminResponse(error.code, error.read(MAX_RESPONSE_BYTES), wait)
         except (OSError, ValueError) as error:
             return Unreachable(f"{request.url}: {error}")
 
--- a/src/waxwingwell/adapters/counting.py
+++ b/src/waxwingwell/adapters/connection_tracking.py
@@ -40,7 +40,7 @@
         super().timeoutConnection()  # type: ignore[no-untyped-call]
 
 
-class CountingSite(Site):
+class ConnectionTrackingSite(Site):
     """A site that tracks its open connections, so that a stop can wait for them.
 
     After a request has finished, its response may still be buffered for a slow
@@ -89,7 +89,7 @@
     return transport
 
 
-def close_connections(site: CountingSite) -> None:
+def close_connections(site: ConnectionTrackingSite) -> None:
     """Close every connection once all bytes written to it were sent.
 
     The producer is unregistered first: if a slow reader has paused it, the transport
--- a/src/waxwingwell/adapters/control/admin.py
+++ b/src/waxwingwell/adapters/control/admin.py
@@ -13,7 +13,7 @@
 from ...keys import BEARER
 from ...keys import hash_key
 from ..admin_views import ErrorView
-from ..counting import CountingSite
+from ..connection_tracking import ConnectionTrackingSite
 
 
 if TYPE_CHECKING:
@@ -32,7 +32,7 @@
 """Seconds, as the value of a header."""
 
 
-def make_admin_site(context: ControlContext) -> CountingSite:
+def make_admin_site(context: ControlContext) -> ConnectionTrackingSite:
     """Return the site that serves the administration API."""
     from .changes import add_changes
     from .members import add_members
@@ -42,7 +42,7 @@
     for add in (add_changes, add_members, add_views):
         add(app, context)
 
-    site = CountingSite(app.resource(), timeout=IDLE_TIMEOUT)
+    site = ConnectionTrackingSite(app.resource(), timeout=IDLE_TIMEOUT)
     site.noisy = False
     site.displayTracebacks = False
     return site
--- a/src/waxwingwell/adapters/control/daemon.py
+++ b/src/waxwingwell/adapters/control/daemon.py
@@ -25,18 +25,18 @@
 from ...state.machine import load_state
 from ...state.machine import save_state
 from ...state.storage import open_store
-from ..bodies import Body
 from ..clock import read_clock
 from ..clock import read_wall_clock
-from ..endings import LOOK_SECONDS
-from ..endings import end_links
-from ..endings import end_site
+from ..link_messages import Body
 from ..links import LinkFactory
 from ..links import LinkHandlers
 from ..links import LinkNode
 from ..links import LinkTiming
 from ..links import cast_link
 from ..links import open_link
+from ..shutdown import LOOK_SECONDS
+from ..shutdown import close_links
+from ..shutdown import close_site
 from ..telemetry import open_metrics
 from ..tls import get_factory
 from ..tls import listen
@@ -188,9 +188,9 @@
     for port in (daemon.admin_port, daemon.link_port):
         await maybeDeferred(port.stopListening)
 
-    cut = await end_links(daemon.node, context.links.values(), context.clock)
+    cut = await close_links(daemon.node, context.links.values(), context.clock)
     site = get_factory(daemon.admin_port)
-    cut += await end_site(site, context.reactor, context.clock)
+    cut += await close_site(site, context.reactor, context.clock)
     if daemon.loop.running:
         daemon.loop.stop()
 
--- a/src/waxwingwell/adapters/entry/attempts.py
+++ b/src/waxwingwell/adapters/entry/attempts.py
@@ -12,7 +12,7 @@
 
 from ...decisions.upstreams import record_dispatch
 from ...decisions.upstreams import record_finish
-from ...invariants import Promise
+from ...invariants import Invariant
 from ...invariants import check
 from ..telemetry import make_traceparent
 from ..telemetry import start_span
@@ -52,7 +52,7 @@
         raise AttemptError(f"{upstream} has left", may_have_run=False)
 
     check(
-        Promise.NO_NEW_WORK_WHEN_LEAVING,
+        Invariant.NO_NEW_WORK_WHEN_LEAVING,
         not row.announcement.leaving,
         lambda: f"work was dispatched to leaving upstream {upstream}",
     )
--- a/src/waxwingwell/adapters/entry/checks.py
+++ b/src/waxwingwell/adapters/entry/checks.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from ...decisions.eligibility import check_dispatch as find_refusal
-from ...invariants import Promise
+from ...invariants import Invariant
 from ...invariants import check
 from ...records import OutcomeKind
 from ...records import VersionId
@@ -69,12 +69,12 @@
     """Assert the invariants about versions before work is sent to an upstream."""
     config = context.tables.workspaces.get(work.workspace)
     check(
-        Promise.ALLOWED_VERSION,
+        Invariant.ALLOWED_VERSION,
         config is not None and version in config.allowed,
         lambda: f"{work.request} was sent to {version}, which its workspace forbids",
     )
     check(
-        Promise.NO_NEW_WORK_WHEN_WITHDRAWN,
+        Invariant.NO_NEW_WORK_WHEN_WITHDRAWN,
         _accepts_work(context, version, pinned=work.pinned == version),
         lambda: f"{work.request} was sent to withdrawn version {version}",
     )
@@ -83,7 +83,7 @@
 def assert_outcome(context: EntryContext, request: str, problem: Problem) -> None:
     """Assert that a request that is reported as "not run" reached no upstream."""
     check(
-        Promise.NOT_RUN_DID_NOT_RUN,
+        Invariant.NOT_RUN_DID_NOT_RUN,
         problem.outcome is not OutcomeKind.NOT_RUN or request not in context.ran,
         lambda: f"{request} was reported as not run after an attempt: {problem.code}",
     )
--- a/src/waxwingwell/adapters/entry/control_client.py
+++ b/src/waxwingwell/adapters/entry/control_client.py
@@ -19,8 +19,8 @@
 from ..exceptions import LinkLostError
 from ..links import Link
 from ..links import call_link
+from ..links import close_link_if_unresponsive
 from ..links import is_link_up
-from ..links import replace_silent_link
 
 
 if TYPE_CHECKING:
@@ -98,7 +98,7 @@
         # The same fault may have broken the other connections; calling each of them
         # in turn would cost the caller one timeout per process.
         for other in client.links.values():
-            replace_silent_link(other)
+            close_link_if_unresponsive(other)
 
         client.avoided_peer = link.name
         client.avoided_until = client.clock() + AVOID_SECONDS
--- a/src/waxwingwell/adapters/entry/daemon.py
+++ b/src/waxwingwell/adapters/entry/daemon.py
@@ -15,21 +15,21 @@
 from twisted.internet.task import LoopingCall
 from twisted.internet.task import deferLater
 
-from ...invariants import Promise
+from ...invariants import Invariant
 from ...invariants import check
 from ...records import EntryId
 from ...state.leases import ConfigLease
-from ..bodies import Body
 from ..clock import read_clock
 from ..clock import read_wall_clock
-from ..counting import close_connections
-from ..endings import end_links
-from ..endings import end_site
+from ..connection_tracking import close_connections
+from ..link_messages import Body
 from ..links import LinkFactory
 from ..links import LinkHandlers
 from ..links import LinkNode
 from ..links import LinkTiming
 from ..links import open_link
+from ..shutdown import close_links
+from ..shutdown import close_site
 from ..telemetry import open_metrics
 from ..telemetry import open_traces
 from ..tls import get_factory
@@ -176,7 +176,7 @@
     await _close_connections(daemon, deadline)
     left = len(get_factory(daemon.caller_port).transports)
     check(
-        Promise.STOP_CUTS_NOTHING,
+        Invariant.STOP_CUTS_NOTHING,
         context.running + left == 0,
         lambda: f"{context.running} requests, {left} responses cut by the drain limit",
     )
@@ -210,9 +210,9 @@
         await maybeDeferred(port.stopListening)
 
     links = (*context.control.links.values(), *daemon.upkeep.entries.values())
-    cut = await end_links(daemon.node, links, context.clock)
+    cut = await close_links(daemon.node, links, context.clock)
     upstreams = get_factory(daemon.upstream_port)
-    cut += await end_site(upstreams, context.reactor, context.clock)
+    cut += await close_site(upstreams, context.reactor, context.clock)
     await context.client.close()
     context.traces.close()
     logger.info("entry: {} stopped, {} connections cut.", context.settings.node, cut)
--- a/src/waxwingwell/adapters/entry/services.py
+++ b/src/waxwingwell/adapters/entry/services.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from ...decisions.tables import Work
-from ...invariants import Promise
+from ...invariants import Invariant
 from ...invariants import check
 from ...messages import AlreadyOpen
 from ...messages import AlreadySettled
@@ -224,7 +224,7 @@
 
     while True:
         check(
-            Promise.AT_MOST_ONCE,
+            Invariant.AT_MOST_ONCE,
             call.rule.repeatable or not sent,
             lambda: (
                 f"{call.work.request} is not repeatable, but would be dispatched twice"
--- a/src/waxwingwell/adapters/entry/sites.py
+++ b/src/waxwingwell/adapters/entry/sites.py
@@ -7,7 +7,7 @@
 from twisted.web.http import datetimeToString
 from twisted.web.server import Request
 
-from ..counting import CountingSite
+from ..connection_tracking import ConnectionTrackingSite
 from .replies import Problem
 from .replies import render_problem
 
@@ -59,10 +59,12 @@
         channel.loseConnection()
 
 
-def make_site(app: Any, *, max_body: int, timeout: float) -> CountingSite:
+def make_site(app: Any, *, max_body: int, timeout: float) -> ConnectionTrackingSite:
     """Return a site with limits; ``timeout`` is the idle time in seconds."""
     request_type = type("LimitedRequest", (BoundedRequest,), {"max_body": max_body})
-    site = CountingSite(app.resource(), requestFactory=request_type, timeout=timeout)
+    site = ConnectionTrackingSite(
+        app.resource(), requestFactory=request_type, timeout=timeout
+    )
     site.noisy = False
     site.displayTracebacks = False
     site.log = lambda request: None  # type: ignore[method-assign]
--- a/src/waxwingwell/adapters/entry/streaming.py
+++ b/src/waxwingwell/adapters/entry/streaming.py
@@ -18,7 +18,7 @@
 from ...decisions.evidence import record_sent
 from ...decisions.evidence import record_unrated
 from ...decisions.upstreams import record_missed_deadline
-from ...invariants import Promise
+from ...invariants import Invariant
 from ...invariants import check
 from ...messages import Reserved
 from ...records import OutcomeKind
@@ -262,7 +262,7 @@
         raise run.refusal
 
     check(
-        Promise.BILLED_ONCE,
+        Invariant.BILLED_ONCE,
         run.sink.open,
         lambda: f"{run.stream.request} ended without a durable ledger row",
     )
@@ -271,7 +271,7 @@
 async def _settle_completed(context: EntryContext, run: StreamRun) -> None:
     usage = price_usage(context, run.version, run.stream.usage)
     check(
-        Promise.WHOLE_OWN_ANSWER,
+        Invariant.WHOLE_OWN_ANSWER,
         run.stream.done,
         lambda: f"{run.stream.request} was settled before its last event",
     )
--- a/src/waxwingwell/adapters/events.py
+++ b/src/waxwingwell/adapters/events.py
@@ -18,7 +18,7 @@
 from loguru import logger
 from twisted.python import log as twisted_log
 
-from .measures import LINES_DROPPED
+from .metrics import LINES_DROPPED
 
 
 if TYPE_CHECKING:
--- a/src/waxwingwell/adapters/gateway/arrivals.py
+++ b/src/waxwingwell/adapters/gateway/arrivals.py
@@ -11,7 +11,7 @@
 from ...routing.retries import record_request
 from ..events import log_event
 from ..http.records import find_header
-from ..measures import REQUESTS
+from ..metrics import REQUESTS
 from .choice import choose_service
 from .choice import find_session_key
 from .endings import RETRY_AFTER
--- a/src/waxwingwell/adapters/gateway/attempts.py
+++ b/src/waxwingwell/adapters/gateway/attempts.py
@@ -16,8 +16,8 @@
 from ...routing.sessions import finish_session
 from ..http.client import UpstreamCall
 from ..http.records import HeaderList
-from ..measures import ATTEMPTS
-from ..measures import FIRST_BYTE
+from ..metrics import ATTEMPTS
+from ..metrics import FIRST_BYTE_SECONDS
 from .choice import Choice
 from .context import VersionTally
 from .dialect import AnswerFacts
@@ -104,7 +104,7 @@
     attempt.first_byte_at = now
     attempt.last_byte_at = now
     context.upstream_active_at[attempt.upstream] = now
-    FIRST_BYTE.labels(route.kind.value).observe(now - attempt.started_at)
+    FIRST_BYTE_SECONDS.labels(route.kind.value).observe(now - attempt.started_at)
     if attempt.samples_prefill_speed and attempt.choice.model:
         took_ms = (now - attempt.started_at) * 1000
         record_prefill_time(
--- a/src/waxwingwell/adapters/gateway/endings.py
+++ b/src/waxwingwell/adapters/gateway/endings.py
@@ -6,8 +6,8 @@
 
 from ..events import log_event
 from ..http.records import strip_hop_headers
-from ..measures import ANSWER
-from ..measures import REQUESTS
+from ..metrics import REQUEST_SECONDS
+from ..metrics import REQUESTS
 
 
 if TYPE_CHECKING:
@@ -101,7 +101,7 @@
         exchange.deadline_timer.cancel()
 
     REQUESTS.labels(exchange.route.kind.value, outcome).inc()
-    ANSWER.labels(exchange.route.kind.value).observe(now - exchange.started_at)
+    REQUEST_SECONDS.labels(exchange.route.kind.value).observe(now - exchange.started_at)
     attempt = exchange.attempt
     response = attempt.facts if attempt is not None else None
     log_event(
--- a/src/waxwingwell/adapters/http/server.py
+++ b/src/waxwingwell/adapters/http/server.py
@@ -15,7 +15,7 @@
 from twisted.internet.protocol import connectionDone
 
 from ..events import log_event
-from ..measures import ANSWERS_CUT
+from ..metrics import TRUNCATED_RESPONSES
 from .output import SendBuffer
 from .records import HeaderList
 from .records import HttpLimits
@@ -182,7 +182,7 @@
         if not self.unsent:
             return
 
-        ANSWERS_CUT.inc()
+        TRUNCATED_RESPONSES.inc()
         log_event(
             "http: Answer cut",
             request=self._last_request_id,
--- a/src/waxwingwell/adapters/links.py
+++ b/src/waxwingwell/adapters/links.py
@@ -371,9 +371,9 @@
         self._close_if_drained()
         # If not even heartbeats arrived meanwhile, waiting for the full idle timeout
         # would only delay the caller's next attempt.
-        self.replace_silent()
+        self.close_if_unresponsive()
 
-    def replace_silent(self) -> None:
+    def close_if_unresponsive(self) -> None:
         """Close the connection if nothing arrived within ``suspect_timeout``."""
         if self._seconds() - self._last_received_at > self.node.timing.suspect_timeout:
             logger.warning("link: Replaced the silent link to {}.", self.remote or "?")
@@ -484,10 +484,10 @@
     return link.protocol.call(body, timeout=timeout)
 
 
-def replace_silent_link(link: Link) -> None:
+def close_link_if_unresponsive(link: Link) -> None:
     """Replace a link's connection if nothing arrived within ``suspect_timeout``."""
     if link.protocol is not None:
-        link.protocol.replace_silent()
+        link.protocol.close_if_unresponsive()
 
 
 def cast_link(link: Link, body: Message) -> bool:
--- a/src/waxwingwell/adapters/measures.py
+++ b/src/waxwingwell/adapters/metrics.py
@@ -27,14 +27,14 @@
     ["kind", "fate"],
     registry=REGISTRY,
 )
-FIRST_BYTE = Histogram(
+FIRST_BYTE_SECONDS = Histogram(
     "waxwingwell_first_byte_seconds",
     "Time from sending a request to the head of its answer, by kind.",
     ["kind"],
     buckets=LATENCY_BUCKETS,
     registry=REGISTRY,
 )
-ANSWER = Histogram(
+REQUEST_SECONDS = Histogram(
     "waxwingwell_answer_seconds",
     "Time from a request's arrival to its end, by kind.",
     ["kind"],
@@ -47,7 +47,7 @@
     ["command", "accepted"],
     registry=REGISTRY,
 )
-ANSWERS_CUT = Counter(
+TRUNCATED_RESPONSES = Counter(
     "waxwingwell_answers_cut",
     "Whole answers whose connection ended before their last byte had left.",
     registry=REGISTRY,
@@ -57,7 +57,7 @@
     "Log lines that were dropped to bound their volume.",
     registry=REGISTRY,
 )
-LINKS = Gauge(
+CONNECTED_GATEWAYS = Gauge(
     "waxwingwell_gateways_connected",
     "Gateways that hold a connection to this control.",
     registry=REGISTRY,
--- a/src/waxwingwell/adapters/metrics_listener.py
+++ b/src/waxwingwell/adapters/metrics_listener.py
@@ -11,7 +11,7 @@
 from .http.records import HttpLimits
 from .http.server import HttpFactory
 from .http.server import HttpService
-from .measures import REGISTRY
+from .metrics import REGISTRY
 
 
 if TYPE_CHECKING:
--- a/src/waxwingwell/adapters/registry/api.py
+++ b/src/waxwingwell/adapters/registry/api.py
@@ -25,7 +25,7 @@
 from ...state.group import leader_of
 from ..events import log_event
 from ..links import call_link
-from ..measures import ORDERS
+from ..metrics import ORDERS
 from .hub import broadcast_announcement
 from .members import is_leading
 from .members import read_local_state
--- a/src/waxwingwell/adapters/registry/hub.py
+++ b/src/waxwingwell/adapters/registry/hub.py
@@ -39,7 +39,7 @@
 from ..links import close_link
 from ..links import is_link_up
 from ..links import open_link
-from ..measures import LINKS
+from ..metrics import CONNECTED_GATEWAYS
 from .context import SentState
 from .members import is_current
 from .members import read_local_state
@@ -95,7 +95,7 @@
         return
 
     context.gateway_links[protocol] = SentState()
-    LINKS.set(len(context.gateway_links))
+    CONNECTED_GATEWAYS.set(len(context.gateway_links))
     protocol.closed.addCallback(lambda _: remove_gateway(context, protocol))
     log_event("registry: Gateway connected", gateway=protocol.remote)
     protocol.cast(list_members(context))
@@ -111,7 +111,7 @@
 def remove_gateway(context: RegistryContext, protocol: LinkProtocol) -> None:
     """Remove a gateway whose connection was closed."""
     context.gateway_links.pop(protocol, None)
-    LINKS.set(len(context.gateway_links))
+    CONNECTED_GATEWAYS.set(len(context.gateway_links))
     log_event("registry: Gateway disconnected", gateway=protocol.remote)
 
 
--- a/src/waxwingwell/adapters/endings.py
+++ b/src/waxwingwell/adapters/shutdown.py
@@ -7,7 +7,7 @@
 
 from twisted.internet.task import deferLater
 
-from .counting import close_connections
+from .connection_tracking import close_connections
 from .links import finish_links
 from .links import list_protocols
 
@@ -16,18 +16,18 @@
     from collections.abc import Callable
     from collections.abc import Iterable
 
-    from .counting import CountingSite
+    from .connection_tracking import ConnectionTrackingSite
     from .links import Link
     from .links import LinkNode
 
 
-CLOSE_LIMIT = 3.0
+CLOSE_TIMEOUT_SECONDS = 3.0
 """Seconds that connections may take to close; an unresponsive link is closed sooner."""
 LOOK_SECONDS = 0.05
 """Seconds between two checks for open connections."""
 
 
-async def end_links(
+async def close_links(
     node: LinkNode, links: Iterable[Link], clock: Callable[[], float]
 ) -> int:
     """Close all links of a process; return how many had to be aborted.
@@ -46,7 +46,9 @@
     return len(remaining)
 
 
-async def end_site(site: CountingSite, reactor: Any, clock: Callable[[], float]) -> int:
+async def close_site(
+    site: ConnectionTrackingSite, reactor: Any, clock: Callable[[], float]
+) -> int:
     """Close all connections of a site; return how many had to be aborted."""
     close_connections(site)
     await _wait_until_closed(reactor, clock, lambda: not site.transports)
@@ -60,6 +62,6 @@
 async def _wait_until_closed(
     reactor: Any, clock: Callable[[], float], are_closed: Callable[[], bool]
 ) -> None:
-    deadline = clock() + CLOSE_LIMIT
+    deadline = clock() + CLOSE_TIMEOUT_SECONDS
     while not are_closed() and clock() < deadline:
         await deferLater(reactor, LOOK_SECONDS, lambda: None)
--- a/src/waxwingwell/adapters/signals.py
+++ b/src/waxwingwell/adapters/signals.py
@@ -20,20 +20,20 @@
 
     def __init__(self, began_at: float) -> None:
         self.began_at = began_at
-        self.stop_at: float | None = None
+        self.stop_requested_at: float | None = None
         """Time of the first signal to stop."""
-        self.changed = False
+        self.settings_changed = False
         """Whether a signal has announced changed settings."""
 
     def record(self, number: int, now: float) -> None:
         """Record a signal."""
         if number == RELOAD_SIGNAL:
-            self.changed = True
-        elif self.stop_at is None:
-            self.stop_at = now
+            self.settings_changed = True
+        elif self.stop_requested_at is None:
+            self.stop_requested_at = now
 
 
-def keep_signals(start: ProcessStart) -> None:
+def record_signals(start: ProcessStart) -> None:
     """Record signals from now on instead of executing their default action.
 
     The default action ends the process. Connections queued in its listening port
--- a/src/waxwingwell/adapters/telemetry.py
+++ b/src/waxwingwell/adapters/telemetry.py
@@ -57,7 +57,7 @@
     close: Callable[[], None]
 
 
-def start_logs(level: str) -> None:
+def start_logging(level: str) -> None:
     """Send the log lines of this package and of Twisted to standard error."""
     logger.remove()
     logger.add(sys.stderr, format=LOG_FORMAT, level=level)
--- a/src/waxwingwell/commands/changes.py
+++ b/src/waxwingwell/commands/changes.py
@@ -6,7 +6,7 @@
 import uuid
 from typing import TYPE_CHECKING
 
-from ..adapters.admin_client import ask_in_force
+from ..adapters.admin_client import fetch_in_force
 from ..adapters.admin_client import send_change
 from ..messages import Conflict
 from ..messages import Rejected
@@ -81,7 +81,7 @@
     shown = ""
     while True:
         response = unwrap_or_exit(
-            ask_in_force(client, config_version),
+            fetch_in_force(client, config_version),
             f"configuration {config_version} is accepted; "
             "whether it is in force is not known",
         )
--- a/src/waxwingwell/commands/demo.py
+++ b/src/waxwingwell/commands/demo.py
@@ -12,7 +12,7 @@
 from twisted.internet.defer import Deferred
 
 from ..adapters.settings import EmbeddedSettings
-from ..adapters.telemetry import start_logs
+from ..adapters.telemetry import start_logging
 
 
 if TYPE_CHECKING:
@@ -23,7 +23,7 @@
     """Run the tour on free ports and print its results; exit 0 if all steps passed."""
     from twisted.internet import reactor
 
-    start_logs(log_level)
+    start_logging(log_level)
     with tempfile.TemporaryDirectory() as folder:
         results = _run(reactor, Path(folder))
 
--- a/src/waxwingwell/commands/serve.py
+++ b/src/waxwingwell/commands/serve.py
@@ -30,7 +30,7 @@
 from ..adapters.signals import RELOAD_SIGNAL
 from ..adapters.signals import STOP_SIGNALS
 from ..adapters.signals import ignore_signals
-from ..adapters.telemetry import start_logs
+from ..adapters.telemetry import start_logging
 
 
 if TYPE_CHECKING:
@@ -58,7 +58,7 @@
     """
     checked = load_settings(role, settings)
     telemetry: Telemetry = checked.telemetry
-    start_logs(telemetry.log_level)
+    start_logging(telemetry.log_level)
     from twisted.internet import reactor
 
     sys.exit(run_role(checked, reactor))
--- a/src/waxwingwell/invariants.py
+++ b/src/waxwingwell/invariants.py
@@ -20,7 +20,7 @@
     from collections.abc import Callable
 
 
-class Promise(StrEnum):
+class Invariant(StrEnum):
     """Invariants that must always hold."""
 
     ALLOWED_VERSION = "a request runs only on a version its workspace allows"
@@ -38,17 +38,17 @@
 class BreachError(AssertionError):
     """An invariant was violated; raised only if ``raise_on_breach`` is set."""
 
-    def __init__(self, promise: Promise, detail: str) -> None:
+    def __init__(self, invariant: Invariant, detail: str) -> None:
         """Store the violated invariant for tests that assert on it."""
-        super().__init__(f"{promise.value}: {detail}")
-        self.promise = promise
+        super().__init__(f"{invariant.value}: {detail}")
+        self.invariant = invariant
 
 
 @dataclass(slots=True)
 class Breaches:
     """Violations counted since the process started."""
 
-    counts: Counter[Promise] = field(default_factory=Counter)
+    counts: Counter[Invariant] = field(default_factory=Counter)
     raise_on_breach: bool = False
 
 
@@ -56,7 +56,7 @@
 """Counts of this process, read by metrics; tests set ``raise_on_breach``."""
 
 
-def check(promise: Promise, holds: bool, detail: str | Callable[[], str]) -> bool:
+def check(invariant: Invariant, holds: bool, detail: str | Callable[[], str]) -> bool:
     """Return ``holds``; if it is false, count, log and perhaps raise the violation.
 
     A callable ``detail`` is evaluated only on a violation, which keeps checks cheap.
@@ -65,10 +65,10 @@
         return True
 
     text = detail if isinstance(detail, str) else detail()
-    BREACHES.counts[promise] += 1
-    logger.error("invariants: {} ({}): {}", promise.name, promise.value, text)
+    BREACHES.counts[invariant] += 1
+    logger.error("invariants: {} ({}): {}", invariant.name, invariant.value, text)
     if BREACHES.raise_on_breach:
-        raise BreachError(promise, text)
+        raise BreachError(invariant, text)
 
     return False
 
--- a/src/waxwingwell/state/catalogue.py
+++ b/src/waxwingwell/state/catalogue.py
@@ -7,7 +7,7 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING
 
-from ..invariants import Promise
+from ..invariants import Invariant
 from ..invariants import check
 from ..messages import Accepted
 from ..messages import ConfigSnapshot
@@ -111,7 +111,7 @@
     reactivates = spec.status in WITHDRAWN_STATUSES and status not in WITHDRAWN_STATUSES
     already_withdrawn = spec.status is VersionStatus.WITHDRAWN
     holds = check(
-        Promise.NO_NEW_WORK_WHEN_WITHDRAWN,
+        Invariant.NO_NEW_WORK_WHEN_WITHDRAWN,
         not reactivates and not already_withdrawn,
         lambda: f"{version} would change from {spec.status} to {status}",
     )
--- a/src/waxwingwell/state/group_opening.py
+++ b/src/waxwingwell/state/group_opening.py
@@ -55,7 +55,7 @@
     of the target. ``random`` must be seeded by the system, because the member's id is
     generated from it. ``heard_at`` is the latest time at which an earlier run of this
     member may have responded to a leader; it defaults to ``now``. ``bootstrap`` allows
-    the member to found a group (see ``consensus/founding.py``); without it a member
+    the member to found a group (see ``consensus/bootstrap.py``); without it a member
     with an empty store joins one. Raises ``InvalidMemberError`` or
     ``CorruptStorageError``.
     """
--- a/src/waxwingwell/state/leases.py
+++ b/src/waxwingwell/state/leases.py
@@ -15,7 +15,7 @@
 from dataclasses import field
 from typing import TYPE_CHECKING
 
-from ..invariants import Promise
+from ..invariants import Invariant
 from ..invariants import check
 from ..messages import InForce
 from ..messages import LeaseBehind
@@ -297,7 +297,7 @@
 def check_taken(before: int, after: int, entry: EntryId) -> bool:
     """Check that the configuration in an entry's tables was not reverted."""
     return check(
-        Promise.CONFIG_NEVER_REVERTS,
+        Invariant.CONFIG_NEVER_REVERTS,
         after >= before,
         lambda: f"{entry} reverted from configuration {before} to {after}",
     )
--- a/src/waxwingwell/state/ledger.py
+++ b/src/waxwingwell/state/ledger.py
@@ -12,7 +12,7 @@
 from sys import intern
 from typing import TYPE_CHECKING
 
-from ..invariants import Promise
+from ..invariants import Invariant
 from ..invariants import check
 from ..messages import AlreadyOpen
 from ..messages import AlreadySettled
@@ -140,7 +140,7 @@
     row_key = (row.workspace, row.key)
     before = ledger.rows.get(row_key)
     check(
-        Promise.AT_MOST_ONCE,
+        Invariant.AT_MOST_ONCE,
         before is None or before.outcome is OutcomeKind.NOT_RUN,
         lambda: f"{row_key} reopened after {before and before.outcome}",
     )
@@ -203,7 +203,7 @@
         return Settled(row=row, changed=False)
 
     not_billed = row.status is RowStatus.OPEN or row_key in ledger.swept
-    check(Promise.BILLED_ONCE, not_billed, lambda: f"{row_key} settled twice")
+    check(Invariant.BILLED_ONCE, not_billed, lambda: f"{row_key} settled twice")
     settled = close_row(ledger, row_key, _make_settled_row(ledger, row, command))
     bill_row(ledger, row_key, settled)
     return Settled(row=settled, changed=True)
--- a/src/waxwingwell/state/membership.py
+++ b/src/waxwingwell/state/membership.py
@@ -13,7 +13,7 @@
 
 from ..decisions.load import trim_times
 from ..decisions.tables import UpstreamRow
-from ..invariants import Promise
+from ..invariants import Invariant
 from ..invariants import check
 from ..messages import SpreadAnnouncements
 
@@ -99,7 +99,7 @@
     returned = row.left and not announcement.leaving
     same = row.announcement.incarnation == announcement.incarnation
     check(
-        Promise.NO_NEW_WORK_WHEN_LEAVING,
+        Invariant.NO_NEW_WORK_WHEN_LEAVING,
         not (returned and same and row.announcement.leaving),
         lambda: f"{announcement.upstream} became available again after it left",
     )
--- a/src/waxwingwell/state/pins.py
+++ b/src/waxwingwell/state/pins.py
@@ -14,7 +14,7 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING
 
-from ..invariants import Promise
+from ..invariants import Invariant
 from ..invariants import check
 from ..messages import Pinned
 from ..messages import Rejected
@@ -135,7 +135,7 @@
 def check_pinned(pinned: VersionId, used: VersionId, session: str) -> bool:
     """Check at dispatch that a pinned session runs on its pinned version."""
     return check(
-        Promise.SESSION_KEEPS_VERSION,
+        Invariant.SESSION_KEEPS_VERSION,
         not pinned or pinned == used,
         lambda: f"session {session} is pinned to {pinned}, not {used}",
     )
--- a/src/waxwingwell/state/retention.py
+++ b/src/waxwingwell/state/retention.py
@@ -11,7 +11,7 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING
 
-from ..invariants import Promise
+from ..invariants import Invariant
 from ..invariants import check
 from ..records import RowStatus
 from .attempts import note_ended
@@ -85,7 +85,7 @@
     """Add a row to its bill, once: when its entry settles it, or when it is dropped."""
     ledger.swept.pop(row_key, None)
     check(
-        Promise.BILLED_ONCE,
+        Invariant.BILLED_ONCE,
         row.status is not RowStatus.OPEN,
         lambda: f"{row_key} billed while open",
     )
--- a/tests/adapters/callers.py
+++ b/tests/adapters/callers.py
@@ -14,11 +14,11 @@
     from twisted.python.failure import Failure
 
 
-LARGE = 24 << 20
+LARGE_RESPONSE_BYTES = 24 << 20
 """Bytes of a response that does not fit in the socket buffers of both ends."""
 
 
-class Caller(Protocol):
+class PausedCaller(Protocol):
     """Sends one request and does not read until its transport is resumed."""
 
     def __init__(self) -> None:
--- a/tests/adapters/entry/test_control_client.py
+++ b/tests/adapters/entry/test_control_client.py
@@ -42,7 +42,7 @@
             self.called.append(name)
             return cast("Deferred[Any]", reply(timeout))
 
-        protocol = SimpleNamespace(call=call, replace_silent=lambda: None)
+        protocol = SimpleNamespace(call=call, close_if_unresponsive=lambda: None)
         link = SimpleNamespace(name=name, protocol=protocol)
         self.client.links[name] = cast("Any", link)
 
--- a/tests/adapters/entry/test_sites.py
+++ b/tests/adapters/entry/test_sites.py
@@ -14,14 +14,14 @@
 from twisted.internet.protocol import Factory
 from twisted.internet.task import Clock
 
-from tests.adapters.callers import LARGE
-from tests.adapters.callers import Caller
+from tests.adapters.callers import LARGE_RESPONSE_BYTES
+from tests.adapters.callers import PausedCaller
 from tests.adapters.transports import BUFFER_SIZE
 from tests.adapters.transports import BufferedTransport
 from tests.adapters.transports import Handle
 from tests.standins.support import AsyncTestCase
-from waxwingwell.adapters.counting import CountingSite
-from waxwingwell.adapters.counting import close_connections
+from waxwingwell.adapters.connection_tracking import ConnectionTrackingSite
+from waxwingwell.adapters.connection_tracking import close_connections
 from waxwingwell.adapters.entry.sites import make_site
 
 
@@ -29,7 +29,7 @@
 ADDRESS = "127.0.0.1"
 IDLE = 30.0
 """Idle timeout in seconds."""
-CLOSE_LIMIT = 5.0
+CLOSE_TIMEOUT_SECONDS = 5.0
 """Seconds after which the test fails because a connection was not closed."""
 
 
@@ -48,19 +48,19 @@
         @app.route("/")
         def respond(request: Any) -> bytes:
             reactor.callLater(0, requested.callback, None)
-            return b"x" * LARGE
+            return b"x" * LARGE_RESPONSE_BYTES
 
         site = make_site(app, max_body=1, timeout=60.0)
         port = reactor.listenTCP(0, site, interface=ADDRESS)
         self.addCleanup(port.stopListening)
         endpoint = TCP4ClientEndpoint(reactor, ADDRESS, port.getHost().port)
-        caller: Any = await endpoint.connect(Factory.forProtocol(Caller))
+        caller: Any = await endpoint.connect(Factory.forProtocol(PausedCaller))
         self.addCleanup(caller.transport.abortConnection)
         await requested
         close_connections(site)
         caller.transport.resumeProducing()
-        received = await caller.ended.addTimeout(CLOSE_LIMIT, reactor)
-        self.assertGreater(received, LARGE)
+        received = await caller.ended.addTimeout(CLOSE_TIMEOUT_SECONDS, reactor)
+        self.assertGreater(received, LARGE_RESPONSE_BYTES)
         self.assertEqual(site.transports, set())
 
 
@@ -76,7 +76,7 @@
         clock = Clock()
         app = Klein()
         app.route("/")(lambda request: b"x" * 8 * BUFFER_SIZE)
-        site = CountingSite(app.resource(), reactor=clock, timeout=IDLE)
+        site = ConnectionTrackingSite(app.resource(), reactor=clock, timeout=IDLE)
         channel: Any = site.buildProtocol(None)
         transport = BufferedTransport(channel)
         channel.makeConnection(transport)
@@ -95,7 +95,7 @@
     def test_kernel_times_out_a_caller_that_reads_nothing(self) -> None:
         """A caller stops reading for good: its response must not be held for ever."""
         options: list[tuple[int, int, int]] = []
-        site = CountingSite(Klein().resource(), reactor=Clock(), timeout=IDLE)
+        site = ConnectionTrackingSite(Klein().resource(), reactor=Clock(), timeout=IDLE)
         channel: Any = site.buildProtocol(None)
         transport = BufferedTransport(channel)
         with mock.patch.object(
--- a/tests/adapters/registry/test_stop.py
+++ b/tests/adapters/registry/test_stop.py
@@ -15,8 +15,8 @@
 from twisted.internet.task import LoopingCall
 
 from tests.adapters.transports import BufferedTransport
-from tests.adapters.transports import carry
-from tests.adapters.transports import join
+from tests.adapters.transports import connect_protocols
+from tests.adapters.transports import deliver_bytes
 from tests.routing.factories import make_announcement
 from waxwingwell.adapters import events
 from waxwingwell.adapters.http.records import HttpLimits
@@ -89,7 +89,7 @@
             [self.port],
             LoopingCall(run_tick, self.context),
         )
-        carry(*self.links)
+        deliver_bytes(*self.links)
 
     def make_node(self, name: str, cast_handler: Any) -> LinkNode:
         """Return the shared state of one process's links."""
@@ -107,7 +107,7 @@
         near, far = LinkProtocol(source), LinkProtocol(target)
         target.accepted.add(far)
         far.closed.addCallback(lambda _: target.accepted.discard(far))
-        self.links += join(near, far)
+        self.links += connect_protocols(near, far)
         link = Link(source, target.name, connect=lambda factory: Deferred())
         link.protocol = near
         near.closed.addCallback(lambda _: setattr(link, "protocol", None))
@@ -144,7 +144,7 @@
         protocol: Any = self.peer_link.protocol
         reply = protocol.call(ReadRouting(), timeout=60.0)
         reply.addCallbacks(results.append, lambda one: results.append(one.value))
-        carry(*self.links)
+        deliver_bytes(*self.links)
         return results
 
     def stop(self) -> None:
@@ -180,7 +180,7 @@
     def run(self, seconds: float, *, drain: tuple[BufferedTransport, ...] = ()) -> None:
         """Advance the clock while the transports in ``drain`` send their bytes."""
         for _ in range(round(seconds / 0.05)):
-            carry(*drain)
+            deliver_bytes(*drain)
             self.clock.advance(0.05)
 
 
@@ -237,7 +237,7 @@
         """
         fixture = Fixture()
         announce(fixture.context, make_announcement("u1"))
-        carry(*fixture.links)
+        deliver_bytes(*fixture.links)
         fixture.received.clear()
         caller = fixture.open_caller(DEREGISTRATION)
         caller.drain()
--- a/tests/adapters/registry/test_stop_sockets.py
+++ b/tests/adapters/registry/test_stop_sockets.py
@@ -14,8 +14,8 @@
 from twisted.internet.endpoints import TCP4ClientEndpoint
 from twisted.internet.protocol import Factory
 
-from tests.adapters.callers import LARGE
-from tests.adapters.callers import Caller
+from tests.adapters.callers import LARGE_RESPONSE_BYTES
+from tests.adapters.callers import PausedCaller
 from tests.standins.support import AsyncTestCase
 from waxwingwell.adapters.connections import make_tcp_connector
 from waxwingwell.adapters.links import ROUTING_TIMING
@@ -68,13 +68,15 @@
 
     def respond(self, request: HttpRequest, responder: Responder) -> None:
         """Send a large response."""
-        responder.send(200, [], b"x" * LARGE)
+        responder.send(200, [], b"x" * LARGE_RESPONSE_BYTES)
         self.read.callback(None)
 
     def take_call(self, sender: str, body: Any) -> Deferred[Message]:
         """Reply to a call; the test continues once the link has the reply."""
         reactor.callLater(0, self.read.callback, None)
-        return succeed(RoutingNow(version=1, source=b"x" * LARGE, rollouts=()))
+        return succeed(
+            RoutingNow(version=1, source=b"x" * LARGE_RESPONSE_BYTES, rollouts=())
+        )
 
     def connect_gateway(self) -> Deferred[LinkProtocol]:
         """Connect as a gateway does."""
@@ -115,12 +117,12 @@
         """
         port = self.daemon.ports[1].getHost().port
         endpoint = TCP4ClientEndpoint(reactor, ADDRESS, port)
-        caller: Any = await endpoint.connect(Factory.forProtocol(Caller))
+        caller: Any = await endpoint.connect(Factory.forProtocol(PausedCaller))
         await self.read
         ended = self.stop()
         caller.transport.resumeProducing()
         received = await caller.ended
-        self.assertGreater(received, LARGE)
+        self.assertGreater(received, LARGE_RESPONSE_BYTES)
         await ended
 
     async def test_a_process_that_reads_a_link_slowly(self) -> None:
@@ -135,5 +137,5 @@
         ended = self.stop()
         transport.resumeProducing()
         state = await reply
-        self.assertEqual(len(state.source), LARGE)
+        self.assertEqual(len(state.source), LARGE_RESPONSE_BYTES)
         await ended
--- a/tests/adapters/test_admin_transport.py
+++ b/tests/adapters/test_admin_transport.py
@@ -8,9 +8,9 @@
 from http.server import HTTPServer
 from typing import Any
 
+from waxwingwell.adapters.admin_transport import AdminRequest
+from waxwingwell.adapters.admin_transport import AdminResponse
 from waxwingwell.adapters.admin_transport import Unreachable
-from waxwingwell.adapters.admin_transport import WireReply
-from waxwingwell.adapters.admin_transport import WireRequest
 from waxwingwell.adapters.admin_transport import make_transport
 
 
@@ -53,14 +53,14 @@
 
     def test_replies(self) -> None:
         cases = (
-            ("/good", WireReply(200, b"{}")),
-            ("/busy", WireReply(503, b"{}", 2.0)),
-            ("/moved", WireReply(302, b"{}")),
+            ("/good", AdminResponse(200, b"{}")),
+            ("/busy", AdminResponse(503, b"{}", 2.0)),
+            ("/moved", AdminResponse(302, b"{}")),
         )
         send = make_transport()
         for path, expected in cases:
             with self.subTest(path):
-                reply = send(WireRequest("GET", self.url + path, "secret"))
+                reply = send(AdminRequest("GET", self.url + path, "secret"))
                 self.assertEqual(reply, expected)
 
         self.assertEqual(Handler.keys, ["Bearer secret"] * 3)
@@ -69,5 +69,5 @@
         free = HTTPServer(("127.0.0.1", 0), Handler)
         port = free.server_port
         free.server_close()
-        reply = make_transport()(WireRequest("GET", f"http://127.0.0.1:{port}/", "k"))
+        reply = make_transport()(AdminRequest("GET", f"http://127.0.0.1:{port}/", "k"))
         self.assertIsInstance(reply, Unreachable)
--- a/tests/adapters/test_endings.py
+++ b/tests/adapters/test_endings.py
@@ -14,15 +14,15 @@
 from twisted.internet.task import LoopingCall
 
 from tests.adapters.transports import BufferedTransport
-from tests.adapters.transports import carry
-from tests.adapters.transports import join
-from waxwingwell.adapters import endings
-from waxwingwell.adapters.bodies import Body
+from tests.adapters.transports import connect_protocols
+from tests.adapters.transports import deliver_bytes
+from waxwingwell.adapters import shutdown
+from waxwingwell.adapters.connection_tracking import ConnectionTrackingSite
 from waxwingwell.adapters.control import daemon as control
 from waxwingwell.adapters.control.admin import guard
-from waxwingwell.adapters.counting import CountingSite
 from waxwingwell.adapters.entry import daemon as entry
 from waxwingwell.adapters.entry.upkeep import Upkeep
+from waxwingwell.adapters.link_messages import Body
 from waxwingwell.adapters.links import LinkHandlers
 from waxwingwell.adapters.links import LinkNode
 from waxwingwell.adapters.links import LinkProtocol
@@ -69,7 +69,7 @@
         self.protocol = LinkProtocol(self.node)
         self.node.accepted.add(self.protocol)
         self.protocol.closed.addCallback(lambda _: self.node.accepted.clear())
-        self.link = join(self.protocol, self.peer)
+        self.link = connect_protocols(self.protocol, self.peer)
         key = OperatorKey(name="operator", digest=hash_key(KEY))
         self.context: Any = SimpleNamespace(
             settings=SimpleNamespace(node="near", operators=(key,)),
@@ -86,7 +86,7 @@
             traces=SimpleNamespace(close=lambda: None),
         )
         self.site = self.make_site()
-        carry(*self.link)
+        deliver_bytes(*self.link)
 
     def make_node(self, name: str) -> LinkNode:
         """Return the shared state of one process's links."""
@@ -101,7 +101,7 @@
             timing=LinkTiming(),
         )
 
-    def make_site(self) -> CountingSite:
+    def make_site(self) -> ConnectionTrackingSite:
         """Return a site whose requests of known operators the test answers."""
         app = Klein()
 
@@ -111,7 +111,7 @@
             return await response
 
         app.route("/")(guard(self.context)(wait))
-        return CountingSite(app.resource(), reactor=self.clock)
+        return ConnectionTrackingSite(app.resource(), reactor=self.clock)
 
     def take_call(self, sender: str, body: Any) -> Deferred[Message]:
         """Store a call until the test answers it."""
@@ -137,7 +137,7 @@
         reply.addCallbacks(
             results.append, lambda failure: results.append(failure.value)
         )
-        carry(*self.link)
+        deliver_bytes(*self.link)
         return results
 
     def stop_control(self) -> Deferred[None]:
@@ -168,7 +168,7 @@
     def run(self, seconds: float, *drain: BufferedTransport) -> None:
         """Advance the clock while the bytes on ``drain`` are sent."""
         for _ in range(round(seconds / 0.05)):
-            carry(*drain)
+            deliver_bytes(*drain)
             self.clock.advance(0.05)
 
 
@@ -222,7 +222,7 @@
         process.open_caller()
         process.call()
         stopped = process.stop_control()
-        process.run(control.ANSWER_LIMIT + 2 * endings.CLOSE_LIMIT + 0.1)
+        process.run(control.ANSWER_LIMIT + 2 * shutdown.CLOSE_TIMEOUT_SECONDS + 0.1)
         self.assertTrue(stopped.called)
 
 
--- a/tests/adapters/test_link_ends.py
+++ b/tests/adapters/test_link_ends.py
@@ -11,11 +11,11 @@
 from twisted.internet.task import Clock
 
 from tests.adapters.transports import BUFFER_SIZE
-from tests.adapters.transports import carry
-from tests.adapters.transports import join
-from waxwingwell.adapters.bodies import Body
+from tests.adapters.transports import connect_protocols
+from tests.adapters.transports import deliver_bytes
 from waxwingwell.adapters.exceptions import LinkDownError
 from waxwingwell.adapters.exceptions import LinkLostError
+from waxwingwell.adapters.link_messages import Body
 from waxwingwell.adapters.links import Link
 from waxwingwell.adapters.links import LinkHandlers
 from waxwingwell.adapters.links import LinkNode
@@ -66,12 +66,12 @@
         self.clock = Clock()
         self.near = LinkEnd("near", self.clock)
         self.far = LinkEnd("far", self.clock)
-        self.transports = join(self.near.protocol, self.far.protocol)
-        self.carry()
+        self.transports = connect_protocols(self.near.protocol, self.far.protocol)
+        self.deliver_bytes()
 
-    def carry(self) -> None:
+    def deliver_bytes(self) -> None:
         """Send all buffered bytes."""
-        carry(*self.transports)
+        deliver_bytes(*self.transports)
 
     def send_call(self, end: LinkEnd) -> list[Any]:
         """Send a call; return a list that gets its result."""
@@ -94,11 +94,11 @@
             with self.subTest(name):
                 self.setUp()
                 results = self.send_call(self.far)
-                self.carry()
+                self.deliver_bytes()
                 self.near.protocol.cast(message)
                 self.near.calls[0].callback(InForce(in_force=True))
                 close_link(self.near.link)
-                self.carry()
+                self.deliver_bytes()
                 self.assertEqual(results, [InForce(in_force=True)])
                 self.assertEqual(self.far.casts, [message])
                 self.assertFalse(self.transports[0].connected)
@@ -110,12 +110,12 @@
         and would report to the operator that it was not.
         """
         results = self.send_call(self.far)
-        self.carry()
+        self.deliver_bytes()
         close_link(self.near.link)
-        self.carry()
+        self.deliver_bytes()
         self.assertTrue(self.transports[0].connected)
         self.near.calls[0].callback(InForce(in_force=True))
-        self.carry()
+        self.deliver_bytes()
         self.assertEqual(results, [InForce(in_force=True)])
         self.assertFalse(self.transports[0].connected)
 
@@ -126,11 +126,11 @@
         would leave the order's outcome unknown, though the reply arrives soon after.
         """
         results = self.send_call(self.near)
-        self.carry()
+        self.deliver_bytes()
         close_link(self.near.link)
-        self.carry()
+        self.deliver_bytes()
         self.far.calls[0].callback(InForce(in_force=True))
-        self.carry()
+        self.deliver_bytes()
         self.assertEqual(results, [InForce(in_force=True)])
         self.assertFalse(self.transports[0].connected)
 
@@ -141,7 +141,7 @@
         a call that arrives too late for a reply must not be executed.
         """
         self.send_call(self.far)
-        self.carry()
+        self.deliver_bytes()
         close_link(self.near.link)
         [error] = self.send_call(self.near)
         self.assertIsInstance(error, LinkDownError)
@@ -150,12 +150,12 @@
         late_results = self.send_call(self.far)
         self.transports[1].drain()
         self.assertEqual(len(self.near.calls), 1)
-        self.carry()
+        self.deliver_bytes()
         self.assertIsInstance(late_results[0], LinkLostError)
 
     def test_an_unresponsive_peer_does_not_block_the_close(self) -> None:
         self.send_call(self.far)
-        self.carry()
+        self.deliver_bytes()
         close_link(self.near.link)
         for _ in range(6):
             self.clock.advance(0.5)
@@ -173,7 +173,7 @@
         The caller only sees a timeout, so the log line is the only sign of the cause.
         """
         self.send_call(self.near)
-        self.carry()
+        self.deliver_bytes()
         lines: list[str] = []
         sink = logger.add(lines.append, level="ERROR", format="{message}")
         self.far.calls[0].callback(cast("Any", object()))
--- a/tests/adapters/test_links.py
+++ b/tests/adapters/test_links.py
@@ -10,9 +10,9 @@
 from twisted.internet.testing import StringTransport
 
 from tests.standins.support import AsyncTestCase
-from waxwingwell.adapters.bodies import Body
 from waxwingwell.adapters.exceptions import LinkDownError
 from waxwingwell.adapters.exceptions import LinkLostError
+from waxwingwell.adapters.link_messages import Body
 from waxwingwell.adapters.links import ROUTING_TIMING
 from waxwingwell.adapters.links import LinkHandlers
 from waxwingwell.adapters.links import LinkNode
--- a/tests/adapters/test_tls.py
+++ b/tests/adapters/test_tls.py
@@ -29,7 +29,6 @@
 from tests.adapters.certificates import make_authority
 from tests.adapters.certificates import write_key
 from tests.standins.support import AsyncTestCase
-from waxwingwell.adapters.bodies import Body
 from waxwingwell.adapters.control.daemon import start_control
 from waxwingwell.adapters.control.daemon import stop_control
 from waxwingwell.adapters.entry.daemon import start_entry
@@ -37,6 +36,7 @@
 from waxwingwell.adapters.entry.upkeep import renew_once
 from waxwingwell.adapters.entry.upkeep import stop_upkeep
 from waxwingwell.adapters.exceptions import SettingsError
+from waxwingwell.adapters.link_messages import Body
 from waxwingwell.adapters.links import Link
 from waxwingwell.adapters.links import LinkFactory
 from waxwingwell.adapters.links import LinkHandlers
--- a/tests/adapters/transports.py
+++ b/tests/adapters/transports.py
@@ -150,7 +150,9 @@
         self.drop(ConnectionDone())
 
 
-def join(near: Any, far: Any) -> tuple[BufferedTransport, BufferedTransport]:
+def connect_protocols(
+    near: Any, far: Any
+) -> tuple[BufferedTransport, BufferedTransport]:
     """Connect two protocols; return their transports."""
     one, other = BufferedTransport(near), BufferedTransport(far)
     one.peer, other.peer = other, one
@@ -159,7 +161,7 @@
     return one, other
 
 
-def carry(*transports: BufferedTransport) -> None:
+def deliver_bytes(*transports: BufferedTransport) -> None:
     """Deliver bytes until none is buffered."""
     for _ in range(10):
         for transport in transports:
--- a/tests/commands/fake_admin.py
+++ b/tests/commands/fake_admin.py
@@ -12,9 +12,9 @@
 import msgspec
 
 from waxwingwell.adapters.admin_client import AdminClient
+from waxwingwell.adapters.admin_transport import AdminRequest
+from waxwingwell.adapters.admin_transport import AdminResponse
 from waxwingwell.adapters.admin_transport import Unreachable
-from waxwingwell.adapters.admin_transport import WireReply
-from waxwingwell.adapters.admin_transport import WireRequest
 from waxwingwell.adapters.admin_views import AnswersView
 from waxwingwell.adapters.admin_views import ConfigView
 from waxwingwell.adapters.admin_views import ErrorView
@@ -48,10 +48,10 @@
     down: bool = False
     polls_until_in_force: int = 0
     """Number of polls that report a change as not yet in force."""
-    requests: list[WireRequest] = field(default_factory=list)
+    requests: list[AdminRequest] = field(default_factory=list)
     now: float = 0.0
 
-    def send(self, request: WireRequest) -> WireReply | Unreachable:
+    def send(self, request: AdminRequest) -> AdminResponse | Unreachable:
         """Handle one request."""
         self.requests.append(request)
         if self.down:
@@ -69,7 +69,7 @@
 
         return self.show(path)
 
-    def handle_change(self, body: bytes) -> WireReply | Unreachable:
+    def handle_change(self, body: bytes) -> AdminResponse | Unreachable:
         """Apply a change to the table."""
         change = msgspec.json.decode(body, type=Command)
         assert isinstance(change, ConfigChange)
@@ -83,7 +83,7 @@
 
         return reply(outcome, 409 if isinstance(outcome, Conflict) else 422)
 
-    def show(self, path: str) -> WireReply:
+    def show(self, path: str) -> AdminResponse:
         """Return the configuration, revisions, in-force state or answers."""
         if path == "/config":
             return reply(
@@ -118,9 +118,9 @@
         self.now += seconds
 
 
-def reply(body: object, status: int = 200) -> WireReply:
+def reply(body: object, status: int = 200) -> AdminResponse:
     """Return a JSON response."""
-    return WireReply(status, msgspec.json.encode(body))
+    return AdminResponse(status, msgspec.json.encode(body))
 
 
 def add_versions(admin: FakeAdmin, *names: str) -> None:
--- a/tests/platform_adapter/test_start.py
+++ b/tests/platform_adapter/test_start.py
@@ -77,7 +77,7 @@
 main.start_gateway = start
 main._reactor = Reactor
 start_of_process = ProcessStart(main.read_clock())
-main.keep_signals(start_of_process)
+main.record_signals(start_of_process)
 {before}
 main.main(["start.py", "gateway"], start_of_process)
 {after}
