--- a/bench/control_plane.py
+++ b/bench/control_plane.py
@@ -80,14 +80,16 @@
 def make_node(name: str) -> LinkNode:
     """Return the benchmark's node for its links."""
 
-    def take_call(sender: str, body: Any) -> Deferred[Message]:
+    def handle_call(sender: str, body: Any) -> Deferred[Message]:
         return succeed(Failed(reason="bench", may_have_run=False))
 
     return LinkNode(
         name=name,
         reactor=reactor,
         handlers=LinkHandlers(
-            take_call=take_call, take_cast=lambda sender, body: None, body_type=Body
+            handle_call=handle_call,
+            handle_cast=lambda sender, body: None,
+            body_type=Body,
         ),
         timing=LinkTiming(),
     )
--- a/bench/gateway_path.py
+++ b/bench/gateway_path.py
@@ -145,7 +145,7 @@
 
 async def respond(request: Message, writer: StreamWriter) -> None:
     """Respond to one request; one without an id comes from the bare hop."""
-    sent = wire.read_sent(request.headers)
+    sent = wire.read_received_request(request.headers)
     sent = replace(sent, request_id=sent.request_id or make_id(0))
     run = Run(
         request_id=sent.request_id,
--- a/bench/soak/upstreams.py
+++ b/bench/soak/upstreams.py
@@ -168,7 +168,7 @@
 
     Returns False if the connection has to be closed.
     """
-    sent = wire.read_sent(request.headers)
+    sent = wire.read_received_request(request.headers)
     if sent.expected_upstream not in ("", upstream.name) or not upstream.up:
         refusal = wire.write_refusal(sent.request_id)
         writer.write(write_message("HTTP/1.1 421 Misdirected", refusal))
@@ -191,10 +191,10 @@
 
 
 async def work_on(
-    upstream: Upstream, sent: wire.SentRequest, run: Run, writer: StreamWriter
+    upstream: Upstream, sent: wire.ReceivedRequest, run: Run, writer: StreamWriter
 ) -> bool:
     """Process a request and send its response; return False after an abort."""
-    headers = wire.write_answer(sent.request_id, upstream.name)
+    headers = wire.write_response(sent.request_id, upstream.name)
     if run.path.startswith("/stream/"):
         return await send_stream(upstream, sent, run, headers, writer)
 
@@ -217,7 +217,7 @@
 
 async def send_stream(
     upstream: Upstream,
-    sent: wire.SentRequest,
+    sent: wire.ReceivedRequest,
     run: Run,
     headers: dict[str, str],
     writer: StreamWriter,
--- a/src/waxwingwell/adapters/control/daemon.py
+++ b/src/waxwingwell/adapters/control/daemon.py
@@ -48,9 +48,9 @@
 from .context import StateHolder
 from .duties import TICK
 from .duties import run_tick
+from .service import handle_call
+from .service import handle_cast
 from .service import run_flush
-from .service import take_call
-from .service import take_cast
 
 
 if TYPE_CHECKING:
@@ -163,8 +163,8 @@
         name=context.settings.node,
         reactor=context.reactor,
         handlers=LinkHandlers(
-            take_call=partial(_take_call, context),
-            take_cast=partial(take_cast, context),
+            handle_call=partial(_handle_call, context),
+            handle_cast=partial(handle_cast, context),
             body_type=Body,
         ),
         timing=LinkTiming(),
@@ -231,8 +231,8 @@
         await deferLater(context.reactor, TICK, lambda: None)
 
 
-def _take_call(context: ControlContext, sender: str, body: Any) -> Deferred[Message]:
-    return take_call(context, sender, body)
+def _handle_call(context: ControlContext, sender: str, body: Any) -> Deferred[Message]:
+    return handle_call(context, sender, body)
 
 
 def _stop_on_fault(reactor: Any, failure: Any) -> None:
--- a/src/waxwingwell/adapters/control/service.py
+++ b/src/waxwingwell/adapters/control/service.py
@@ -47,7 +47,7 @@
 _OUTCOMES = msgspec.msgpack.Decoder(Outcome)
 
 
-def take_call(context: ControlContext, sender: str, body: Any) -> Deferred[Message]:
+def handle_call(context: ControlContext, sender: str, body: Any) -> Deferred[Message]:
     """Reply to a call from an entry or another control process."""
     if isinstance(body, Submit):
         return submit(context, body.command)
@@ -63,7 +63,7 @@
     )
 
 
-def take_cast(context: ControlContext, sender: str, body: Any) -> None:
+def handle_cast(context: ControlContext, sender: str, body: Any) -> None:
     """Handle a message of the replicated log; ignore any other."""
     if isinstance(body, ConsensusMessage):
         receive_message(context.group, sender, body, context.clock())
--- a/src/waxwingwell/adapters/entry/daemon.py
+++ b/src/waxwingwell/adapters/entry/daemon.py
@@ -230,16 +230,18 @@
 def _make_node(
     context: EntryContext, upkeep: Upkeep, stop: Callable[[], None]
 ) -> LinkNode:
-    def take_call(sender: str, body: Any) -> Deferred[Message]:
+    def handle_call(sender: str, body: Any) -> Deferred[Message]:
         return handle_control_call(context, sender, body, stop)
 
-    def take_cast(sender: str, body: Any) -> None:
+    def handle_cast(sender: str, body: Any) -> None:
         take_news(context, upkeep, body)
 
     return LinkNode(
         name=context.settings.node,
         reactor=context.reactor,
-        handlers=LinkHandlers(take_call=take_call, take_cast=take_cast, body_type=Body),
+        handlers=LinkHandlers(
+            handle_call=handle_call, handle_cast=handle_cast, body_type=Body
+        ),
         timing=LinkTiming(),
         read_names=read_peer_names if context.settings.links.tls else None,
     )
--- a/src/waxwingwell/adapters/gateway/attempts.py
+++ b/src/waxwingwell/adapters/gateway/attempts.py
@@ -20,7 +20,7 @@
 from ..metrics import FIRST_BYTE_SECONDS
 from .choice import Choice
 from .context import VersionTally
-from .dialect import AnswerFacts
+from .dialect import ResponseFacts
 
 
 if TYPE_CHECKING:
@@ -48,7 +48,7 @@
     call: UpstreamCall | None = None
     status: int = 0
     headers: HeaderList | None = None
-    facts: AnswerFacts | None = None
+    facts: ResponseFacts | None = None
     body: list[bytes] | None = None
     first_byte_at: float | None = None
     last_byte_at: float = 0.0
--- a/src/waxwingwell/adapters/gateway/daemon.py
+++ b/src/waxwingwell/adapters/gateway/daemon.py
@@ -26,9 +26,9 @@
 from .arrivals import handle_request
 from .context import GatewayContext
 from .steering import connect_control
+from .steering import handle_call
+from .steering import handle_cast
 from .steering import send_report
-from .steering import take_call
-from .steering import take_cast
 
 
 if TYPE_CHECKING:
@@ -79,8 +79,8 @@
         name=settings.node,
         reactor=reactor,
         handlers=LinkHandlers(
-            take_call=take_call,
-            take_cast=partial(take_cast, context),
+            handle_call=handle_call,
+            handle_cast=partial(handle_cast, context),
             body_type=RoutingBody,
         ),
         timing=ROUTING_TIMING,
@@ -115,7 +115,7 @@
     return GatewayDaemon(context, service, health, ports, loop)
 
 
-def learn_controls(daemon: GatewayDaemon, settings: GatewaySettings) -> None:
+def connect_controls(daemon: GatewayDaemon, settings: GatewaySettings) -> None:
     """Connect to controls that reloaded settings name and that have no link yet."""
     for name in settings.controls:
         connect_control(daemon.context, name)
--- a/src/waxwingwell/adapters/gateway/dialect.py
+++ b/src/waxwingwell/adapters/gateway/dialect.py
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class AnswerFacts:
+class ResponseFacts:
     """Properties of a response that its upstream states in headers."""
 
     not_run: bool
@@ -68,4 +68,4 @@
 
     read_request: Callable[[HeaderList], RequestFacts]
     write_request: Callable[[HeaderList, Dispatch], HeaderList]
-    read_answer: Callable[[int, HeaderList], AnswerFacts]
+    read_response: Callable[[int, HeaderList], ResponseFacts]
--- a/src/waxwingwell/adapters/gateway/exchange.py
+++ b/src/waxwingwell/adapters/gateway/exchange.py
@@ -220,7 +220,7 @@
         """Handle the head of an upstream's response."""
         attempt.status = status
         attempt.headers = headers
-        attempt.facts = self.context.dialect.read_answer(status, headers)
+        attempt.facts = self.context.dialect.read_response(status, headers)
         attempt.body = []
         now = self.context.clock()
         record_first_byte(self.context, self.route, attempt, now)
--- a/src/waxwingwell/adapters/gateway/steering.py
+++ b/src/waxwingwell/adapters/gateway/steering.py
@@ -49,13 +49,13 @@
     from .context import GatewayContext
 
 
-def take_call(sender: str, body: Any) -> Deferred[Message]:
+def handle_call(sender: str, body: Any) -> Deferred[Message]:
     """Reject a call: a gateway serves no calls, only casts."""
     reason = f"{type(body).__name__} from {sender} is not understood"
     return succeed(NotAccepted(reason=reason))
 
 
-def take_cast(context: GatewayContext, sender: str, body: Any) -> None:
+def handle_cast(context: GatewayContext, sender: str, body: Any) -> None:
     """Handle a cast from a control."""
     now = context.clock()
     context.control_seen_at = now
--- a/src/waxwingwell/adapters/gateway/stopping.py
+++ b/src/waxwingwell/adapters/gateway/stopping.py
@@ -10,8 +10,8 @@
 from ..events import log_event
 from ..events import run_logged
 from ..http.server import close_idle
-from ..http.server import count_unsettled
-from ..http.server import is_settled
+from ..http.server import count_undrained
+from ..http.server import is_drained
 from ..links import close_link
 from ..ports import close_port
 from .waiting import refuse_waiting
@@ -61,7 +61,7 @@
     def poll() -> None:
         now = context.clock()
         balancer_noticed = now >= started_at + BALANCER_SECONDS
-        if (balancer_noticed and is_settled(daemon.service)) or now >= deadline:
+        if (balancer_noticed and is_drained(daemon.service)) or now >= deadline:
             limit = min(now + CLOSE_SECONDS, deadline + LAST_SECONDS)
             close_gateway(daemon, limit, done)
             return
@@ -124,7 +124,7 @@
 def finish_stop(daemon: GatewayDaemon) -> None:
     """Stop the periodic tasks and close the links."""
     context = daemon.context
-    log_event("gateway: Stopped", unsettled=count_unsettled(daemon.service))
+    log_event("gateway: Stopped", unsettled=count_undrained(daemon.service))
     daemon.loop.stop()
     for link in context.controls.values():
         close_link(link)
--- a/src/waxwingwell/adapters/http/server.py
+++ b/src/waxwingwell/adapters/http/server.py
@@ -403,17 +403,17 @@
         return HttpConnection(self.service)
 
 
-def is_settled(service: HttpService) -> bool:
+def is_drained(service: HttpService) -> bool:
     """Tell whether all responses have been sent, as a planned stop requires.
 
     It is not enough that no request is in progress: the last bytes of a response may
     still be buffered, for the reactor's next turn or for a slow reader. They would be
     dropped as the process ends, and the caller would get a truncated response.
     """
-    return not count_unsettled(service)
+    return not count_undrained(service)
 
 
-def count_unsettled(service: HttpService) -> int:
+def count_undrained(service: HttpService) -> int:
     """Return the number of connections with a request or a response in progress."""
     return sum(not connection.drained for connection in service.connections)
 
--- a/src/waxwingwell/adapters/links.py
+++ b/src/waxwingwell/adapters/links.py
@@ -88,9 +88,9 @@
 class LinkHandlers:
     """A node's handlers for calls and casts."""
 
-    take_call: Callable[[str, Any], Deferred[Message]]
+    handle_call: Callable[[str, Any], Deferred[Message]]
     """Handles a call, given its sender and body; returns the reply's body."""
-    take_cast: Callable[[str, Any], None]
+    handle_cast: Callable[[str, Any], None]
     """Handles a cast, given its sender and body."""
     body_type: Any
     """Union of the message types that this node can decode."""
@@ -306,7 +306,7 @@
         elif isinstance(frame, Reply):
             self._handle_reply(frame)
         elif isinstance(frame, Cast):
-            self.node.handlers.take_cast(self.remote, self._decode_body(frame.body))
+            self.node.handlers.handle_cast(self.remote, self._decode_body(frame.body))
 
     def _handle_hello(self, hello: Hello) -> None:
         self._greeted = False
@@ -336,7 +336,9 @@
             # No reply can be sent any more, so the call must not run.
             return
 
-        reply = self.node.handlers.take_call(self.remote, self._decode_body(call.body))
+        reply = self.node.handlers.handle_call(
+            self.remote, self._decode_body(call.body)
+        )
 
         def send_reply(body: Message) -> None:
             self.send_frame(Reply(number=call.number, body=body))
--- a/src/waxwingwell/adapters/registry/daemon.py
+++ b/src/waxwingwell/adapters/registry/daemon.py
@@ -24,10 +24,10 @@
 from .context import RegistryBody
 from .context import RegistryContext
 from .hub import connect_control
+from .hub import handle_call
+from .hub import handle_cast
 from .hub import handle_connection
 from .hub import run_sharing
-from .hub import take_call
-from .hub import take_cast
 from .members import open_member
 from .members import tick_member
 from .rollouts import watch_rollouts
@@ -76,8 +76,8 @@
         name=settings.address,
         reactor=reactor,
         handlers=LinkHandlers(
-            take_call=partial(take_call, context),
-            take_cast=partial(take_cast, context),
+            handle_call=partial(handle_call, context),
+            handle_cast=partial(handle_cast, context),
             body_type=RegistryBody,
         ),
         timing=ROUTING_TIMING,
@@ -110,7 +110,7 @@
     return RegistryDaemon(context, service, ports, loop)
 
 
-def learn_controls(daemon: RegistryDaemon, settings: RegistrySettings) -> None:
+def connect_controls(daemon: RegistryDaemon, settings: RegistrySettings) -> None:
     """Connect to controls that are new in reloaded settings."""
     for name in settings.controls:
         connect_control(daemon.context, name)
--- a/src/waxwingwell/adapters/registry/hub.py
+++ b/src/waxwingwell/adapters/registry/hub.py
@@ -264,7 +264,7 @@
             context.unannounced.discard(name)
 
 
-def take_call(context: RegistryContext, sender: str, body: Any) -> Deferred[Message]:
+def handle_call(context: RegistryContext, sender: str, body: Any) -> Deferred[Message]:
     """Handle a call from another control and return the reply."""
     if isinstance(body, SubmitRouting):
         encoded = msgspec.msgpack.encode(body.command)
@@ -277,7 +277,7 @@
     return succeed(NotAccepted(reason=reason))
 
 
-def take_cast(context: RegistryContext, sender: str, body: Any) -> None:
+def handle_cast(context: RegistryContext, sender: str, body: Any) -> None:
     """Handle a one-way message."""
     if isinstance(body, ConsensusMessage):
         connect_control(context, sender)
--- a/src/waxwingwell/adapters/registry/members.py
+++ b/src/waxwingwell/adapters/registry/members.py
@@ -62,7 +62,7 @@
 retransmitted after that time is not taken for a dead leader. A voter without contact is
 replaced after 2 s if a spare member is available: a VM that was replaced must not count
 as a voter for long, as two more may lose their disks once its successor has had 4 s."""
-LEAST_VOTERS = 5
+MIN_VOTERS = 5
 """Fewest voters if there are that many controls: one may be replaced while another is
 lost."""
 
@@ -107,7 +107,7 @@
 
 def count_voters(losses: int) -> int:
     """Return the number of voters that keeps a majority after that many lost disks."""
-    return max(2 * losses + 1, LEAST_VOTERS)
+    return max(2 * losses + 1, MIN_VOTERS)
 
 
 def make_machine(context: RegistryContext) -> Machine:
--- a/src/waxwingwell/adapters/registry/stopping.py
+++ b/src/waxwingwell/adapters/registry/stopping.py
@@ -14,8 +14,8 @@
 from ..events import log_event
 from ..events import run_logged
 from ..http.server import close_idle
-from ..http.server import count_unsettled
-from ..http.server import is_settled
+from ..http.server import count_undrained
+from ..http.server import is_drained
 from ..links import finish_links
 from ..links import list_protocols
 from ..ports import close_port
@@ -68,7 +68,7 @@
         handed_over = (
             not list_successors(context) or now >= started_at + HANDOVER_SECONDS
         )
-        drained = is_settled(daemon.service) and not count_calls(context)
+        drained = is_drained(daemon.service) and not count_calls(context)
         if (handed_over and drained) or now >= deadline - CLOSE_SECONDS:
             close_connections(daemon, deadline, done)
             return
@@ -143,7 +143,7 @@
         now = context.clock()
         links = list_connections(context)
         closed = not daemon.service.connections and not links
-        drained = is_settled(daemon.service) and not links
+        drained = is_drained(daemon.service) and not links
         if closed or (drained and now >= limit) or now >= deadline:
             try:
                 finish_stop(daemon)
@@ -166,7 +166,7 @@
     if daemon.loop.running:
         daemon.loop.stop()
 
-    answers = count_unsettled(daemon.service)
+    answers = count_undrained(daemon.service)
     calls = count_calls(context)
     links = list_connections(context)
     for protocol in links:
--- a/src/waxwingwell/adapters/signals.py
+++ b/src/waxwingwell/adapters/signals.py
@@ -18,8 +18,8 @@
 class ProcessStart:
     """Start time of a process and the signals received since, by ``read_clock``."""
 
-    def __init__(self, began_at: float) -> None:
-        self.began_at = began_at
+    def __init__(self, started_at: float) -> None:
+        self.started_at = started_at
         self.stop_requested_at: float | None = None
         """Time of the first signal to stop."""
         self.settings_changed = False
--- a/tests/adapters/gateway/support.py
+++ b/tests/adapters/gateway/support.py
@@ -21,10 +21,10 @@
 from tests.routing.factories import make_route
 from waxwingwell.adapters.gateway.arrivals import handle_request
 from waxwingwell.adapters.gateway.context import GatewayContext
-from waxwingwell.adapters.gateway.dialect import AnswerFacts
 from waxwingwell.adapters.gateway.dialect import Dialect
 from waxwingwell.adapters.gateway.dialect import Dispatch
 from waxwingwell.adapters.gateway.dialect import RequestFacts
+from waxwingwell.adapters.gateway.dialect import ResponseFacts
 from waxwingwell.adapters.gateway.settings import GatewaySettings
 from waxwingwell.adapters.http.records import HeaderList
 from waxwingwell.adapters.http.records import HttpLimits
@@ -61,11 +61,11 @@
     return kept
 
 
-def read_answer(status: int, headers: HeaderList) -> AnswerFacts:
+def read_response(status: int, headers: HeaderList) -> ResponseFacts:
     """Decode the head of an upstream's response."""
     found = {name.lower(): value.decode() for name, value in headers}
     confidence = found.get(b"x-confidence")
-    return AnswerFacts(
+    return ResponseFacts(
         not_run=b"x-not-run" in found,
         signed=b"x-signed" in found,
         request_id=found.get(b"x-id"),
@@ -73,7 +73,7 @@
     )
 
 
-DIALECT = Dialect(read_request, write_request, read_answer)
+DIALECT = Dialect(read_request, write_request, read_response)
 
 
 class Transport(StringTransportWithDisconnection):
--- a/tests/adapters/gateway/test_steering.py
+++ b/tests/adapters/gateway/test_steering.py
@@ -14,8 +14,8 @@
 from tests.routing.factories import make_rollout
 from waxwingwell.adapters.gateway.choice import list_candidates
 from waxwingwell.adapters.gateway.steering import apply_routing
+from waxwingwell.adapters.gateway.steering import handle_cast
 from waxwingwell.adapters.gateway.steering import send_report
-from waxwingwell.adapters.gateway.steering import take_cast
 from waxwingwell.routing.fleet import apply_announcement
 from waxwingwell.routing.messages import FleetReport
 from waxwingwell.routing.messages import RolloutState
@@ -55,7 +55,7 @@
             with self.subTest(name):
                 gateway = make_gateway()
                 for body in shares:
-                    take_cast(gateway.context, "control", body)
+                    handle_cast(gateway.context, "control", body)
 
                 self.assertEqual(gateway.context.index.document.version, expected)
 
@@ -67,7 +67,7 @@
         """Share heartbeats from a control."""
         gateway.reactor.advance(at - gateway.reactor.seconds())
         counts = tuple((name, 1, int(at) + 1) for name in heard)
-        take_cast(gateway.context, "control", ShareHeartbeats(heard=counts))
+        handle_cast(gateway.context, "control", ShareHeartbeats(heard=counts))
 
     def list_names(self, gateway: Any) -> set[str]:
         """Return the names of the upstreams that requests may use."""
@@ -102,7 +102,7 @@
     def test_an_announced_departure_applies_at_once(self) -> None:
         gateway = make_gateway("u1", "u2")
         leaving = make_announcement("u1", state="leaving", sequence=9)
-        take_cast(gateway.context, "control", ShareNews(news=(leaving,)))
+        handle_cast(gateway.context, "control", ShareNews(news=(leaving,)))
         self.assertEqual(self.list_names(gateway), {"u2"})
 
 
@@ -117,7 +117,7 @@
             UpstreamUse(upstream="u1", running=5, backlog=100),
             UpstreamUse(upstream="u2", running=1, backlog=5),
         )
-        take_cast(context, "control", FleetReport(gateways=4, use=total, work=9.0))
+        handle_cast(context, "control", FleetReport(gateways=4, use=total, work=9.0))
         found = {
             name: (use.running, use.backlog)
             for name, use in context.load.others.items()
@@ -152,7 +152,7 @@
         context.controls = {"a": make_link(), "b": make_link()}
         context.attached_control = "a"
         body = ShareMembers(controls=("a", "b"), data_centre="north")
-        take_cast(context, "b", body)
+        handle_cast(context, "b", body)
         self.assertEqual(context.attached_control, "b")
 
     def test_the_former_control_stops_counting_the_gateway(self) -> None:
@@ -168,7 +168,7 @@
         context.attached_control = "a"
         send_report(context)
         body = ShareMembers(controls=("a", "b"), data_centre="north")
-        take_cast(context, "b", body)
+        handle_cast(context, "b", body)
         first, last = reports
         self.assertEqual([one.requests for one in first.repeats], [1])
         self.assertEqual(last.repeats, ())
@@ -196,7 +196,7 @@
     controls = tuple(data_centres)
     for name, data_centre in data_centres.items():
         body = ShareMembers(controls=controls, data_centre=data_centre)
-        take_cast(context, name, body)
+        handle_cast(context, name, body)
 
     if down:
         context.controls[down].protocol = None
@@ -229,7 +229,7 @@
         apply_announcement(
             other.context.fleet, make_announcement("n1", version="v2"), 0.0
         )
-        take_cast(other.context, "control", total)
+        handle_cast(other.context, "control", total)
         found = {
             session: list_candidates(other.context, "chat", session, 0.1)[0].version
             for session in list_sessions(rollout)
--- a/tests/adapters/gateway/test_waiting.py
+++ b/tests/adapters/gateway/test_waiting.py
@@ -11,7 +11,7 @@
 from tests.adapters.http.test_server import make_request
 from tests.routing.factories import make_document
 from waxwingwell.adapters.gateway import waiting
-from waxwingwell.adapters.gateway.steering import take_cast
+from waxwingwell.adapters.gateway.steering import handle_cast
 from waxwingwell.routing.messages import ShareRouting
 
 from .support import Caller
@@ -37,7 +37,7 @@
         body = ShareRouting(
             index=version, version=version, document=zlib.compress(encoded), rollouts=()
         )
-        take_cast(self.gateway.context, "control", body)
+        handle_cast(self.gateway.context, "control", body)
 
     def pass_time(self, seconds: float) -> None:
         """Advance the clock."""
@@ -58,7 +58,7 @@
     def test_a_control_without_a_document_does_not_end_the_wait(self) -> None:
         caller = self.gateway.ask()
         body = ShareRouting(index=0, version=-1, document=b"", rollouts=())
-        take_cast(self.gateway.context, "control", body)
+        handle_cast(self.gateway.context, "control", body)
         self.assertEqual(caller.status, 0)
 
     def test_an_error_in_one_request_does_not_affect_the_others(self) -> None:
--- a/tests/adapters/http/test_server.py
+++ b/tests/adapters/http/test_server.py
@@ -18,7 +18,7 @@
 from waxwingwell.adapters.http.server import HttpService
 from waxwingwell.adapters.http.server import Responder
 from waxwingwell.adapters.http.server import close_idle
-from waxwingwell.adapters.http.server import is_settled
+from waxwingwell.adapters.http.server import is_drained
 
 
 LIMITS = HttpLimits(
@@ -334,7 +334,7 @@
                 server.send(make_request("/2/"))
                 self.assertTrue(server.transport.connected)
                 self.assertEqual(len(server.requests), 1)
-                self.assertTrue(is_settled(server.service))
+                self.assertTrue(is_drained(server.service))
                 if closes:
                     server.transport.loseConnection()
                 else:
--- a/tests/adapters/registry/test_hub.py
+++ b/tests/adapters/registry/test_hub.py
@@ -12,10 +12,10 @@
 from waxwingwell.adapters.registry import hub
 from waxwingwell.adapters.registry.api import announce
 from waxwingwell.adapters.registry.api import withdraw
+from waxwingwell.adapters.registry.hub import handle_cast
 from waxwingwell.adapters.registry.hub import handle_connection
 from waxwingwell.adapters.registry.hub import run_sharing
 from waxwingwell.adapters.registry.hub import share_heartbeats
-from waxwingwell.adapters.registry.hub import take_cast
 from waxwingwell.routing.fleet import UpstreamState
 from waxwingwell.routing.messages import GatewayReport
 from waxwingwell.routing.messages import ShareHeartbeats
@@ -86,7 +86,7 @@
         sent = len(gateway.sent)
         announce(registry.context, make_announcement("u1", sequence=2))
         self.assertEqual(len(gateway.sent), sent)
-        take_cast(
+        handle_cast(
             registry.context,
             "gateway-1",
             GatewayReport(gateway="gateway-1", use=(), evidence=()),
--- a/tests/adapters/registry/test_stop.py
+++ b/tests/adapters/registry/test_stop.py
@@ -35,7 +35,7 @@
 from waxwingwell.adapters.registry.context import RegistryBody
 from waxwingwell.adapters.registry.daemon import RegistryDaemon
 from waxwingwell.adapters.registry.daemon import run_tick
-from waxwingwell.adapters.registry.hub import take_cast
+from waxwingwell.adapters.registry.hub import handle_cast
 from waxwingwell.routing.messages import Accepted
 from waxwingwell.routing.messages import ReadRouting
 from waxwingwell.routing.messages import ShareNews
@@ -74,7 +74,7 @@
         self.received: list[Any] = []
         self.ended: list[float] = []
         self.links: list[BufferedTransport] = []
-        node = self.make_node("127.0.0.1", partial(take_cast, self.context))
+        node = self.make_node("127.0.0.1", partial(handle_cast, self.context))
         self.context.node = node
         peer = self.make_node("127.0.0.2", lambda _, body: self.received.append(body))
         self.context.controls = {"127.0.0.2": self.connect(node, peer)}
@@ -97,7 +97,9 @@
             name=name,
             reactor=self.clock,
             handlers=LinkHandlers(
-                take_call=self.take_call, take_cast=cast_handler, body_type=RegistryBody
+                handle_call=self.handle_call,
+                handle_cast=cast_handler,
+                body_type=RegistryBody,
             ),
             timing=ROUTING_TIMING,
         )
@@ -113,7 +115,7 @@
         near.closed.addCallback(lambda _: setattr(link, "protocol", None))
         return link
 
-    def take_call(self, sender: str, body: Any) -> Deferred[Message]:
+    def handle_call(self, sender: str, body: Any) -> Deferred[Message]:
         """Keep a call pending until the test replies."""
         reply: Deferred[Message] = Deferred()
         self.calls.append(reply)
--- a/tests/adapters/registry/test_stop_sockets.py
+++ b/tests/adapters/registry/test_stop_sockets.py
@@ -71,7 +71,7 @@
         responder.send(200, [], b"x" * LARGE_RESPONSE_BYTES)
         self.read.callback(None)
 
-    def take_call(self, sender: str, body: Any) -> Deferred[Message]:
+    def handle_call(self, sender: str, body: Any) -> Deferred[Message]:
         """Reply to a call; the test continues once the link has the reply."""
         reactor.callLater(0, self.read.callback, None)
         return succeed(
@@ -84,8 +84,8 @@
             name="gateway-9",
             reactor=reactor,
             handlers=LinkHandlers(
-                take_call=lambda sender, body: succeed(NotAccepted(reason="")),
-                take_cast=lambda sender, body: None,
+                handle_call=lambda sender, body: succeed(NotAccepted(reason="")),
+                handle_cast=lambda sender, body: None,
                 body_type=RegistryBody,
             ),
             timing=ROUTING_TIMING,
@@ -128,7 +128,7 @@
     async def test_a_process_that_reads_a_link_slowly(self) -> None:
         """Another process reads the state slowly while the registry is stopped."""
         own_node: Any = self.context.node
-        own_node.handlers = replace(own_node.handlers, take_call=self.take_call)
+        own_node.handlers = replace(own_node.handlers, handle_call=self.handle_call)
         protocol = await self.connect_gateway()
         transport: Any = protocol.transport
         transport.pauseProducing()
--- a/tests/adapters/test_endings.py
+++ b/tests/adapters/test_endings.py
@@ -94,8 +94,8 @@
             name=name,
             reactor=self.clock,
             handlers=LinkHandlers(
-                take_call=self.take_call,
-                take_cast=lambda sender, body: self.received_casts.append(body),
+                handle_call=self.handle_call,
+                handle_cast=lambda sender, body: self.received_casts.append(body),
                 body_type=Body,
             ),
             timing=LinkTiming(),
@@ -113,7 +113,7 @@
         app.route("/")(guard(self.context)(wait))
         return ConnectionTrackingSite(app.resource(), reactor=self.clock)
 
-    def take_call(self, sender: str, body: Any) -> Deferred[Message]:
+    def handle_call(self, sender: str, body: Any) -> Deferred[Message]:
         """Store a call until the test answers it."""
         reply: Deferred[Message] = Deferred()
         self.calls.append(reply)
--- a/tests/adapters/test_link_ends.py
+++ b/tests/adapters/test_link_ends.py
@@ -42,8 +42,8 @@
             name=name,
             reactor=clock,
             handlers=LinkHandlers(
-                take_call=self.take_call,
-                take_cast=lambda sender, body: self.casts.append(body),
+                handle_call=self.handle_call,
+                handle_cast=lambda sender, body: self.casts.append(body),
                 body_type=Body,
             ),
             timing=TIMING,
@@ -52,7 +52,7 @@
         self.link = Link(node, name, connect=lambda factory: Deferred())
         self.link.protocol = self.protocol
 
-    def take_call(self, sender: str, body: Any) -> Deferred[Message]:
+    def handle_call(self, sender: str, body: Any) -> Deferred[Message]:
         """Store a call until the test answers it."""
         reply: Deferred[Message] = Deferred()
         self.calls.append(reply)
--- a/tests/adapters/test_links.py
+++ b/tests/adapters/test_links.py
@@ -58,15 +58,15 @@
         self.far = self.make_end("far")
 
     def make_end(self, name: str) -> LinkProtocol:
-        def take_call(sender: str, body: Any) -> Deferred[Message]:
+        def handle_call(sender: str, body: Any) -> Deferred[Message]:
             return succeed(InForce(in_force=body.config_version == 7))
 
         node = LinkNode(
             name=name,
             reactor=self.clock,
             handlers=LinkHandlers(
-                take_call=take_call,
-                take_cast=lambda sender, body: self.casts.append((sender, body)),
+                handle_call=handle_call,
+                handle_cast=lambda sender, body: self.casts.append((sender, body)),
                 body_type=Body,
             ),
             timing=TIMING,
--- a/tests/adapters/test_tls.py
+++ b/tests/adapters/test_tls.py
@@ -345,7 +345,7 @@
         self.casts: list[Any] = []
 
     def make_node(self, name: str) -> LinkNode:
-        def take_call(sender: str, body: Any) -> Deferred[Any]:
+        def handle_call(sender: str, body: Any) -> Deferred[Any]:
             reply: Deferred[Any] = Deferred()
             reply.callback(InForce(in_force=sender == "near"))
             return reply
@@ -354,8 +354,8 @@
             name=name,
             reactor=REACTOR,
             handlers=LinkHandlers(
-                take_call=take_call,
-                take_cast=lambda sender, body: self.casts.append(sender),
+                handle_call=handle_call,
+                handle_cast=lambda sender, body: self.casts.append(sender),
                 body_type=Body,
             ),
             timing=LinkTiming(),
--- a/tests/platform_adapter/test_headers.py
+++ b/tests/platform_adapter/test_headers.py
@@ -113,7 +113,7 @@
             (421, [], True, False, None),
         ):
             with self.subTest(status=status, headers=headers):
-                facts = DIALECT.read_answer(status, headers)
+                facts = DIALECT.read_response(status, headers)
                 self.assertIs(facts.not_run, not_run)
                 self.assertIs(facts.signed, is_signed)
                 self.assertEqual(facts.confidence, confidence)
--- a/tests/state/consensus/test_exchange.py
+++ b/tests/state/consensus/test_exchange.py
@@ -5,7 +5,7 @@
 import unittest
 from dataclasses import replace
 
-from waxwingwell.adapters.registry.members import LEAST_VOTERS
+from waxwingwell.adapters.registry.members import MIN_VOTERS
 from waxwingwell.adapters.registry.members import TIMING
 from waxwingwell.state.consensus.records import Membership
 from waxwingwell.state.consensus.records import name_of
@@ -129,7 +129,7 @@
         be left. No leader could be elected, and a document that had been accepted
         would never take effect.
         """
-        timing = replace(TIMING, max_voters=LEAST_VOTERS)
+        timing = replace(TIMING, max_voters=MIN_VOTERS)
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 cluster = make_cluster(5, seed=seed, timing=timing)
--- a/tests/state/consensus/test_power.py
+++ b/tests/state/consensus/test_power.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING
 
-from waxwingwell.adapters.registry.members import LEAST_VOTERS
+from waxwingwell.adapters.registry.members import MIN_VOTERS
 from waxwingwell.adapters.registry.members import TIMING
 from waxwingwell.state.group import members_of
 
@@ -24,7 +24,7 @@
     from waxwingwell.state.consensus.records import Timing
 
 
-QUICK_TIMING = replace(TIMING, max_voters=LEAST_VOTERS)
+QUICK_TIMING = replace(TIMING, max_voters=MIN_VOTERS)
 SLOW_TIMING = replace(
     QUICK_TIMING,
     heartbeat=0.15,
@@ -56,7 +56,7 @@
                     leader = cluster.nodes[await_leader(cluster)].group
                     assert leader is not None
                     voters = members_of(leader).voters
-                    self.assertEqual(len(voters), LEAST_VOTERS)
+                    self.assertEqual(len(voters), MIN_VOTERS)
 
     def lose_power(self, timing: Timing, delay: float) -> Cluster:
         """Lose a disk twice, then all power ``delay`` seconds after its return."""
