--- a/src/waxwingwell/adapters/control/daemon.py
+++ b/src/waxwingwell/adapters/control/daemon.py
@@ -34,7 +34,7 @@
 from ..links import LinkTiming
 from ..links import cast_link
 from ..links import open_link
-from ..shutdown import LOOK_SECONDS
+from ..shutdown import POLL_SECONDS
 from ..shutdown import close_links
 from ..shutdown import close_site
 from ..telemetry import open_metrics
@@ -213,7 +213,7 @@
     context = daemon.context
     deadline = context.clock() + ANSWER_LIMIT
     while count_unanswered(daemon) and context.clock() < deadline:
-        await deferLater(context.reactor, LOOK_SECONDS, lambda: None)
+        await deferLater(context.reactor, POLL_SECONDS, lambda: None)
 
 
 async def _hand_over(context: ControlContext) -> None:
--- a/src/waxwingwell/adapters/gateway/arrivals.py
+++ b/src/waxwingwell/adapters/gateway/arrivals.py
@@ -17,9 +17,9 @@
 from .endings import RETRY_AFTER
 from .endings import retry_after
 from .exchange import Exchange
-from .waiting import Waiting
+from .waiting import QueuedRequest
+from .waiting import compute_wait_limit
 from .waiting import enqueue_request
-from .waiting import find_wait
 
 
 if TYPE_CHECKING:
@@ -51,12 +51,12 @@
         serve_request(context, request, facts, responder, now)
         return
 
-    limit = find_wait(context.startup_queue, facts.budget)
+    limit = compute_wait_limit(context.startup_queue, facts.budget)
     if limit <= 0.0:
         refuse(facts, responder, 503, NO_CONFIGURATION)
         return
 
-    waiting = Waiting(
+    waiting = QueuedRequest(
         serve=partial(serve_request, context, request, facts, responder, now),
         refuse=partial(refuse, facts, responder, 503, NO_CONFIGURATION),
     )
--- a/src/waxwingwell/adapters/gateway/attempts.py
+++ b/src/waxwingwell/adapters/gateway/attempts.py
@@ -118,7 +118,7 @@
     attempt.stop_timer()
 
 
-def note_read(
+def record_cached_blocks(
     context: GatewayContext, facts: RequestFacts, attempt: Attempt, now: float
 ) -> None:
     """Record the prompt blocks as cached at the upstream once its response starts."""
@@ -136,7 +136,7 @@
         attempt.work = 0.0
 
 
-def release(context: GatewayContext, attempt: Attempt) -> None:
+def release_attempt(context: GatewayContext, attempt: Attempt) -> None:
     """Mark the attempt as finished and release the load and session it holds."""
     attempt.finished = True
     attempt.stop_timer()
--- a/src/waxwingwell/adapters/gateway/context.py
+++ b/src/waxwingwell/adapters/gateway/context.py
@@ -38,7 +38,7 @@
     """Sum of the times to the first byte of successful responses."""
 
 
-class Running(Protocol):
+class RunningRequest(Protocol):
     """Interface of a running request to periodic tasks and the shutdown."""
 
     def check_responsiveness(self, now: float) -> None:
@@ -86,7 +86,7 @@
     """Time of the last byte received, by upstream."""
     retries: RetryTable = field(default_factory=RetryTable)
     tallies: dict[tuple[str, str], VersionTally] = field(default_factory=dict)
-    exchanges: set[Running] = field(default_factory=set)
+    exchanges: set[RunningRequest] = field(default_factory=set)
     """Running requests."""
     startup_queue: StartupQueue = field(default_factory=StartupQueue)
     """Requests queued until the first configuration."""
--- a/src/waxwingwell/adapters/gateway/endings.py
+++ b/src/waxwingwell/adapters/gateway/endings.py
@@ -19,11 +19,11 @@
 """Seconds after which a caller may retry if no upstream could take its request."""
 
 
-LEAVE_SECONDS = 0.3
+STREAM_GRACE_SECONDS = 0.3
 """Seconds past the caller's own deadline before its stream is cut."""
 
 
-def deliver(exchange: Exchange, attempt: Attempt, now: float) -> None:
+def forward_response(exchange: Exchange, attempt: Attempt, now: float) -> None:
     """Send a complete response, or the end of a streamed one, to the caller."""
     if attempt.streaming:
         exchange.responder.write(exchange.splitter.partial_event)
@@ -32,7 +32,7 @@
         headers = strip_hop_headers(attempt.headers or [])
         exchange.responder.send(attempt.status, headers, b"".join(attempt.body or []))
 
-    settle(exchange, "answered", attempt.status, now)
+    record_end(exchange, "answered", attempt.status, now)
 
 
 def give_up(exchange: Exchange, reason: str, pause: float = RETRY_AFTER) -> None:
@@ -40,17 +40,17 @@
     now = exchange.context.clock()
     if exchange.responder.started:
         exchange.responder.abort()
-        settle(exchange, "cut", 0, now, reason)
+        record_end(exchange, "cut", 0, now, reason)
     elif exchange.last_response is not None:
         status, headers, body = exchange.last_response
         exchange.responder.send(status, headers, body)
-        settle(exchange, "passed_on_failure", status, now, reason)
+        record_end(exchange, "passed_on_failure", status, now, reason)
     elif exchange.runs:
         exchange.responder.send(502, [])
-        settle(exchange, "may_have_run", 502, now, reason)
+        record_end(exchange, "may_have_run", 502, now, reason)
     else:
         exchange.responder.send(503, [retry_after(pause)])
-        settle(exchange, "refused", 503, now, reason)
+        record_end(exchange, "refused", 503, now, reason)
 
 
 def expire(exchange: Exchange) -> None:
@@ -58,14 +58,14 @@
 
     The caller's remaining time is sent in whole milliseconds and takes time to arrive,
     so a stream would be cut a few milliseconds before its caller disconnects by itself.
-    A stream that has started therefore continues for ``LEAVE_SECONDS``, up to
+    A stream that has started therefore continues for ``STREAM_GRACE_SECONDS``, up to
     the route's timeout.
     """
     now = exchange.context.clock()
     latest = exchange.started_at + exchange.route.timeout
     if exchange.responder.started and now < latest and not exchange.overdue:
         exchange.overdue = True
-        delay = min(LEAVE_SECONDS, latest - now)
+        delay = min(STREAM_GRACE_SECONDS, latest - now)
         reactor = exchange.context.reactor
         exchange.deadline_timer = reactor.callLater(delay, expire, exchange)
         return
@@ -79,16 +79,16 @@
     sent = attempt is not None and attempt.call is not None and attempt.call.sent
     if exchange.responder.started:
         exchange.responder.abort()
-        settle(exchange, "cut", 0, now, reason)
+        record_end(exchange, "cut", 0, now, reason)
     elif sent or exchange.runs:
         exchange.responder.send(504, [])
-        settle(exchange, "may_have_run", 504, now, reason)
+        record_end(exchange, "may_have_run", 504, now, reason)
     else:
         exchange.responder.send(503, [retry_after(RETRY_AFTER)])
-        settle(exchange, "refused", 503, now, reason)
+        record_end(exchange, "refused", 503, now, reason)
 
 
-def settle(
+def record_end(
     exchange: Exchange, outcome: str, status: int, now: float, reason: str = ""
 ) -> None:
     """Record the end of the request in metrics and the log, once."""
--- a/src/waxwingwell/adapters/gateway/exchange.py
+++ b/src/waxwingwell/adapters/gateway/exchange.py
@@ -21,24 +21,24 @@
 from .attempts import AttemptOutcome
 from .attempts import finish_prefill
 from .attempts import is_valid_response
-from .attempts import note_read
+from .attempts import record_cached_blocks
 from .attempts import record_first_byte
 from .attempts import record_outcome
-from .attempts import release
+from .attempts import release_attempt
 from .choice import Choice
 from .choice import choose_upstream
-from .endings import deliver
 from .endings import expire
 from .endings import finish_now
+from .endings import forward_response
 from .endings import give_up
-from .endings import settle
+from .endings import record_end
 from .escalation import find_larger
 from .events import EventPauses
 from .events import EventSplitter
 from .sending import log_placement
 from .sending import open_call
 from .watch import check_responsiveness
-from .watch import limit_silence
+from .watch import start_response_timer
 
 
 if TYPE_CHECKING:
@@ -204,7 +204,7 @@
         attempt.samples_prefill_speed = idle and self.route.kind is RouteKind.STREAM
         log_placement(self, attempt, now)
         attempt.call = open_call(self, attempt, now)
-        limit_silence(self, attempt, self.deadline - now)
+        start_response_timer(self, attempt, self.deadline - now)
 
     def check_responsiveness(self, now: float) -> None:
         """Fail over to another upstream if this one seems to be unresponsive."""
@@ -216,7 +216,7 @@
 
     # --- upstream response ----------------------------------------------------
 
-    def take_head(self, attempt: Attempt, status: int, headers: HeaderList) -> None:
+    def handle_head(self, attempt: Attempt, status: int, headers: HeaderList) -> None:
         """Handle the head of an upstream's response."""
         attempt.status = status
         attempt.headers = headers
@@ -224,7 +224,7 @@
         attempt.body = []
         now = self.context.clock()
         record_first_byte(self.context, self.route, attempt, now)
-        note_read(self.context, self.facts, attempt, now)
+        record_cached_blocks(self.context, self.facts, attempt, now)
         larger = find_larger(self, attempt, now)
         if larger is not None:
             self._switch_to_larger_model(attempt, larger)
@@ -239,7 +239,7 @@
         """Drop a low-confidence response before the caller has received any of it."""
         now = self.context.clock()
         attempt.cancel()
-        release(self.context, attempt)
+        release_attempt(self.context, attempt)
         record_outcome(self.context, self.route, attempt, AttemptOutcome.DONE, now)
         self.runs += 1
         self.response_dropped = True
@@ -255,7 +255,7 @@
             and is_valid_response(attempt, self.facts.request_id)
         )
 
-    def take_data(self, attempt: Attempt, data: bytes) -> None:
+    def handle_data(self, attempt: Attempt, data: bytes) -> None:
         """Handle a chunk of a response's body."""
         attempt.last_byte_at = self.context.clock()
         self.context.upstream_active_at[attempt.upstream] = attempt.last_byte_at
@@ -271,7 +271,7 @@
             self.pauses.record(attempt.last_byte_at)
             self.responder.write(complete_events)
 
-    def take_end(self, attempt: Attempt, complete: bool, sent: bool) -> None:
+    def handle_end(self, attempt: Attempt, complete: bool, sent: bool) -> None:
         """Handle the end of a call.
 
         An internal error here must end the request: no further event follows the call's
@@ -320,7 +320,7 @@
         self, attempt: Attempt, outcome: AttemptOutcome, reason: str
     ) -> None:
         """Record an attempt's outcome, then respond, retry or give up."""
-        release(self.context, attempt)
+        release_attempt(self.context, attempt)
         now = self.context.clock()
         record_outcome(self.context, self.route, attempt, outcome, now)
         if outcome in (
@@ -331,7 +331,7 @@
             self.runs += 1
 
         if outcome is AttemptOutcome.DONE:
-            deliver(self, attempt, now)
+            forward_response(self, attempt, now)
             return
 
         log_event(
@@ -405,7 +405,7 @@
     def _handle_caller_gone(self) -> None:
         """Cancel the request after its caller has disconnected."""
         self.stop_attempt()
-        settle(self, "caller_left", 0, self.context.clock())
+        record_end(self, "caller_left", 0, self.context.clock())
 
     def stop_attempt(self) -> Attempt | None:
         """Cancel the current attempt and return it, or None if none is running."""
@@ -414,5 +414,5 @@
             return None
 
         attempt.cancel()
-        release(self.context, attempt)
+        release_attempt(self.context, attempt)
         return attempt
--- a/src/waxwingwell/adapters/gateway/sending.py
+++ b/src/waxwingwell/adapters/gateway/sending.py
@@ -91,9 +91,9 @@
             exchange.request.body,
         ),
         handlers=CallHandlers(
-            on_head=partial(exchange.take_head, attempt),
-            on_data=partial(exchange.take_data, attempt),
-            on_end=partial(exchange.take_end, attempt),
+            on_head=partial(exchange.handle_head, attempt),
+            on_data=partial(exchange.handle_data, attempt),
+            on_end=partial(exchange.handle_end, attempt),
         ),
         connect_timeout=min(CONNECT_SECONDS, remaining * CONNECT_SHARE),
     )
--- a/src/waxwingwell/adapters/gateway/stopping.py
+++ b/src/waxwingwell/adapters/gateway/stopping.py
@@ -24,7 +24,7 @@
     from .daemon import GatewayDaemon
 
 
-LOOK_SECONDS = 0.1
+POLL_SECONDS = 0.1
 """Interval in seconds between checks of the requests and connections left."""
 BALANCER_SECONDS = 2.5
 """Seconds for which a stopping gateway still accepts connections: the balancer needs
@@ -32,7 +32,7 @@
 STOP_MARGIN = 0.6
 """Seconds before the process is killed at which the gateway accepts no more requests
 and responds to those still open."""
-LAST_SECONDS = 0.3
+FLUSH_SECONDS = 0.3
 """Seconds of the margin in which the last responses are flushed: several one-way
 delays between data centres."""
 CLOSE_SECONDS = 1.0
@@ -41,19 +41,19 @@
 
 
 def stop_gateway(
-    daemon: GatewayDaemon, done: Callable[[], None], told_at: float | None = None
+    daemon: GatewayDaemon, done: Callable[[], None], requested_at: float | None = None
 ) -> None:
     """Complete running requests, flush their responses, then close everything.
 
     New connections are served until the balancer has noticed the stop; persistent
     connections are closed as their responses end. ``done`` is called last.
-    ``told_at`` is the time of the signal to stop if that came earlier: the grace
+    ``requested_at`` is the time of the signal to stop if that came earlier: the grace
     counts from it.
     """
     context = daemon.context
     context.stopping = True
     daemon.service.stopping = True
-    started_at = context.clock() if told_at is None else told_at
+    started_at = context.clock() if requested_at is None else requested_at
     deadline = started_at + context.settings.grace - STOP_MARGIN
     context.exit_at = deadline
     log_event("gateway: Stopping", requests=len(context.exchanges))
@@ -62,14 +62,14 @@
         now = context.clock()
         balancer_noticed = now >= started_at + BALANCER_SECONDS
         if (balancer_noticed and is_drained(daemon.service)) or now >= deadline:
-            limit = min(now + CLOSE_SECONDS, deadline + LAST_SECONDS)
+            limit = min(now + CLOSE_SECONDS, deadline + FLUSH_SECONDS)
             close_gateway(daemon, limit, done)
             return
 
         if balancer_noticed:
             close_idle(daemon.service)
 
-        context.reactor.callLater(min(LOOK_SECONDS, deadline - now), poll)
+        context.reactor.callLater(min(POLL_SECONDS, deadline - now), poll)
 
     poll()
 
@@ -97,7 +97,7 @@
         now = context.clock()
         waiting = daemon.service.connections or daemon.health.connections
         if waiting and now < limit:
-            context.reactor.callLater(min(LOOK_SECONDS, limit - now), poll)
+            context.reactor.callLater(min(POLL_SECONDS, limit - now), poll)
             return
 
         try:
--- a/src/waxwingwell/adapters/gateway/waiting.py
+++ b/src/waxwingwell/adapters/gateway/waiting.py
@@ -28,7 +28,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Waiting:
+class QueuedRequest:
     """One queued request."""
 
     serve: Callable[[], None]
@@ -40,10 +40,10 @@
 class StartupQueue:
     """The queued requests in order of arrival."""
 
-    waiting: dict[Waiting, None] = field(default_factory=dict)
+    waiting: dict[QueuedRequest, None] = field(default_factory=dict)
 
 
-def find_wait(startup_queue: StartupQueue, budget: float | None) -> float:
+def compute_wait_limit(startup_queue: StartupQueue, budget: float | None) -> float:
     """Return the seconds that one more request may wait; 0 if it may not.
 
     ``budget`` is the time that its caller allows, in seconds. The larger part of it
@@ -59,7 +59,7 @@
     startup_queue: StartupQueue,
     reactor: Any,
     responder: Responder,
-    waiting: Waiting,
+    waiting: QueuedRequest,
     limit: float,
 ) -> None:
     """Queue a request until ``serve_waiting``, or refuse it after ``limit`` seconds."""
@@ -94,7 +94,7 @@
         run_logged(waiting.refuse, "gateway: Could not refuse a queued request")
 
 
-def drain_queue(startup_queue: StartupQueue) -> list[Waiting]:
+def drain_queue(startup_queue: StartupQueue) -> list[QueuedRequest]:
     """Remove and return all queued requests, and cancel their timers."""
     taken = list(startup_queue.waiting)
     startup_queue.waiting.clear()
--- a/src/waxwingwell/adapters/gateway/watch.py
+++ b/src/waxwingwell/adapters/gateway/watch.py
@@ -28,7 +28,9 @@
 attempt has the longer part."""
 
 
-def limit_silence(exchange: Exchange, attempt: Attempt, remaining: float) -> None:
+def start_response_timer(
+    exchange: Exchange, attempt: Attempt, remaining: float
+) -> None:
     """Start the timer for the first byte of an idempotent call that may run again."""
     route = exchange.route
     if route.kind is not RouteKind.IDEMPOTENT or not exchange.may_run_again():
--- a/src/waxwingwell/adapters/shutdown.py
+++ b/src/waxwingwell/adapters/shutdown.py
@@ -23,7 +23,7 @@
 
 CLOSE_TIMEOUT_SECONDS = 3.0
 """Seconds that connections may take to close; an unresponsive link is closed sooner."""
-LOOK_SECONDS = 0.05
+POLL_SECONDS = 0.05
 """Seconds between two checks for open connections."""
 
 
@@ -64,4 +64,4 @@
 ) -> None:
     deadline = clock() + CLOSE_TIMEOUT_SECONDS
     while not are_closed() and clock() < deadline:
-        await deferLater(reactor, LOOK_SECONDS, lambda: None)
+        await deferLater(reactor, POLL_SECONDS, lambda: None)
--- a/tests/adapters/gateway/support.py
+++ b/tests/adapters/gateway/support.py
@@ -86,7 +86,7 @@
     aborted = False
     half_closed = False
     held = False
-    stays = False
+    keeps_sending = False
     """Whether the peer continues to send after this end was half-closed."""
     waiting = b""
 
@@ -121,7 +121,7 @@
     def loseWriteConnection(self) -> None:  # noqa: N802
         """Half-close the connection."""
         self.half_closed = True
-        if not self.stays:
+        if not self.keeps_sending:
             self.loseConnection()
 
     def setTcpNoDelay(self, enabled: bool) -> None:  # noqa: N802
@@ -303,7 +303,7 @@
     return f"{len(data):x}\r\n".encode() + data + b"\r\n"
 
 
-def note_lines(action: Callable[[], None]) -> list[Any]:
+def capture_log(action: Callable[[], None]) -> list[Any]:
     """Return the log records that an action produces."""
     found: list[Any] = []
     sink = logger.add(lambda text: found.append(text.record))
--- a/tests/adapters/gateway/test_resuming.py
+++ b/tests/adapters/gateway/test_resuming.py
@@ -290,8 +290,8 @@
             with self.subTest(name):
                 gateway = make_sole_gateway("u1")
                 caller, upstream = start_stream(gateway)
-                if news is not None:
-                    apply_announcement(gateway.context.fleet, news, 0.0)
+                if announcement is not None:
+                    apply_announcement(gateway.context.fleet, announcement, 0.0)
 
                 if rollouts:
                     rollout = make_rollout(share=1.0, **rollouts)
--- a/tests/adapters/gateway/test_stopping.py
+++ b/tests/adapters/gateway/test_stopping.py
@@ -13,7 +13,7 @@
 from waxwingwell.adapters.gateway.daemon import GatewayDaemon
 from waxwingwell.adapters.gateway.stopping import BALANCER_SECONDS
 from waxwingwell.adapters.gateway.stopping import CLOSE_SECONDS
-from waxwingwell.adapters.gateway.stopping import LOOK_SECONDS
+from waxwingwell.adapters.gateway.stopping import POLL_SECONDS
 from waxwingwell.adapters.gateway.stopping import STOP_MARGIN
 from waxwingwell.adapters.gateway.stopping import stop_gateway
 from waxwingwell.routing.records import RouteKind
@@ -21,12 +21,12 @@
 from .support import LAST_CHUNK
 from .support import Caller
 from .support import Gateway
+from .support import capture_log
 from .support import make_chunk
 from .support import make_gateway
 from .support import make_response
 from .support import make_settings
 from .support import make_stream_head
-from .support import note_lines
 
 
 REQUEST_ENDED = "gateway: Request ended"
@@ -60,8 +60,8 @@
 
     def wait(self, seconds: float) -> None:
         """Advance the clock in the steps in which the gateway polls."""
-        for _ in range(round(seconds / LOOK_SECONDS)):
-            self.gateway.reactor.advance(LOOK_SECONDS)
+        for _ in range(round(seconds / POLL_SECONDS)):
+            self.gateway.reactor.advance(POLL_SECONDS)
 
 
 class Port:
@@ -129,7 +129,7 @@
                 gateway = make_gateway()
                 stop = Shutdown(gateway)
                 caller = gateway.ask()
-                caller.transport.stays = True
+                caller.transport.keeps_sending = True
                 upstream = gateway.upstreams[-1]
                 upstream.accept()
                 stop.signal()
@@ -139,7 +139,7 @@
                 self.assertFalse(stop.ended)
                 if closes:
                     caller.leave()
-                    stop.wait(2 * LOOK_SECONDS)
+                    stop.wait(2 * POLL_SECONDS)
                 else:
                     stop.wait(CLOSE_SECONDS)
 
@@ -177,7 +177,7 @@
                     caller.send(data)
 
                 stop.signal()
-                stop.wait(BALANCER_SECONDS + 2 * LOOK_SECONDS)
+                stop.wait(BALANCER_SECONDS + 2 * POLL_SECONDS)
                 self.assertTrue(stop.ended)
 
 
@@ -202,7 +202,7 @@
                     gateway.upstreams[-1].accept()
 
                 stop.signal()
-                found = note_lines(partial(stop.wait, gateway.context.settings.grace))
+                found = capture_log(partial(stop.wait, gateway.context.settings.grace))
                 self.assertTrue(stop.ended)
                 self.assertEqual(caller.status, status)
                 ends = [one for one in found if one["message"] == REQUEST_ENDED]
@@ -236,7 +236,7 @@
         late = 5.0
         gateway.reactor.advance(late)
         stop.signal(signalled_at=0.0)
-        stop.wait(gateway.context.settings.grace - STOP_MARGIN - late + LOOK_SECONDS)
+        stop.wait(gateway.context.settings.grace - STOP_MARGIN - late + POLL_SECONDS)
         self.assertTrue(stop.ended)
         self.assertEqual(caller.status, 503)
 
@@ -268,12 +268,12 @@
         stop = Shutdown(gateway)
         port = Port()
         stop.daemon.ports.append(port)
-        gateway.ask().transport.stays = True
+        gateway.ask().transport.keeps_sending = True
         stop.signal()
-        stop.wait(gateway.context.settings.grace - STOP_MARGIN - LOOK_SECONDS)
+        stop.wait(gateway.context.settings.grace - STOP_MARGIN - POLL_SECONDS)
         self.assertFalse(port.asked_to_close)
         late = gateway.open_caller()
-        stop.wait(2 * LOOK_SECONDS)
+        stop.wait(2 * POLL_SECONDS)
         self.assertFalse(stop.ended)
         port.closing.callback(None)
         late.send(make_request("/chat/x", b"hi", "X-Key: k1"))
@@ -293,7 +293,7 @@
         port = Port()
         stop.daemon.ports.append(port)
         stop.signal()
-        stop.wait(BALANCER_SECONDS + 2 * LOOK_SECONDS)
+        stop.wait(BALANCER_SECONDS + 2 * POLL_SECONDS)
         self.assertFalse(stop.ended)
         port.closing.callback(None)
         self.assertTrue(stop.ended)
--- a/tests/adapters/http/test_server.py
+++ b/tests/adapters/http/test_server.py
@@ -7,8 +7,8 @@
 
 from twisted.internet.task import Clock
 
+from tests.adapters.gateway.support import capture_log
 from tests.adapters.gateway.support import make_transport
-from tests.adapters.gateway.support import note_lines
 from waxwingwell.adapters.http.output import CHUNK_BYTES
 from waxwingwell.adapters.http.records import HttpLimits
 from waxwingwell.adapters.http.records import HttpRequest
@@ -228,7 +228,7 @@
                 server.responders[0].send(200, [])
                 server.transport.held = True
                 server.send(data)
-                found = note_lines(server.transport.abortConnection)
+                found = capture_log(server.transport.abortConnection)
                 named = [record["extra"]["request"] for record in found]
                 self.assertEqual(named, requests)
 
@@ -245,7 +245,7 @@
                 server.transport.held = held
                 server.responders[0].request_id = "q1"
                 server.responders[0].send(200, [], b"the response")
-                found = note_lines(server.transport.abortConnection)
+                found = capture_log(server.transport.abortConnection)
                 self.assertEqual(len(found), lines)
                 for record in found:
                     self.assertEqual(record["message"], "http: Answer cut")
@@ -328,7 +328,7 @@
         for name, closes in (("a caller that closes", True), ("one that stays", False)):
             with self.subTest(name):
                 server = Server()
-                server.transport.stays = True
+                server.transport.keeps_sending = True
                 server.send(make_request("/1/", b"", "Connection: close"))
                 self.assertTrue(server.transport.half_closed)
                 server.send(make_request("/2/"))
@@ -353,7 +353,7 @@
         for how in ("a stop", "its time"):
             with self.subTest(how):
                 server = Server()
-                server.transport.stays = True
+                server.transport.keeps_sending = True
                 server.send(make_request())
                 if how == "a stop":
                     close_idle(server.service)
--- a/tests/adapters/registry/test_rollouts.py
+++ b/tests/adapters/registry/test_rollouts.py
@@ -6,7 +6,7 @@
 from typing import Any
 from unittest.mock import patch
 
-from tests.adapters.gateway.support import note_lines
+from tests.adapters.gateway.support import capture_log
 from tests.routing.factories import make_rollout
 from waxwingwell.adapters.registry import rollouts
 from waxwingwell.adapters.registry.hub import REPORT_SECONDS
@@ -147,7 +147,7 @@
         leader.registry.clock.advance(DURATION)
         leader.report("g1", FORMER)
         leader.report("old", FORMER, held=-1)
-        found = note_lines(leader.step)
+        found = capture_log(leader.step)
         [line] = [one for one in found if one["message"] == "registry: Roll-out step"]
         self.assertEqual(line["extra"]["untold"], ["old"])
         self.assertEqual(leader.ended, [False])
--- a/tests/platform_adapter/test_start.py
+++ b/tests/platform_adapter/test_start.py
@@ -71,7 +71,7 @@
 def start(fields):
     {in_start}
     return main.Role(
-        stop=lambda told_at: print("stopped", told_at <= main.read_clock()),
+        stop=lambda requested_at: print("stopped", requested_at <= main.read_clock()),
         reload=lambda new: None,
     )
 main.start_gateway = start
