--- a/tests/adapters/gateway/test_resuming.py
+++ b/tests/adapters/gateway/test_resuming.py
@@ -280,7 +280,7 @@
         gone = make_announcement("u1", sequence=2, state=UpstreamState.GONE)
         port = make_announcement("u1").port
         successor = make_announcement("other", port=port, incarnation=2)
-        for name, news, rollouts in (
+        for name, announcement, rollouts in (
             ("the upstream leaves", leaves, {}),
             ("the upstream is gone from the table", gone, {}),
             ("its address was taken by another", successor, {}),
