--- a/bench/faults.py
+++ b/bench/faults.py
@@ -27,7 +27,7 @@
 from scripts.topology import name_nodes
 from scripts.topology import start_system
 
-from waxwingwell.state.catalogue import name_workspace
+from waxwingwell.state.catalogue import workspace_subject
 
 from .fault_callers import Call
 from .fault_callers import run_traffic
@@ -140,7 +140,7 @@
         findings.violations.append(f"revisions are not a chain: {accepted}")
 
     for state in states:
-        revision = state.config.revisions.get(name_workspace(WORKSPACE), 0)
+        revision = state.config.revisions.get(workspace_subject(WORKSPACE), 0)
         if accepted and revision < accepted[-1]:
             findings.violations.append(f"revision {revision} after {accepted[-1]}")
 
--- a/bench/state.py
+++ b/bench/state.py
@@ -34,7 +34,7 @@
 from waxwingwell.records import LoadReport
 from waxwingwell.records import OutcomeKind
 from waxwingwell.records import Priority
-from waxwingwell.records import StoredAnswer
+from waxwingwell.records import StoredResponse
 from waxwingwell.records import UpstreamId
 from waxwingwell.records import UpstreamKind
 from waxwingwell.records import Usage
@@ -43,14 +43,14 @@
 from waxwingwell.records import WorkKind
 from waxwingwell.records import WorkspaceConfig
 from waxwingwell.records import WorkspaceId
-from waxwingwell.state.attempts import note_ended
+from waxwingwell.state.attempts import record_ended
 from waxwingwell.state.machine import ControlState
 from waxwingwell.state.machine import apply_command
 from waxwingwell.state.machine import load_state
 from waxwingwell.state.machine import make_snapshot
 from waxwingwell.state.machine import save_state
-from waxwingwell.state.membership import list_spread
-from waxwingwell.state.membership import take_announcement
+from waxwingwell.state.membership import apply_announcement
+from waxwingwell.state.membership import make_relay_message
 from waxwingwell.state.rows import Ledger
 
 
@@ -128,7 +128,7 @@
         version=VERSIONS[0],
         upstream=UpstreamId(f"upstream-{number % 12}"),
         usage=Usage(200, 300, 4_000),
-        answer=StoredAnswer(200, "application/json", b"a" * 300),
+        answer=StoredResponse(200, "application/json", b"a" * 300),
     )
 
 
@@ -292,7 +292,7 @@
     def fill() -> Ledger:
         ledger = Ledger()
         for number in range(size):
-            note_ended(ledger, f"request-{number:024}")
+            record_ended(ledger, f"request-{number:024}")
 
         return ledger
 
@@ -380,7 +380,7 @@
     for number in range(size):
         announcement = make_announcement(number, 0, loaded=True)
         received = ANNOUNCEMENT_DECODER.decode(msgspec.msgpack.encode(announcement))
-        take_announcement(tables, received, 0.0, 100.0)
+        apply_announcement(tables, received, 0.0, 100.0)
 
     return tables
 
@@ -389,7 +389,7 @@
     tables: Tables, announcement: Announcement
 ) -> Callable[[], object]:
     """Return a function that applies one announcement."""
-    return lambda: take_announcement(tables, announcement, 0.1, 101.0)
+    return lambda: apply_announcement(tables, announcement, 0.1, 101.0)
 
 
 def measure_upstreams() -> list[Cost]:
@@ -412,7 +412,7 @@
             costs.append(Cost(name, size, micros, measure_wire(announcements[0]), 0))
 
         def encode_spread(tables: Tables = tables) -> bytes:
-            return msgspec.msgpack.encode(list_spread(tables, 0.0, 101.0))
+            return msgspec.msgpack.encode(make_relay_message(tables, 0.0, 101.0))
 
         micros = time_each([encode_spread] * 20) / size
         wire = len(encode_spread()) / size
--- a/src/waxwingwell/adapters/control/duties.py
+++ b/src/waxwingwell/adapters/control/duties.py
@@ -9,13 +9,13 @@
 
 from ...decisions.rollouts import step_rollouts
 from ...messages import StepRollout
-from ...state.catalogue import name_rollout
+from ...state.catalogue import rollout_subject
 from ...state.evidence import list_evidence
 from ...state.group import leads
 from ...state.group import term_of
 from ...state.group import tick_group
 from ...state.leases import EntryLeases
-from ...state.leases import list_abandoned
+from ...state.leases import make_sweeps
 from ...state.ledger import list_open_entries
 from ..exceptions import HaltedError
 from .orders import reconcile_orders
@@ -88,7 +88,7 @@
 
     context.swept_at = now
     open_entries = list_open_entries(context.holder.state.ledger)
-    sweeps = list_abandoned(context.leases, open_entries, now, at=context.wall_clock())
+    sweeps = make_sweeps(context.leases, open_entries, now, at=context.wall_clock())
     for sweep in sweeps:
         logger.info("control: Sweeping open rows of {}.", sweep.entry)
         submit(context, sweep)
@@ -108,7 +108,7 @@
     evidence = list_evidence(context.holder.state.evidence)
     steps = step_rollouts(config.rollouts, evidence, context.wall_clock())
     for step in steps:
-        revision = config.revisions.get(name_rollout(step.model), 0)
+        revision = config.revisions.get(rollout_subject(step.model), 0)
         name = f"{step.model}-{revision}-{step.status.value}-{step.stage}"
         change = StepRollout(
             change_id=f"auto-{name}",
--- a/src/waxwingwell/adapters/control/orders.py
+++ b/src/waxwingwell/adapters/control/orders.py
@@ -20,7 +20,7 @@
 from ...messages import OrderPassed
 from ...messages import OrderVersions
 from ...state.group import term_of
-from ...state.leases import knows_all_leases
+from ...state.leases import earlier_leases_expired
 from ..exceptions import LinkError
 from .entries import ask_entries
 from .entries import list_entries
@@ -58,7 +58,7 @@
     """Return whether this process may send orders at this moment."""
     now = context.clock()
     leases = get_leases(context, now)
-    return leases is not None and knows_all_leases(leases, now)
+    return leases is not None and earlier_leases_expired(leases, now)
 
 
 async def _send_orders(
--- a/src/waxwingwell/adapters/control/views.py
+++ b/src/waxwingwell/adapters/control/views.py
@@ -8,7 +8,7 @@
 
 from ...records import WorkspaceId
 from ...state.bills import list_bills
-from ...state.catalogue import name_workspace
+from ...state.catalogue import workspace_subject
 from ...state.machine import make_snapshot
 from ..admin_views import AnswersView
 from ..admin_views import AuditView
@@ -52,7 +52,7 @@
         if answers is None or not may_see(operator, workspace):
             return write_error(request, 404, f"workspace {workspace!r} is not known")
 
-        revision = config.revisions.get(name_workspace(workspace), 0)
+        revision = config.revisions.get(workspace_subject(workspace), 0)
         view = AnswersView(revision=revision, answers=msgspec.Raw(answers))
         return write_json(request, view)
 
@@ -150,4 +150,4 @@
 
 
 def _may_see_subject(operator: OperatorKey, subject: str) -> bool:
-    return not operator.workspace or subject == name_workspace(operator.workspace)
+    return not operator.workspace or subject == workspace_subject(operator.workspace)
--- a/src/waxwingwell/adapters/entry/announcements.py
+++ b/src/waxwingwell/adapters/entry/announcements.py
@@ -10,8 +10,8 @@
 
 from ...records import Announcement
 from ...records import Finding
-from ...state.membership import get_lease
-from ...state.membership import take_announcement
+from ...state.membership import apply_announcement
+from ...state.membership import get_lease_seconds
 from .replies import JSON
 from .replies import Problem
 from .replies import write_problem
@@ -46,9 +46,9 @@
         except Problem as problem:
             return write_problem(request, problem)
 
-        taken = take_announcement(context.tables, announcement, 0.0, context.clock())
+        taken = apply_announcement(context.tables, announcement, 0.0, context.clock())
         request.setHeader("content-type", JSON)
-        reply = AnnouncementTaken(taken=taken, lease=get_lease(announcement))
+        reply = AnnouncementTaken(taken=taken, lease=get_lease_seconds(announcement))
         return msgspec.json.encode(reply)
 
     return app
--- a/src/waxwingwell/adapters/entry/chat_answers.py
+++ b/src/waxwingwell/adapters/entry/chat_answers.py
@@ -8,7 +8,7 @@
 from opentelemetry.trace import SpanKind
 
 from ...records import OutcomeKind
-from ...records import StoredAnswer
+from ...records import StoredResponse
 from ..telemetry import start_span
 from .choice import choose_work
 from .ledger import Ending
@@ -134,7 +134,7 @@
 
     stored_answer = None
     if chat.keyed and len(answer.body) <= MAX_STORED_CHAT_BYTES:
-        stored_answer = StoredAnswer(status=200, content_type=JSON, body=answer.body)
+        stored_answer = StoredResponse(status=200, content_type=JSON, body=answer.body)
 
     ending = Ending(
         outcome=OutcomeKind.COMPLETED,
@@ -163,7 +163,7 @@
     return span
 
 
-def write_stored_response(request: Request, response: StoredAnswer) -> bytes:
+def write_stored_response(request: Request, response: StoredResponse) -> bytes:
     """Write a stored response as it was sent the first time."""
     request.setResponseCode(response.status)
     request.setHeader("content-type", response.content_type)
--- a/src/waxwingwell/adapters/entry/context.py
+++ b/src/waxwingwell/adapters/entry/context.py
@@ -13,7 +13,7 @@
 from ...decisions.tables import Tables
 from ...records import VersionId
 from ...records import WorkspaceId
-from ...state.fencing import FencingMemory
+from ...state.fencing import FencingTable
 from ...state.leases import ConfigLease
 from ..settings import EntrySettings
 from ..telemetry import Metrics
@@ -44,7 +44,7 @@
     traces: Traces
     tables: Tables = field(default_factory=Tables)
     keys: CallerKeys = field(default_factory=CallerKeys)
-    fencing: FencingMemory = field(default_factory=FencingMemory)
+    fencing: FencingTable = field(default_factory=FencingTable)
     budget: RetryBudget = field(default_factory=RetryBudget)
     pins: OrderedDict[tuple[WorkspaceId, str], VersionId] = field(
         default_factory=OrderedDict
--- a/src/waxwingwell/adapters/entry/daemon.py
+++ b/src/waxwingwell/adapters/entry/daemon.py
@@ -43,7 +43,7 @@
 from .control_client import ControlClient
 from .placement import Placements
 from .sites import make_site
-from .upkeep import EVIDENCE_EVERY
+from .upkeep import EVIDENCE_INTERVAL
 from .upkeep import QUEUE_INTERVAL
 from .upkeep import SPREAD_INTERVAL
 from .upkeep import TABLES_INTERVAL
@@ -274,7 +274,7 @@
     def flush() -> Deferred[None]:
         return Deferred.fromCoroutine(flush_evidence(context, upkeep))
 
-    _start_loop(daemon, EVIDENCE_EVERY, flush)
+    _start_loop(daemon, EVIDENCE_INTERVAL, flush)
 
 
 def _start_loop(daemon: EntryDaemon, interval: float, task: Any) -> None:
--- a/src/waxwingwell/adapters/entry/ledger.py
+++ b/src/waxwingwell/adapters/entry/ledger.py
@@ -20,7 +20,7 @@
 from ...records import EntryId
 from ...records import LedgerRow
 from ...records import OutcomeKind
-from ...records import StoredAnswer
+from ...records import StoredResponse
 from ...records import UpstreamId
 from ...records import Usage
 from ...records import VersionId
@@ -58,7 +58,7 @@
     version: VersionId = VersionId("")
     upstream: UpstreamId = UpstreamId("")
     usage: Usage = Usage()
-    answer: StoredAnswer | None = None
+    answer: StoredResponse | None = None
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/waxwingwell/adapters/entry/services.py
+++ b/src/waxwingwell/adapters/entry/services.py
@@ -15,7 +15,7 @@
 from ...records import Priority
 from ...records import RowStatus
 from ...records import ServiceRule
-from ...records import StoredAnswer
+from ...records import StoredResponse
 from ...records import UpstreamId
 from ...records import VersionId
 from ...records import WorkKind
@@ -112,7 +112,7 @@
 
 async def run_service_call(
     context: EntryContext, placements: Placements, call: ServiceCall, span: Span
-) -> StoredAnswer:
+) -> StoredResponse:
     """Run the call and return the service's response, or the stored one of its key.
 
     Errors: ``Problem``, whose outcome states whether the call ran.
@@ -147,7 +147,7 @@
     return response
 
 
-def find_stored_response(outcome: ReserveOutcome) -> StoredAnswer | None:
+def find_stored_response(outcome: ReserveOutcome) -> StoredResponse | None:
     """Return the stored response of a reserved key, or None if its row is new.
 
     ``Problem`` while the key's request runs, or if its response is not stored.
@@ -161,7 +161,7 @@
     return None
 
 
-def replay_row(row: LedgerRow) -> StoredAnswer:
+def replay_row(row: LedgerRow) -> StoredResponse:
     """Return the stored response of a settled row.
 
     ``Problem`` if none is stored; its outcome states whether the request may have run.
@@ -203,7 +203,7 @@
     call: ServiceCall,
     first_upstream: UpstreamId,
     span: Span,
-) -> StoredAnswer:
+) -> StoredResponse:
     """Dispatch the call; retry a non-idempotent one only if it did not run."""
     upstream = first_upstream
     excluded: frozenset[UpstreamId] = frozenset()
@@ -252,12 +252,12 @@
 
 async def _read_response(
     context: EntryContext, response: Any, upstream: UpstreamId
-) -> StoredAnswer:
+) -> StoredResponse:
     limit = context.settings.progress_timeout * 2
     data = await read_response_body(context, response, upstream, limit=limit)
     finish_attempt(context, upstream, failed=response.code >= 500)
     types = response.headers.getRawHeaders("content-type")
-    return StoredAnswer(
+    return StoredResponse(
         status=response.code,
         content_type=str(types[0]) if types else "application/octet-stream",
         body=data,
@@ -268,7 +268,7 @@
     context: EntryContext,
     call: ServiceCall,
     outcome: OutcomeKind,
-    answer: StoredAnswer | None,
+    answer: StoredResponse | None,
 ) -> None:
     stored_answer = answer
     if answer is not None and len(answer.body) > MAX_STORED_SERVICE_BYTES:
--- a/src/waxwingwell/adapters/entry/upkeep.py
+++ b/src/waxwingwell/adapters/entry/upkeep.py
@@ -22,18 +22,18 @@
 from ...messages import SpreadAnnouncements
 from ...messages import SpreadDemand
 from ...records import EntryId
-from ...state.demand import DemandMemory
+from ...state.demand import DemandTable
+from ...state.demand import apply_demand
 from ...state.demand import make_demand
-from ...state.demand import sum_demand
-from ...state.demand import take_demand
+from ...state.demand import update_total_demand
 from ...state.fencing import raise_floor
-from ...state.leases import begin_renewal
-from ...state.leases import check_taken
+from ...state.leases import accept_snapshot
+from ...state.leases import check_not_reverted
 from ...state.leases import finish_renewal
-from ...state.leases import take_snapshot
+from ...state.leases import start_renewal
+from ...state.membership import apply_relayed_announcements
 from ...state.membership import expire_upstreams
-from ...state.membership import list_spread
-from ...state.membership import take_spread
+from ...state.membership import make_relay_message
 from ..exceptions import ControlUnavailableError
 from ..links import Link
 from ..links import cast_link
@@ -56,7 +56,7 @@
 """Seconds until the next renewal after one that was not granted."""
 RENEW_TIMEOUT = 1.0
 """Seconds for which a renewal waits for a leader's reply."""
-EVIDENCE_EVERY = 1.0
+EVIDENCE_INTERVAL = 1.0
 """Seconds between two reports of evidence."""
 EVIDENCE_TIMEOUT = 2.0
 """Seconds for which a report of evidence waits for a leader's reply."""
@@ -75,7 +75,7 @@
     """State of the periodic tasks of one entry."""
 
     entries: dict[str, Link] = field(default_factory=dict)
-    memory: DemandMemory = field(default_factory=DemandMemory)
+    memory: DemandTable = field(default_factory=DemandTable)
     announced_at: dict[str, float] = field(default_factory=dict)
     """Time at which announcements were last sent to each other entry."""
     sequence: int = 0
@@ -127,7 +127,7 @@
     Return whether the lease was granted.
     """
     for _ in range(2):
-        renewal = begin_renewal(context.lease, context.clock())
+        renewal = start_renewal(context.lease, context.clock())
         try:
             reply = await ask_leader(
                 context.control, renewal.message, limit=RENEW_TIMEOUT
@@ -155,10 +155,10 @@
     """Replace the configuration in the tables by a newer one."""
     tables = context.tables
     before = tables.config_version
-    if snapshot.since > before or not take_snapshot(context.lease, snapshot):
+    if snapshot.since > before or not accept_snapshot(context.lease, snapshot):
         return False
 
-    check_taken(before, snapshot.config_version, context.lease.entry)
+    check_not_reverted(before, snapshot.config_version, context.lease.entry)
     tables.config_version = snapshot.config_version
     if not snapshot.since:
         tables.workspaces, tables.versions, tables.rollouts = {}, {}, {}
@@ -208,7 +208,7 @@
     )
     for name, link in upkeep.entries.items():
         since = upkeep.announced_at.get(name, NEVER_ANNOUNCED)
-        update = list_spread(context.tables, since, now)
+        update = make_relay_message(context.tables, since, now)
         if not update.announcements or cast_link(link, update):
             upkeep.announced_at[name] = now
 
@@ -224,9 +224,9 @@
     """Apply a message from another entry."""
     now = context.clock()
     if isinstance(body, SpreadAnnouncements):
-        take_spread(context.tables, body, 0.0, now)
+        apply_relayed_announcements(context.tables, body, 0.0, now)
     elif isinstance(body, SpreadDemand):
-        take_demand(upkeep.memory, context.tables, body, now)
+        apply_demand(upkeep.memory, context.tables, body, now)
 
 
 def run_queue_tick(context: EntryContext, placements: Placements) -> None:
@@ -241,4 +241,4 @@
     expire_upstreams(context.tables, now)
     index_upstreams(context.tables, now)
     smooth_demand(context.tables, now)
-    sum_demand(upkeep.memory, context.tables, now)
+    update_total_demand(upkeep.memory, context.tables, now)
--- a/src/waxwingwell/commands/recover.py
+++ b/src/waxwingwell/commands/recover.py
@@ -11,7 +11,7 @@
 from ..state.consensus.records import name_of
 from ..state.exceptions import StateError
 from ..state.recovery import describe_store
-from ..state.recovery import keep_alone
+from ..state.recovery import make_only_voter
 from ..state.storage import open_store
 from .exits import ExitCode
 from .exits import exit_with
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from ..state.recovery import Held
+    from ..state.recovery import StoreSummary
     from ..state.storage_records import Store
 
 
@@ -46,10 +46,12 @@
             "would commit and bill; read docs/operations/lost-disk.md, then use --sure",
         )
 
-    print_store(use_store(folder, group, keep_alone))
+    print_store(use_store(folder, group, make_only_voter))
 
 
-def use_store(folder: str, group: str, operation: Callable[[Store], Held]) -> Held:
+def use_store(
+    folder: str, group: str, operation: Callable[[Store], StoreSummary]
+) -> StoreSummary:
     """Run an operation on a store; exit with the error if one occurs."""
     path = Path(folder)
     if not (path / f"{group}.sqlite").exists():
@@ -68,7 +70,7 @@
         store.close()
 
 
-def print_store(summary: Held) -> None:
+def print_store(summary: StoreSummary) -> None:
     """Print a store's last log position and its voters."""
     voters = tuple(name_of(voter) for voter in summary.voters)
     print_table(
--- a/src/waxwingwell/commands/rollout.py
+++ b/src/waxwingwell/commands/rollout.py
@@ -16,8 +16,8 @@
 from ..records import RolloutStatus
 from ..records import VersionId
 from ..records import VersionSpec
-from ..state.catalogue import name_rollout
-from ..state.catalogue import name_version
+from ..state.catalogue import rollout_subject
+from ..state.catalogue import version_subject
 from .changes import OPERATOR
 from .changes import make_change_id
 from .changes import submit_change
@@ -78,7 +78,9 @@
     change = StartRollout(
         change_id=make_change_id(str(change_id)),
         operator=OPERATOR,
-        expected_revision=choose_revision(client, name_rollout(str(model)), revision),
+        expected_revision=choose_revision(
+            client, rollout_subject(str(model)), revision
+        ),
         at=time.time(),
         model=str(model),
         candidate=VersionId(str(candidate)),
@@ -107,7 +109,9 @@
     change = StepRollout(
         change_id=make_change_id(),
         operator=OPERATOR,
-        expected_revision=choose_revision(client, name_rollout(str(model)), revision),
+        expected_revision=choose_revision(
+            client, rollout_subject(str(model)), revision
+        ),
         at=time.time(),
         model=str(model),
         stage=find_rollout(view, str(model)).stage,
@@ -129,7 +133,9 @@
     change = WithdrawVersion(
         change_id=make_change_id(str(change_id)),
         operator=OPERATOR,
-        expected_revision=choose_revision(client, name_version(str(version)), revision),
+        expected_revision=choose_revision(
+            client, version_subject(str(version)), revision
+        ),
         at=time.time(),
         version=VersionId(str(version)),
         graceful=graceful,
@@ -171,7 +177,7 @@
     change = RegisterVersion(
         change_id=make_change_id(str(change_id)),
         operator=OPERATOR,
-        expected_revision=choose_revision(client, name_version(name), revision),
+        expected_revision=choose_revision(client, version_subject(name), revision),
         at=time.time(),
         spec=spec,
     )
--- a/src/waxwingwell/messages.py
+++ b/src/waxwingwell/messages.py
@@ -18,7 +18,7 @@
 from .records import OutcomeKind
 from .records import Rollout
 from .records import RolloutPace
-from .records import StoredAnswer
+from .records import StoredResponse
 from .records import UpstreamId
 from .records import Usage
 from .records import VersionId
@@ -112,7 +112,7 @@
     version: VersionId = VersionId("")
     upstream: UpstreamId = UpstreamId("")
     usage: Usage = Usage()
-    answer: StoredAnswer | None = None
+    answer: StoredResponse | None = None
     row: LedgerRow | None = None
 
 
--- a/src/waxwingwell/records.py
+++ b/src/waxwingwell/records.py
@@ -282,7 +282,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StoredAnswer:
+class StoredResponse:
     """Stored response of a settled non-idempotent request, for replay."""
 
     status: int
@@ -310,7 +310,7 @@
     status: RowStatus = RowStatus.OPEN
     outcome: OutcomeKind = OutcomeKind.FAILED
     usage: Usage = Usage()
-    answer: StoredAnswer | None = None
+    answer: StoredResponse | None = None
     settled_at: float = 0.0
 
 
--- a/src/waxwingwell/state/attempts.py
+++ b/src/waxwingwell/state/attempts.py
@@ -24,7 +24,7 @@
 """Ids per generation; a new generation starts early once it is reached."""
 
 
-def note_ended(ledger: Ledger, request: str) -> None:
+def record_ended(ledger: Ledger, request: str) -> None:
     """Record the request id of an attempt that ended."""
     if len(ledger.ended) >= MAX_ENDED_PER_GENERATION:
         _start_generation(ledger)
--- a/src/waxwingwell/state/catalogue.py
+++ b/src/waxwingwell/state/catalogue.py
@@ -69,17 +69,17 @@
     """Cached current snapshot; not part of the replicated state."""
 
 
-def name_workspace(workspace: str) -> str:
+def workspace_subject(workspace: str) -> str:
     """Return the subject key of a workspace's configuration."""
     return f"workspace:{workspace}"
 
 
-def name_version(version: str) -> str:
+def version_subject(version: str) -> str:
     """Return the subject key of a version in the catalogue."""
     return f"version:{version}"
 
 
-def name_rollout(model: str) -> str:
+def rollout_subject(model: str) -> str:
     """Return the subject key of a model's roll-outs."""
     return f"rollout:{model}"
 
@@ -119,7 +119,7 @@
         return
 
     table.versions[version] = replace(spec, status=status)
-    bump_revision(table, name_version(version), change)
+    bump_revision(table, version_subject(version), change)
 
 
 def make_snapshot(table: ConfigTable) -> ConfigSnapshot:
@@ -160,16 +160,16 @@
         workspaces=tuple(
             item
             for name, item in table.workspaces.items()
-            if name_workspace(name) in subjects
+            if workspace_subject(name) in subjects
         ),
         versions=tuple(
             item
             for name, item in table.versions.items()
-            if name_version(name) in subjects
+            if version_subject(name) in subjects
         ),
         rollouts=tuple(
             item
             for name, item in table.rollouts.items()
-            if name_rollout(name) in subjects
+            if rollout_subject(name) in subjects
         ),
     )
--- a/src/waxwingwell/state/configuration.py
+++ b/src/waxwingwell/state/configuration.py
@@ -29,9 +29,9 @@
 from . import workspaces
 from .catalogue import PastChange
 from .catalogue import bump_revision
-from .catalogue import name_rollout
-from .catalogue import name_version
-from .catalogue import name_workspace
+from .catalogue import rollout_subject
+from .catalogue import version_subject
+from .catalogue import workspace_subject
 
 
 if TYPE_CHECKING:
@@ -129,13 +129,13 @@
     """Return the subject that a change modifies."""
     match change:
         case ApplyAnswers():
-            return name_workspace(change.config.workspace)
+            return workspace_subject(change.config.workspace)
         case RegisterVersion():
-            return name_version(change.spec.version)
+            return version_subject(change.spec.version)
         case WithdrawVersion():
-            return name_version(change.version)
+            return version_subject(change.version)
         case StartRollout() | StepRollout():
-            return name_rollout(change.model)
+            return rollout_subject(change.model)
 
 
 def collect_findings(table: ConfigTable, change: ConfigChange) -> list[Finding]:
--- a/src/waxwingwell/state/demand.py
+++ b/src/waxwingwell/state/demand.py
@@ -34,14 +34,14 @@
 
 
 @dataclass(slots=True)
-class DemandMemory:
+class DemandTable:
     """The latest message of each other entry, least recently received first."""
 
     rows: dict[EntryId, EntryDemand] = field(default_factory=dict)
 
 
-def take_demand(
-    memory: DemandMemory, tables: Tables, message: SpreadDemand, now: float
+def apply_demand(
+    memory: DemandTable, tables: Tables, message: SpreadDemand, now: float
 ) -> bool:
     """Store another entry's demand; return false if a newer message is stored."""
     row = memory.rows.get(message.entry)
@@ -53,7 +53,7 @@
     while len(memory.rows) > MAX_SENDERS:
         del memory.rows[next(iter(memory.rows))]
 
-    sum_demand(memory, tables, now)
+    update_total_demand(memory, tables, now)
     return True
 
 
@@ -62,7 +62,7 @@
     return message.incarnation, message.sequence
 
 
-def sum_demand(memory: DemandMemory, tables: Tables, now: float) -> None:
+def update_total_demand(memory: DemandTable, tables: Tables, now: float) -> None:
     """Write the other entries' total demand into the tables; called on each tick.
 
     The demand of an entry that crashed or is partitioned off is ignored after
--- a/src/waxwingwell/state/fencing.py
+++ b/src/waxwingwell/state/fencing.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(slots=True)
-class FencingMemory:
+class FencingTable:
     """Highest fencing number seen for each upstream."""
 
     highest: dict[UpstreamId, int] = field(default_factory=dict)
@@ -23,7 +23,7 @@
     are no longer tracked, or the term of the leader that granted this entry's lease."""
 
 
-def accept_order(memory: FencingMemory, upstream: UpstreamId, fencing: int) -> bool:
+def accept_order(memory: FencingTable, upstream: UpstreamId, fencing: int) -> bool:
     """Return whether an order may be sent to an upstream, and record its number.
 
     A partitioned or frozen leader that resumes could order an engine that ignores
@@ -40,7 +40,7 @@
     return accepted
 
 
-def raise_floor(memory: FencingMemory, term: int) -> None:
+def raise_floor(memory: FencingTable, term: int) -> None:
     """Refuse orders below a leader's term from now on.
 
     An entry that has not yet seen an order of the new leader would otherwise still
--- a/src/waxwingwell/state/leases.py
+++ b/src/waxwingwell/state/leases.py
@@ -43,7 +43,7 @@
 EXPIRED_LEASE_RETENTION = 3600.0
 """Seconds for which the leader keeps the record of an expired lease."""
 
-EVIDENCE_EVERY = 5.0
+EVIDENCE_INTERVAL = 5.0
 """Seconds between two grants to an entry that include the evidence.
 
 The evidence grows with the number of workspaces, kinds of work and versions, and an
@@ -95,7 +95,7 @@
     return leases.duration * (1 + 2 * MAX_CLOCK_DRIFT)
 
 
-def knows_all_leases(leases: EntryLeases, now: float) -> bool:
+def earlier_leases_expired(leases: EntryLeases, now: float) -> bool:
     """Return whether all leases granted by earlier leaders have expired.
 
     A new leader doesn't know which entries hold leases of an earlier leader. Without
@@ -119,8 +119,8 @@
     ``snapshot`` is the newest committed configuration. The caller must have confirmed
     its leadership for ``now`` after reading the snapshot; otherwise a partitioned
     leader would grant leases for an outdated configuration. ``list_evidence`` is called
-    every ``EVIDENCE_EVERY`` seconds; the evidence of other grants is empty, which means
-    unchanged.
+    every ``EVIDENCE_INTERVAL`` seconds; the evidence of other grants is empty, which
+    means unchanged.
     """
     lease_key = (message.entry, message.incarnation)
     newest = leases.newest.get(message.entry, message.incarnation)
@@ -143,7 +143,7 @@
 
     row.expires_at = max(row.expires_at, expires_at)
     _drop_expired_leases(leases, now)
-    evidence_due = now - row.evidence_at >= EVIDENCE_EVERY
+    evidence_due = now - row.evidence_at >= EVIDENCE_INTERVAL
     if evidence_due:
         row.evidence_at = now
 
@@ -173,7 +173,7 @@
 
     ``config_version`` must be committed, and the caller must be the confirmed leader.
     """
-    if not knows_all_leases(leases, now):
+    if not earlier_leases_expired(leases, now):
         return InForce(in_force=False)
 
     waiting = {
@@ -193,7 +193,7 @@
     )
 
 
-def list_abandoned(
+def make_sweeps(
     leases: EntryLeases,
     open_entries: Mapping[EntryId, OpenIncarnations],
     now: float,
@@ -206,7 +206,7 @@
     that crashed before this leader was elected, which have no record in ``leases``.
     ``at`` is the wall clock time.
     """
-    if not knows_all_leases(leases, now):
+    if not earlier_leases_expired(leases, now):
         return ()
 
     live: dict[EntryId, int] = {}
@@ -247,7 +247,7 @@
     last_number: int = 0
 
 
-def begin_renewal(lease: ConfigLease, now: float) -> Renewal:
+def start_renewal(lease: ConfigLease, now: float) -> Renewal:
     """Return a renewal to send immediately; its lease will start at ``now``."""
     lease.last_number += 1
     lease.sent[lease.last_number] = now
@@ -280,7 +280,7 @@
     return may_admit(lease, now)
 
 
-def take_snapshot(lease: ConfigLease, snapshot: ConfigSnapshot) -> bool:
+def accept_snapshot(lease: ConfigLease, snapshot: ConfigSnapshot) -> bool:
     """Record a newer configuration; return false if the entry must not apply it.
 
     A delayed response, or one of a leader that is behind, would otherwise revert the
@@ -294,7 +294,7 @@
     return True
 
 
-def check_taken(before: int, after: int, entry: EntryId) -> bool:
+def check_not_reverted(before: int, after: int, entry: EntryId) -> bool:
     """Check that the configuration in an entry's tables was not reverted."""
     return check(
         Invariant.CONFIG_NEVER_REVERTS,
--- a/src/waxwingwell/state/ledger.py
+++ b/src/waxwingwell/state/ledger.py
@@ -30,7 +30,7 @@
 from ..records import VersionId
 from ..records import WorkspaceId
 from .attempts import has_ended
-from .attempts import note_ended
+from .attempts import record_ended
 from .retention import advance_clock
 from .retention import bill_row
 from .retention import close_row
@@ -79,7 +79,7 @@
     if not may_reopen(ledger, existing, row):
         return AlreadySettled(row=existing)
 
-    note_ended(ledger, existing.request)
+    record_ended(ledger, existing.request)
     return _open_row(ledger, row)
 
 
@@ -191,12 +191,12 @@
 
     row = ledger.rows.get(row_key)
     if row is None:
-        note_ended(ledger, command.request)
+        record_ended(ledger, command.request)
         text = "no row under this key; it was never reserved or is past its retention"
         return Rejected(findings=(Finding("key", text),))
 
     if row.request != command.request:
-        note_ended(ledger, command.request)
+        record_ended(ledger, command.request)
         return Settled(row=row, changed=False)
 
     if row.status is not RowStatus.OPEN and ledger.swept.get(row_key) != row.request:
--- a/src/waxwingwell/state/membership.py
+++ b/src/waxwingwell/state/membership.py
@@ -34,7 +34,7 @@
 """Maximum tombstones; those whose lease expired first are dropped beyond it."""
 
 
-def get_lease(announcement: Announcement) -> float:
+def get_lease_seconds(announcement: Announcement) -> float:
     """Return the lease in seconds that an announcement is granted."""
     return max(0.0, min(announcement.lease, MAX_LEASE))
 
@@ -44,7 +44,7 @@
     return announcement.incarnation, announcement.leaving, announcement.sequence
 
 
-def take_announcement(
+def apply_announcement(
     tables: Tables, announcement: Announcement, age: float, now: float
 ) -> bool:
     """Apply an announcement made ``age`` seconds ago; return whether it was applied.
@@ -56,7 +56,7 @@
     adds an upstream.
     """
     announced_at = now - max(0.0, age)
-    expires_at = announced_at + get_lease(announcement)
+    expires_at = announced_at + get_lease_seconds(announcement)
     row = tables.upstreams.get(announcement.upstream)
     if row is not None and not _is_newer(announcement, row.announcement):
         return False
@@ -152,7 +152,7 @@
             del tables.upstreams[upstream]
 
 
-def list_spread(tables: Tables, since: float, now: float) -> SpreadAnnouncements:
+def make_relay_message(tables: Tables, since: float, now: float) -> SpreadAnnouncements:
     """Return the announcements applied after ``since``, to relay to other entries.
 
     Upstreams that left are included; those whose lease expired are not, because every
@@ -172,15 +172,15 @@
 
 def _get_announced_at(row: UpstreamRow) -> float:
     """Return when the upstream made its announcement, by this entry's clock."""
-    return row.expires_at - get_lease(row.announcement)
+    return row.expires_at - get_lease_seconds(row.announcement)
 
 
-def take_spread(
+def apply_relayed_announcements(
     tables: Tables, message: SpreadAnnouncements, delay: float, now: float
 ) -> int:
     """Apply announcements relayed in ``delay`` seconds; return how many were new."""
     pairs = zip(message.announcements, message.ages, strict=True)
     return sum(
-        take_announcement(tables, announcement, age + delay, now)
+        apply_announcement(tables, announcement, age + delay, now)
         for announcement, age in pairs
     )
--- a/src/waxwingwell/state/recovery.py
+++ b/src/waxwingwell/state/recovery.py
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
+class StoreSummary:
     """Contents of a member's disk; the greatest by term and index is to be kept."""
 
     member: str
@@ -44,7 +44,7 @@
     voters: tuple[str, ...]
 
 
-def describe_store(store: Store) -> Held:
+def describe_store(store: Store) -> StoreSummary:
     """Describe a store's contents; raise ``InvalidMemberError`` if it has no group."""
     loaded = store.load()
     membership = read_membership(loaded)
@@ -52,10 +52,12 @@
         raise InvalidMemberError("the data folder holds no group")
 
     log = read_log(loaded)
-    return Held(loaded.member, last_term(log), last_index(log), membership.voters)
+    return StoreSummary(
+        loaded.member, last_term(log), last_index(log), membership.voters
+    )
 
 
-def keep_alone(store: Store) -> Held:
+def make_only_voter(store: Store) -> StoreSummary:
     """Make the store's member the only voter; it becomes leader when it is started.
 
     All entries on its disk are then treated as accepted. The data folders of the other
--- a/src/waxwingwell/state/retention.py
+++ b/src/waxwingwell/state/retention.py
@@ -14,7 +14,7 @@
 from ..invariants import Invariant
 from ..invariants import check
 from ..records import RowStatus
-from .attempts import note_ended
+from .attempts import record_ended
 from .attempts import rotate_ended
 from .bills import add_row
 from .rows import Retained
@@ -141,5 +141,5 @@
         if row.answer is not None:
             ledger.response_bytes -= len(row.answer.body)
 
-        note_ended(ledger, row.request)
+        record_ended(ledger, row.request)
         del ledger.rows[row_key]
--- a/src/waxwingwell/state/versions.py
+++ b/src/waxwingwell/state/versions.py
@@ -10,7 +10,7 @@
 from ..records import VersionStatus
 from .catalogue import WITHDRAWN_STATUSES
 from .catalogue import bump_revision
-from .catalogue import name_rollout
+from .catalogue import rollout_subject
 
 
 if TYPE_CHECKING:
@@ -105,7 +105,7 @@
         stage_at=change.at,
         reason=f"{change.version} was withdrawn by {change.operator}",
     )
-    bump_revision(table, name_rollout(rollout.model), change)
+    bump_revision(table, rollout_subject(rollout.model), change)
 
 
 def find_ongoing_rollout(table: ConfigTable, candidate: VersionId) -> Rollout | None:
--- a/tests/state/commands.py
+++ b/tests/state/commands.py
@@ -18,7 +18,7 @@
 from waxwingwell.records import LedgerRow
 from waxwingwell.records import OutcomeKind
 from waxwingwell.records import Priority
-from waxwingwell.records import StoredAnswer
+from waxwingwell.records import StoredResponse
 from waxwingwell.records import Usage
 from waxwingwell.records import VersionId
 from waxwingwell.records import VersionSpec
@@ -169,7 +169,7 @@
         outcome=outcome,
         at=at,
         usage=Usage(3, 4, cost) if ran else Usage(),
-        answer=StoredAnswer(200, "text/plain", body) if ran else None,
+        answer=StoredResponse(200, "text/plain", body) if ran else None,
     )
 
 
--- a/tests/state/runs/test_leases.py
+++ b/tests/state/runs/test_leases.py
@@ -19,12 +19,12 @@
 from waxwingwell.state.leases import MAX_CLOCK_DRIFT
 from waxwingwell.state.leases import ConfigLease
 from waxwingwell.state.leases import EntryLeases
-from waxwingwell.state.leases import begin_renewal
+from waxwingwell.state.leases import accept_snapshot
 from waxwingwell.state.leases import finish_renewal
 from waxwingwell.state.leases import is_in_force
 from waxwingwell.state.leases import may_admit
 from waxwingwell.state.leases import renew_lease
-from waxwingwell.state.leases import take_snapshot
+from waxwingwell.state.leases import start_renewal
 
 from .support import Run
 from .support import RunTestCase
@@ -113,7 +113,7 @@
     def send_renewal(self, data: st.DataObject) -> None:
         simulation = self.simulation
         process = data.draw(st.sampled_from(simulation.processes))
-        renewal = begin_renewal(process.lease, process.read_clock(simulation.time))
+        renewal = start_renewal(process.lease, process.read_clock(simulation.time))
         simulation.requests.append(Request(process, renewal.number, renewal.message))
 
     @precondition(lambda self: self.simulation.requests)
@@ -139,7 +139,7 @@
 
         lease = item.process.lease
         if isinstance(item.response, LeaseBehind):
-            take_snapshot(lease, item.response.snapshot)
+            accept_snapshot(lease, item.response.snapshot)
             return
 
         now = item.process.read_clock(simulation.time)
@@ -157,13 +157,13 @@
         ]
         now = process.read_clock(simulation.time)
         for _ in range(2):
-            renewal = begin_renewal(process.lease, now)
+            renewal = start_renewal(process.lease, now)
             response = self.ask_leader(renewal.message)
             if isinstance(response, LeaseGranted):
                 finish_renewal(process.lease, renewal.number, response, now)
                 return
 
-            take_snapshot(process.lease, response.snapshot)
+            accept_snapshot(process.lease, response.snapshot)
 
     def ask_leader(self, message: RenewLease) -> LeaseGranted | LeaseBehind:
         """Return the confirmed leader's response for the committed configuration."""
@@ -182,7 +182,7 @@
         process = [item for item in simulation.processes if item.lease.entry == name][
             -1
         ]
-        renewal = begin_renewal(process.lease, process.read_clock(simulation.time))
+        renewal = start_renewal(process.lease, process.read_clock(simulation.time))
         response = self.ask_leader(renewal.message)
         simulation.time += delay
         if isinstance(response, LeaseGranted):
--- a/tests/state/runs/test_membership.py
+++ b/tests/state/runs/test_membership.py
@@ -16,11 +16,11 @@
 from waxwingwell.messages import SpreadAnnouncements
 from waxwingwell.records import Announcement
 from waxwingwell.records import UpstreamId
+from waxwingwell.state.membership import apply_announcement
+from waxwingwell.state.membership import apply_relayed_announcements
 from waxwingwell.state.membership import expire_upstreams
-from waxwingwell.state.membership import list_spread
+from waxwingwell.state.membership import make_relay_message
 from waxwingwell.state.membership import mark_left
-from waxwingwell.state.membership import take_announcement
-from waxwingwell.state.membership import take_spread
 
 from ..test_membership import announce
 from .support import Run
@@ -113,7 +113,7 @@
         simulation.received[
             (announced.upstream, announced.incarnation, announced.sequence)
         ] = simulation.time
-        take_announcement(simulation.entries[number], announced, 0.0, simulation.time)
+        apply_announcement(simulation.entries[number], announced, 0.0, simulation.time)
         self.record_left(number, announced)
 
     def record_left(self, number: int, announced: Announcement) -> None:
@@ -126,9 +126,9 @@
     @rule(source=ENTRY_NUMBERS, destination=ENTRY_NUMBERS)
     def send_relay(self, source: int, destination: int) -> None:
         simulation = self.simulation
-        spread = list_spread(simulation.entries[source], 0.0, simulation.time)
-        if source != destination and spread.announcements:
-            simulation.relays.append(Relay(destination, simulation.time, spread))
+        message = make_relay_message(simulation.entries[source], 0.0, simulation.time)
+        if source != destination and message.announcements:
+            simulation.relays.append(Relay(destination, simulation.time, message))
 
     @precondition(lambda self: self.simulation.relays)
     @rule(data=st.data(), duplicate=st.booleans())
@@ -140,7 +140,7 @@
             del simulation.relays[index]
 
         delay = simulation.time - relay.sent_at
-        take_spread(
+        apply_relayed_announcements(
             simulation.entries[relay.destination], relay.message, delay, simulation.time
         )
         for announced in relay.message.announcements:
--- a/tests/state/test_fencing.py
+++ b/tests/state/test_fencing.py
@@ -7,7 +7,7 @@
 
 from waxwingwell.records import UpstreamId
 from waxwingwell.state import fencing
-from waxwingwell.state.fencing import FencingMemory
+from waxwingwell.state.fencing import FencingTable
 from waxwingwell.state.fencing import accept_order
 
 
@@ -21,14 +21,14 @@
         The leader of term 3 freezes, the leader of term 4 sends orders, then the old
         one resumes and sends its own. The engine ignores fencing numbers.
         """
-        memory = FencingMemory()
+        memory = FencingTable()
         fencing_numbers = (3, 4, 3, 4, 5, 4)
         accepted = [accept_order(memory, ENGINE, number) for number in fencing_numbers]
         self.assertEqual(accepted, [True, True, False, True, True, False])
         self.assertTrue(accept_order(memory, UpstreamId("other"), 1))
 
     def test_forgotten_upstream_keeps_the_highest_number(self) -> None:
-        memory = FencingMemory()
+        memory = FencingTable()
         with mock.patch.object(fencing, "MAX_UPSTREAMS", 2):
             accept_order(memory, ENGINE, 9)
             for name in ("a", "b", "c"):
--- a/tests/state/test_leases.py
+++ b/tests/state/test_leases.py
@@ -13,15 +13,15 @@
 from waxwingwell.state.leases import ConfigLease
 from waxwingwell.state.leases import EntryLeases
 from waxwingwell.state.leases import ExpiredEntry
-from waxwingwell.state.leases import begin_renewal
+from waxwingwell.state.leases import accept_snapshot
 from waxwingwell.state.leases import finish_renewal
 from waxwingwell.state.leases import get_max_lease_time
 from waxwingwell.state.leases import is_in_force
-from waxwingwell.state.leases import list_abandoned
 from waxwingwell.state.leases import list_expired_entries
+from waxwingwell.state.leases import make_sweeps
 from waxwingwell.state.leases import may_admit
 from waxwingwell.state.leases import renew_lease
-from waxwingwell.state.leases import take_snapshot
+from waxwingwell.state.leases import start_renewal
 from waxwingwell.state.ledger import OpenIncarnations
 
 from .commands import BOLE
@@ -42,14 +42,14 @@
     leases: EntryLeases, lease: ConfigLease, version: int, now: float
 ) -> LeaseGranted | LeaseBehind:
     """Renew without delay at a leader with configuration ``version``."""
-    renewal = begin_renewal(lease, now)
+    renewal = start_renewal(lease, now)
     response = renew_lease(
         leases, renewal.message, snapshot=make_snapshot(version), now=now
     )
     if isinstance(response, LeaseGranted):
         finish_renewal(lease, renewal.number, response, now)
     else:
-        take_snapshot(lease, response.snapshot)
+        accept_snapshot(lease, response.snapshot)
 
     return response
 
@@ -73,7 +73,7 @@
         replaced configuration for 3 s after the leader reported the new one in force.
         """
         lease = ConfigLease(BOLE, 1, config_version=3)
-        renewal = begin_renewal(lease, 0.0)
+        renewal = start_renewal(lease, 0.0)
         granted = LeaseGranted(duration=4.0, config_version=3)
         finish_renewal(lease, renewal.number, granted, 3.0)
         self.assertTrue(may_admit(lease, 3.9))
@@ -81,8 +81,8 @@
 
     def test_responses_in_any_order(self) -> None:
         lease = ConfigLease(BOLE, 1, config_version=3)
-        first = begin_renewal(lease, 0.0)
-        second = begin_renewal(lease, 1.0)
+        first = start_renewal(lease, 0.0)
+        second = start_renewal(lease, 1.0)
         granted = LeaseGranted(duration=4.0, config_version=3)
         self.assertTrue(finish_renewal(lease, second.number, granted, 1.1))
         self.assertTrue(finish_renewal(lease, first.number, granted, 1.2))
@@ -91,7 +91,7 @@
 
     def test_grant_for_a_newer_revision_is_no_lease(self) -> None:
         lease = ConfigLease(BOLE, 1, config_version=3)
-        renewal = begin_renewal(lease, 0.0)
+        renewal = start_renewal(lease, 0.0)
         granted = LeaseGranted(duration=4.0, config_version=4)
         self.assertFalse(finish_renewal(lease, renewal.number, granted, 0.1))
         self.assertFalse(may_admit(lease, 0.1))
@@ -100,10 +100,10 @@
         lease = ConfigLease(BOLE, 1, config_version=5)
         for version in (4, 5):
             with self.subTest(version):
-                self.assertFalse(take_snapshot(lease, make_snapshot(version)))
+                self.assertFalse(accept_snapshot(lease, make_snapshot(version)))
                 self.assertEqual(lease.config_version, 5)
 
-        self.assertTrue(take_snapshot(lease, make_snapshot(6)))
+        self.assertTrue(accept_snapshot(lease, make_snapshot(6)))
 
 
 class LeaderSideTest(StateTestCase):
@@ -141,7 +141,7 @@
             with self.subTest(entry=entry_rate, leader=leader_rate):
                 leases = EntryLeases(elected_at=0.0)
                 lease = ConfigLease(BOLE, 1, config_version=1)
-                renewal = begin_renewal(lease, 100.0 * entry_rate)
+                renewal = start_renewal(lease, 100.0 * entry_rate)
                 granted = renew_lease(
                     leases,
                     renewal.message,
@@ -194,18 +194,18 @@
         open_entries = {BOLE: OpenIncarnations(3, 3), CMC: OpenIncarnations(4, 5)}
         swept = {
             sweep.entry: sweep.below_incarnation
-            for sweep in list_abandoned(leases, open_entries, 15.0, at=1.0)
+            for sweep in make_sweeps(leases, open_entries, 15.0, at=1.0)
         }
         self.assertEqual(swept, {BOLE: 4, CMC: 5})
         live = {CMC: OpenIncarnations(5, 5)}
-        self.assertEqual(list_abandoned(leases, live, 15.0, at=1.0), ())
+        self.assertEqual(make_sweeps(leases, live, 15.0, at=1.0), ())
 
     def test_new_leader_sweeps_nothing_at_first(self) -> None:
         leases = EntryLeases(elected_at=100.0)
         open_entries = {BOLE: OpenIncarnations(3, 3)}
-        self.assertEqual(list_abandoned(leases, open_entries, 103.0, at=1.0), ())
+        self.assertEqual(make_sweeps(leases, open_entries, 103.0, at=1.0), ())
         later = 100.0 + get_max_lease_time(leases)
-        (sweep,) = list_abandoned(leases, open_entries, later, at=1.0)
+        (sweep,) = make_sweeps(leases, open_entries, later, at=1.0)
         self.assertEqual(sweep.below_incarnation, 4)
 
     def test_evidence_is_sent_at_intervals(self) -> None:
--- a/tests/state/test_membership.py
+++ b/tests/state/test_membership.py
@@ -12,11 +12,11 @@
 from waxwingwell.records import UpstreamId
 from waxwingwell.records import UpstreamKind
 from waxwingwell.state import membership
+from waxwingwell.state.membership import apply_announcement
+from waxwingwell.state.membership import apply_relayed_announcements
 from waxwingwell.state.membership import expire_upstreams
-from waxwingwell.state.membership import list_spread
+from waxwingwell.state.membership import make_relay_message
 from waxwingwell.state.membership import mark_left
-from waxwingwell.state.membership import take_announcement
-from waxwingwell.state.membership import take_spread
 
 from .commands import StateTestCase
 
@@ -67,7 +67,7 @@
                 with self.subTest([(a.incarnation, a.sequence) for a in order]):
                     tables = Tables()
                     for announcement in order + order:
-                        take_announcement(tables, announcement, 0.1, 10.0)
+                        apply_announcement(tables, announcement, 0.1, 10.0)
 
                     row = tables.upstreams[ENGINE]
                     self.assertEqual(not row.left, alive)
@@ -75,8 +75,8 @@
 
     def test_same_incarnation_never_returns_after_leaving(self) -> None:
         tables = Tables()
-        take_announcement(tables, announce(1, 5, leaving=True), 0.0, 10.0)
-        self.assertFalse(take_announcement(tables, announce(1, 9), 0.0, 11.0))
+        apply_announcement(tables, announce(1, 5, leaving=True), 0.0, 10.0)
+        self.assertFalse(apply_announcement(tables, announce(1, 9), 0.0, 11.0))
         self.assertTrue(tables.upstreams[ENGINE].left)
 
     def test_relay_never_extends_a_lease(self) -> None:
@@ -87,13 +87,13 @@
         of the relay, the engine would get work for all of that time.
         """
         first, second = Tables(), Tables()
-        take_announcement(first, announce(lease=6.0), 0.0, 100.0)
+        apply_announcement(first, announce(lease=6.0), 0.0, 100.0)
         for tick in range(60):
             now = 100.0 + tick
             for sender, receiver in ((first, second), (second, first)):
                 expire_upstreams(sender, now)
-                spread = list_spread(sender, now - 1000.0, now)
-                take_spread(receiver, spread, 0.0, now)
+                message = make_relay_message(sender, now - 1000.0, now)
+                apply_relayed_announcements(receiver, message, 0.0, now)
 
             for tables in (first, second):
                 row = tables.upstreams.get(ENGINE)
@@ -103,60 +103,60 @@
 
     def test_announcement_that_expired_in_transit(self) -> None:
         tables = Tables()
-        self.assertFalse(take_announcement(tables, announce(), 6.0, 100.0))
+        self.assertFalse(apply_announcement(tables, announce(), 6.0, 100.0))
         self.assertFalse(tables.upstreams)
 
     def test_expired_upstream_returns_with_a_newer_announcement(self) -> None:
         tables = Tables()
-        take_announcement(tables, announce(1, 1), 0.0, 0.0)
+        apply_announcement(tables, announce(1, 1), 0.0, 0.0)
         self.assertEqual(expire_upstreams(tables, 5.9), ())
         self.assertEqual(expire_upstreams(tables, 6.0), (ENGINE,))
         self.assertTrue(tables.upstreams[ENGINE].left)
-        self.assertFalse(take_announcement(tables, announce(1, 1), 0.0, 7.0))
-        self.assertTrue(take_announcement(tables, announce(1, 2), 0.0, 7.0))
+        self.assertFalse(apply_announcement(tables, announce(1, 1), 0.0, 7.0))
+        self.assertTrue(apply_announcement(tables, announce(1, 2), 0.0, 7.0))
         self.assertFalse(tables.upstreams[ENGINE].left)
 
     def test_lease_is_capped(self) -> None:
         tables = Tables()
-        take_announcement(tables, announce(lease=1e9), 0.0, 0.0)
+        apply_announcement(tables, announce(lease=1e9), 0.0, 0.0)
         self.assertEqual(expire_upstreams(tables, membership.MAX_LEASE), (ENGINE,))
 
     def test_mark_left_is_spread(self) -> None:
         sender, receiver = Tables(), Tables()
         for tables in (sender, receiver):
-            take_announcement(tables, announce(1, 4), 0.0, 10.0)
+            apply_announcement(tables, announce(1, 4), 0.0, 10.0)
 
         self.assertTrue(mark_left(sender, ENGINE, 11.0))
         self.assertFalse(mark_left(sender, ENGINE, 11.0))
         self.assertFalse(mark_left(sender, UpstreamId("nobody"), 11.0))
-        spread = list_spread(sender, 10.5, 11.2)
-        self.assertEqual(take_spread(receiver, spread, 0.05, 11.3), 1)
+        message = make_relay_message(sender, 10.5, 11.2)
+        self.assertEqual(apply_relayed_announcements(receiver, message, 0.05, 11.3), 1)
         self.assertTrue(receiver.upstreams[ENGINE].left)
 
     def test_spread_has_ages_and_only_recent_announcements(self) -> None:
         tables = Tables()
-        take_announcement(tables, announce(), 1.5, 10.0)
-        spread = list_spread(tables, 9.0, 12.0)
-        self.assertEqual(spread.ages, (3.5,))
-        self.assertEqual(list_spread(tables, 10.0, 12.0).announcements, ())
+        apply_announcement(tables, announce(), 1.5, 10.0)
+        message = make_relay_message(tables, 9.0, 12.0)
+        self.assertEqual(message.ages, (3.5,))
+        self.assertEqual(make_relay_message(tables, 10.0, 12.0).announcements, ())
 
     def test_load_report_and_own_dispatches(self) -> None:
         tables = Tables()
-        take_announcement(tables, announce(1, 1), 0.0, 10.0)
+        apply_announcement(tables, announce(1, 1), 0.0, 10.0)
         row = tables.upstreams[ENGINE]
         row.dispatched.extend([10.1, 10.6, 11.4])
         report = LoadReport(running=2, age=0.5)
-        take_announcement(tables, announce(1, 2, load=report), 0.2, 11.5)
+        apply_announcement(tables, announce(1, 2, load=report), 0.2, 11.5)
         self.assertAlmostEqual(row.heard_at, 10.8)
         self.assertEqual(row.dispatched, [11.4])
 
     def test_new_incarnation_resets_process_state(self) -> None:
         tables = Tables()
-        take_announcement(tables, announce(1, 9), 0.0, 10.0)
+        apply_announcement(tables, announce(1, 9), 0.0, 10.0)
         row = tables.upstreams[ENGINE]
         row.failures, row.ejected_until, row.in_flight = 4, 99.0, 2
         row.prefixes["p"] = 1.0
-        take_announcement(tables, announce(2, 1), 0.0, 11.0)
+        apply_announcement(tables, announce(2, 1), 0.0, 11.0)
         self.assertEqual((row.failures, row.ejected_until, row.prefixes), (0, 0.0, {}))
         self.assertEqual(row.in_flight, 2)
 
@@ -166,7 +166,7 @@
             for number in range(30):
                 name = UpstreamId(f"u{number}")
                 gone = announce(upstream=name, leaving=True)
-                take_announcement(tables, gone, 0.0, float(number))
+                apply_announcement(tables, gone, 0.0, float(number))
 
             tables.upstreams[UpstreamId("u0")].in_flight = 1
             expire_upstreams(tables, 30.0)
@@ -179,7 +179,7 @@
 
     def test_upstream_changes_its_port(self) -> None:
         tables = Tables()
-        take_announcement(tables, announce(1, 1), 0.0, 1.0)
+        apply_announcement(tables, announce(1, 1), 0.0, 1.0)
         updated = replace(announce(1, 2), port=9001)
-        take_announcement(tables, updated, 0.0, 2.0)
+        apply_announcement(tables, updated, 0.0, 2.0)
         self.assertEqual(tables.upstreams[ENGINE].announcement.port, 9001)
--- a/tests/state/test_recovery.py
+++ b/tests/state/test_recovery.py
@@ -20,7 +20,7 @@
 from waxwingwell.state.exceptions import InvalidMemberError
 from waxwingwell.state.group import term_of
 from waxwingwell.state.recovery import describe_store
-from waxwingwell.state.recovery import keep_alone
+from waxwingwell.state.recovery import make_only_voter
 
 
 class RecoveryTest(unittest.TestCase):
@@ -51,7 +51,7 @@
         store = open_fake_store(cluster.nodes[leader].disk)
         before = describe_store(store)
         self.assertEqual(len(before.voters), 3)
-        kept = keep_alone(store)
+        kept = make_only_voter(store)
         self.assertEqual(kept.voters, (before.member,))
         start_node(cluster, leader)
         self.assertEqual(lease_holders(cluster), [leader])
@@ -64,4 +64,4 @@
 
     def test_empty_disk_is_rejected(self) -> None:
         with self.assertRaisesRegex(InvalidMemberError, "holds no group"):
-            keep_alone(open_fake_store(Disk()))
+            make_only_voter(open_fake_store(Disk()))
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -10,7 +10,7 @@
 from waxwingwell.messages import PinSession
 from waxwingwell.messages import Settle
 from waxwingwell.records import OutcomeKind
-from waxwingwell.records import StoredAnswer
+from waxwingwell.records import StoredResponse
 from waxwingwell.records import VersionId
 from waxwingwell.records import WorkspaceId
 
@@ -33,7 +33,7 @@
             request="r",
             outcome=OutcomeKind.COMPLETED,
             at=2.0,
-            answer=StoredAnswer(status=200, content_type="x/y", body=b"\xff\x00"),
+            answer=StoredResponse(status=200, content_type="x/y", body=b"\xff\x00"),
         ),
     ),
 )
