--- a/src/waxwingwell/adapters/entry/attempts.py
+++ b/src/waxwingwell/adapters/entry/attempts.py
@@ -16,8 +16,8 @@
 from ...invariants import check
 from ..telemetry import make_traceparent
 from ..telemetry import start_span
-from .relay import End
 from .relay import RelayProtocol
+from .relay import StreamEnd
 from .upstream_client import AttemptError
 from .upstream_client import UpstreamCall
 from .upstream_client import discard_response
@@ -81,11 +81,11 @@
     limit = context.settings.progress_timeout * HEADERS_TIMEOUT_FACTOR
     try:
         response = await send_call(context, row, call, limit=limit)
-        context.ran.add(work.request)
+        context.attempted.add(work.request)
         check_response_id(response, call)
     except AttemptError as error:
         if error.may_have_run:
-            context.ran.add(work.request)
+            context.attempted.add(work.request)
 
         attempt_span.set_status(StatusCode.ERROR, str(error))
         finish_attempt(context, upstream, failed=True)
@@ -102,7 +102,9 @@
     if response_id and response_id != call.request:
         discard_response(response)
         # The reason reaches the caller, so it must not contain another request's id.
-        logger.warning("entry: {} was answered as {}.", call.request, response_id)
+        logger.warning(
+            "entry: Response to {} carries request id {}.", call.request, response_id
+        )
         raise AttemptError("the answer was another request's", may_have_run=True)
 
 
@@ -134,7 +136,7 @@
 
 async def relay_body(
     context: EntryContext, response: Any, stream: EventStream, sink: Sink
-) -> End:
+) -> StreamEnd:
     """Relay a response's events; return the reason why the relay ended."""
     relay = RelayProtocol(
         stream,
--- a/src/waxwingwell/adapters/entry/chat_answers.py
+++ b/src/waxwingwell/adapters/entry/chat_responses.py
@@ -11,19 +11,19 @@
 from ...records import StoredResponse
 from ..telemetry import start_span
 from .choice import choose_work
-from .ledger import Ending
 from .ledger import Reservation
+from .ledger import Settlement
 from .ledger import make_row
 from .ledger import reserve_row
 from .ledger import settle_row
+from .non_streaming import fetch_complete_response
 from .relay import Sink
 from .replies import JSON
 from .replies import Problem
 from .services import find_stored_response
 from .stream_runs import StreamRun
-from .streaming import answer_stream
+from .streaming import stream_response
 from .streams import EventStream
-from .whole import fetch_complete_response
 
 
 if TYPE_CHECKING:
@@ -85,12 +85,12 @@
 
     def handle_disconnect(_: object) -> None:
         sink.stopProducing()
-        if not chat.keyed and sink.source is not None:
+        if not chat.has_caller_key and sink.source is not None:
             sink.source.loseConnection()
 
     request.notifyFinish().addErrback(handle_disconnect)
     try:
-        await answer_stream(context, placements, run)
+        await stream_response(context, placements, run)
     finally:
         if not sink.gone:
             request.unregisterProducer()
@@ -118,7 +118,7 @@
         repeatable=True,
         version=chosen.choice.plan[0],
     )
-    if chat.keyed:
+    if chat.has_caller_key:
         stored = find_stored_response(await reserve_row(context, reservation))
         if stored is not None:
             return write_stored_response(request, stored)
@@ -126,25 +126,29 @@
     try:
         answer = await fetch_complete_response(context, placements, chat, chosen, span)
     except Problem as problem:
-        if chat.keyed:
-            ending = Ending(outcome=problem.outcome)
-            await settle_row(context, work.workspace, chat.key, work.request, ending)
+        if chat.has_caller_key:
+            settlement = Settlement(outcome=problem.outcome)
+            await settle_row(
+                context, work.workspace, chat.key, work.request, settlement
+            )
 
         raise
 
     stored_answer = None
-    if chat.keyed and len(answer.body) <= MAX_STORED_CHAT_BYTES:
+    if chat.has_caller_key and len(answer.body) <= MAX_STORED_CHAT_BYTES:
         stored_answer = StoredResponse(status=200, content_type=JSON, body=answer.body)
 
-    ending = Ending(
+    settlement = Settlement(
         outcome=OutcomeKind.COMPLETED,
         version=answer.version,
         upstream=answer.upstream,
         usage=answer.usage,
         answer=stored_answer,
     )
-    row = None if chat.keyed else make_row(context, reservation)
-    await settle_row(context, work.workspace, chat.key, work.request, ending, row=row)
+    row = None if chat.has_caller_key else make_row(context, reservation)
+    await settle_row(
+        context, work.workspace, chat.key, work.request, settlement, row=row
+    )
     request.setHeader("x-version", answer.version)
     request.setHeader("content-type", JSON)
     return answer.body
--- a/src/waxwingwell/adapters/entry/chats.py
+++ b/src/waxwingwell/adapters/entry/chats.py
@@ -87,7 +87,7 @@
     work: Work
     key: str
     """Request key; the request id if the caller sent none."""
-    keyed: bool
+    has_caller_key: bool
     """The caller sent the key, so that it may retry the request."""
     digest: str
     fields: dict[str, Any]
@@ -147,7 +147,7 @@
     return Chat(
         work=work,
         key=headers.key or work.request,
-        keyed=bool(headers.key),
+        has_caller_key=bool(headers.key),
         digest=xxhash.xxh3_128_hexdigest(body),
         fields=fields,
         prompt=prompt,
--- a/src/waxwingwell/adapters/entry/checks.py
+++ b/src/waxwingwell/adapters/entry/checks.py
@@ -84,7 +84,7 @@
     """Assert that a request that is reported as "not run" reached no upstream."""
     check(
         Invariant.NOT_RUN_DID_NOT_RUN,
-        problem.outcome is not OutcomeKind.NOT_RUN or request not in context.ran,
+        problem.outcome is not OutcomeKind.NOT_RUN or request not in context.attempted,
         lambda: f"{request} was reported as not run after an attempt: {problem.code}",
     )
 
--- a/src/waxwingwell/adapters/entry/context.py
+++ b/src/waxwingwell/adapters/entry/context.py
@@ -52,7 +52,7 @@
     draining: bool = False
     running: int = 0
     """Requests that a planned stop waits for."""
-    ran: set[str] = field(default_factory=set)
+    attempted: set[str] = field(default_factory=set)
     """Ids of running requests with an attempt that may have run at an upstream."""
     pending_settlements: int = 0
     """Rows that are being settled in the background."""
--- a/src/waxwingwell/adapters/entry/control_calls.py
+++ b/src/waxwingwell/adapters/entry/control_calls.py
@@ -53,10 +53,10 @@
         return succeed(list_upstreams(context))
 
     if isinstance(body, OrderVersions):
-        return Deferred.fromCoroutine(pass_order(context, body))
+        return Deferred.fromCoroutine(forward_order(context, body))
 
     if isinstance(body, Drain):
-        logger.info("entry: {} asks for a planned stop.", sender)
+        logger.info("entry: {} requested a planned stop.", sender)
         context.reactor.callLater(0, stop)
         return succeed(Draining(running=context.running))
 
@@ -64,7 +64,7 @@
     return succeed(Failed(reason=reason, may_have_run=False))
 
 
-async def pass_order(context: EntryContext, order: OrderVersions) -> Message:
+async def forward_order(context: EntryContext, order: OrderVersions) -> Message:
     """Forward an order to an engine, unless a later leader is known.
 
     Otherwise a former leader that was partitioned could load a withdrawn version on
--- a/src/waxwingwell/adapters/entry/daemon.py
+++ b/src/waxwingwell/adapters/entry/daemon.py
@@ -41,21 +41,21 @@
 from .context import EntryContext
 from .control_calls import handle_control_call
 from .control_client import ControlClient
+from .periodic import EVIDENCE_INTERVAL
+from .periodic import QUEUE_INTERVAL
+from .periodic import SPREAD_INTERVAL
+from .periodic import TABLES_INTERVAL
+from .periodic import PeriodicTasks
+from .periodic import flush_evidence
+from .periodic import receive_spread
+from .periodic import renew_periodically
+from .periodic import reset_announced
+from .periodic import run_queue_tick
+from .periodic import run_tables_tick
+from .periodic import spread_state
+from .periodic import stop_periodic_tasks
 from .placement import Placements
 from .sites import make_site
-from .upkeep import EVIDENCE_INTERVAL
-from .upkeep import QUEUE_INTERVAL
-from .upkeep import SPREAD_INTERVAL
-from .upkeep import TABLES_INTERVAL
-from .upkeep import Upkeep
-from .upkeep import flush_evidence
-from .upkeep import renew_periodically
-from .upkeep import reset_announced
-from .upkeep import run_queue_tick
-from .upkeep import run_tables_tick
-from .upkeep import spread_news
-from .upkeep import stop_upkeep
-from .upkeep import take_news
 from .upstream_client import open_upstream_client
 from .web import make_caller_app
 
@@ -79,7 +79,7 @@
 
     context: EntryContext
     node: LinkNode
-    upkeep: Upkeep
+    periodic_tasks: PeriodicTasks
     placements: Placements
     caller_port: Any
     upstream_port: Any
@@ -125,13 +125,13 @@
     }
     context.tables.rating_price = settings.rating_price
     context.tables.entries = 1 + len(settings.entries)
-    upkeep = Upkeep()
+    periodic_tasks = PeriodicTasks()
     placements = Placements()
-    node = _make_node(context, upkeep, stop)
+    node = _make_node(context, periodic_tasks, stop)
     daemon = EntryDaemon(
         context=context,
         node=node,
-        upkeep=upkeep,
+        periodic_tasks=periodic_tasks,
         placements=placements,
         caller_port=_listen(
             context,
@@ -166,7 +166,7 @@
     context = daemon.context
     settings = context.settings
     context.draining = True
-    logger.info("entry: {} drains {} requests.", settings.node, context.running)
+    logger.info("entry: {} is draining {} requests.", settings.node, context.running)
     await deferLater(context.reactor, settings.drain_notice, lambda: None)
     await maybeDeferred(daemon.caller_port.stopListening)
     deadline = context.clock() + settings.drain_limit
@@ -180,7 +180,7 @@
         context.running + left == 0,
         lambda: f"{context.running} requests, {left} responses cut by the drain limit",
     )
-    await flush_evidence(context, daemon.upkeep)
+    await flush_evidence(context, daemon.periodic_tasks)
     await close_entry(daemon)
 
 
@@ -201,7 +201,7 @@
 async def close_entry(daemon: EntryDaemon) -> None:
     """Close everything, after replies to pending calls of other processes."""
     context = daemon.context
-    stop_upkeep(daemon.upkeep)
+    stop_periodic_tasks(daemon.periodic_tasks)
     for loop in daemon.loops:
         if loop.running:
             loop.stop()
@@ -209,7 +209,7 @@
     for port in (daemon.caller_port, daemon.upstream_port, daemon.link_port):
         await maybeDeferred(port.stopListening)
 
-    links = (*context.control.links.values(), *daemon.upkeep.entries.values())
+    links = (*context.control.links.values(), *daemon.periodic_tasks.entries.values())
     cut = await close_links(daemon.node, links, context.clock)
     upstreams = get_factory(daemon.upstream_port)
     cut += await close_site(upstreams, context.reactor, context.clock)
@@ -228,13 +228,13 @@
 
 
 def _make_node(
-    context: EntryContext, upkeep: Upkeep, stop: Callable[[], None]
+    context: EntryContext, periodic_tasks: PeriodicTasks, stop: Callable[[], None]
 ) -> LinkNode:
     def handle_call(sender: str, body: Any) -> Deferred[Message]:
         return handle_control_call(context, sender, body, stop)
 
     def handle_cast(sender: str, body: Any) -> None:
-        take_news(context, upkeep, body)
+        receive_spread(context, periodic_tasks, body)
 
     return LinkNode(
         name=context.settings.node,
@@ -258,21 +258,23 @@
         link = open_link(
             daemon.node, peer.node, make_connector(context.reactor, peer, tls)
         )
-        link.on_up = partial(reset_announced, daemon.upkeep, peer.node)
-        daemon.upkeep.entries[peer.node] = link
+        link.on_up = partial(reset_announced, daemon.periodic_tasks, peer.node)
+        daemon.periodic_tasks.entries[peer.node] = link
 
 
 def _start_loops(daemon: EntryDaemon) -> None:
-    context, upkeep = daemon.context, daemon.upkeep
-    renew_periodically(context, upkeep)
+    context, periodic_tasks = daemon.context, daemon.periodic_tasks
+    renew_periodically(context, periodic_tasks)
     _start_loop(
         daemon, QUEUE_INTERVAL, partial(run_queue_tick, context, daemon.placements)
     )
-    _start_loop(daemon, TABLES_INTERVAL, partial(run_tables_tick, context, upkeep))
-    _start_loop(daemon, SPREAD_INTERVAL, partial(spread_news, context, upkeep))
+    _start_loop(
+        daemon, TABLES_INTERVAL, partial(run_tables_tick, context, periodic_tasks)
+    )
+    _start_loop(daemon, SPREAD_INTERVAL, partial(spread_state, context, periodic_tasks))
 
     def flush() -> Deferred[None]:
-        return Deferred.fromCoroutine(flush_evidence(context, upkeep))
+        return Deferred.fromCoroutine(flush_evidence(context, periodic_tasks))
 
     _start_loop(daemon, EVIDENCE_INTERVAL, flush)
 
--- a/src/waxwingwell/adapters/entry/guards.py
+++ b/src/waxwingwell/adapters/entry/guards.py
@@ -66,7 +66,9 @@
         context.metrics.count(f"problems.{problem.code}", 1)
         return _respond_with_problem(request, problem)
     except Exception as error:
-        logger.opt(exception=error).error("entry: A request failed by our fault.")
+        logger.opt(exception=error).error(
+            "entry: A request failed with an internal error."
+        )
         fault = Problem(
             status=500,
             code="internal",
--- a/src/waxwingwell/adapters/entry/ledger.py
+++ b/src/waxwingwell/adapters/entry/ledger.py
@@ -51,7 +51,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ending:
+class Settlement:
     """How a request ended, as settled in its row."""
 
     outcome: OutcomeKind
@@ -142,7 +142,7 @@
     workspace: WorkspaceId,
     key: str,
     request: str,
-    ending: Ending,
+    settlement: Settlement,
     *,
     row: LedgerRow | None = None,
 ) -> bool:
@@ -157,18 +157,18 @@
         workspace=workspace,
         key=key,
         request=request,
-        outcome=ending.outcome,
+        outcome=settlement.outcome,
         at=context.wall_clock(),
-        version=ending.version,
-        upstream=ending.upstream,
-        usage=ending.usage,
-        answer=ending.answer,
+        version=settlement.version,
+        upstream=settlement.upstream,
+        usage=settlement.usage,
+        answer=settlement.answer,
         row=row,
     )
     try:
         outcome = await submit_command(context.control, command, limit=SETTLE_LIMIT)
     except ControlUnavailableError:
-        logger.warning("ledger: Settling {} goes on in the background.", request)
+        logger.warning("ledger: Settling {} continues in the background.", request)
         Deferred.fromCoroutine(_settle_in_background(context, command))
         return False
 
@@ -217,7 +217,9 @@
 
             return
 
-        logger.error("ledger: Gave up settling {}; control sweeps it.", command.request)
+        logger.error(
+            "ledger: Gave up settling {}; control will settle it.", command.request
+        )
     finally:
         context.pending_settlements -= 1
 
--- a/src/waxwingwell/adapters/entry/whole.py
+++ b/src/waxwingwell/adapters/entry/non_streaming.py
@@ -27,8 +27,8 @@
 from .choice import price_usage
 from .placement import place_request
 from .ratings import RatedResponse
-from .ratings import rate_answer
 from .ratings import rate_in_background
+from .ratings import rate_response
 from .replies import Problem
 from .streams import TokenCounts
 from .upstream_client import AttemptError
@@ -166,7 +166,7 @@
         threshold=0.0 if step.last else chosen.choice.threshold,
     )
     if not step.last:
-        return replace(response, rating=await rate_answer(context, rated))
+        return replace(response, rating=await rate_response(context, rated))
 
     if rate:
         rate_in_background(context, rated)
--- a/src/waxwingwell/adapters/entry/upkeep.py
+++ b/src/waxwingwell/adapters/entry/periodic.py
@@ -71,7 +71,7 @@
 
 
 @dataclass(slots=True)
-class Upkeep:
+class PeriodicTasks:
     """State of the periodic tasks of one entry."""
 
     entries: dict[str, Link] = field(default_factory=dict)
@@ -85,7 +85,7 @@
     """Timer of the next renewal."""
 
 
-def renew_periodically(context: EntryContext, upkeep: Upkeep) -> None:
+def renew_periodically(context: EntryContext, periodic_tasks: PeriodicTasks) -> None:
     """Renew the configuration lease now, and schedule the next renewal.
 
     A failed renewal is retried after a short delay. While the leader changes renewals
@@ -93,7 +93,7 @@
     the lease, and the entry would refuse work although a leader was available for
     most of that time.
     """
-    if upkeep.stopped:
+    if periodic_tasks.stopped:
         return
 
     done = Deferred.fromCoroutine(renew_once(context))
@@ -101,23 +101,23 @@
 
     def schedule_next(granted: bool) -> None:
         delay = RENEW_INTERVAL if granted else RENEW_RETRY_DELAY
-        if not upkeep.stopped:
-            upkeep.renewal = context.reactor.callLater(
-                delay, renew_periodically, context, upkeep
+        if not periodic_tasks.stopped:
+            periodic_tasks.renewal = context.reactor.callLater(
+                delay, renew_periodically, context, periodic_tasks
             )
 
     done.addCallback(schedule_next)
 
 
-def stop_upkeep(upkeep: Upkeep) -> None:
+def stop_periodic_tasks(periodic_tasks: PeriodicTasks) -> None:
     """Stop the renewals; the lease expires by itself."""
-    upkeep.stopped = True
-    if upkeep.renewal is not None and upkeep.renewal.active():
-        upkeep.renewal.cancel()
+    periodic_tasks.stopped = True
+    if periodic_tasks.renewal is not None and periodic_tasks.renewal.active():
+        periodic_tasks.renewal.cancel()
 
 
 def _report_renewal(failure: Failure) -> bool:
-    logger.error("entry: Renewal: {}.", failure)
+    logger.error("entry: Lease renewal failed: {}.", failure)
     return False
 
 
@@ -167,11 +167,11 @@
     tables.versions |= {item.version: item for item in snapshot.versions}
     tables.rollouts |= {item.model: item for item in snapshot.rollouts}
     index_keys(context.keys, tables.workspaces)
-    logger.info("entry: Configuration {} taken.", snapshot.config_version)
+    logger.info("entry: Configuration {} applied.", snapshot.config_version)
     return True
 
 
-async def flush_evidence(context: EntryContext, upkeep: Upkeep) -> None:
+async def flush_evidence(context: EntryContext, periodic_tasks: PeriodicTasks) -> None:
     """Send new evidence about versions; a retry carries the same sequence number."""
     rows = get_pending_increments(context.tables)
     if not rows:
@@ -180,7 +180,7 @@
     command = RecordEvidence(
         entry=EntryId(context.settings.node),
         incarnation=context.incarnation,
-        sequence=upkeep.sequence + 1,
+        sequence=periodic_tasks.sequence + 1,
         rows=rows,
     )
     try:
@@ -188,45 +188,47 @@
     except ControlUnavailableError:
         return
 
-    upkeep.sequence += 1
+    periodic_tasks.sequence += 1
     confirm_increments(context.tables)
 
 
-def spread_news(context: EntryContext, upkeep: Upkeep) -> None:
+def spread_state(context: EntryContext, periodic_tasks: PeriodicTasks) -> None:
     """Send announcements and demand known at this entry to the other entries.
 
     Each entry receives what is new since the last message to it. Messages in transit
     may be lost when a connection breaks, so a new connection receives everything.
     """
     now = context.clock()
-    upkeep.demand_sequence += 1
+    periodic_tasks.demand_sequence += 1
     demand = make_demand(
         context.tables,
         entry=EntryId(context.settings.node),
         incarnation=context.incarnation,
-        sequence=upkeep.demand_sequence,
+        sequence=periodic_tasks.demand_sequence,
     )
-    for name, link in upkeep.entries.items():
-        since = upkeep.announced_at.get(name, NEVER_ANNOUNCED)
+    for name, link in periodic_tasks.entries.items():
+        since = periodic_tasks.announced_at.get(name, NEVER_ANNOUNCED)
         update = make_relay_message(context.tables, since, now)
         if not update.announcements or cast_link(link, update):
-            upkeep.announced_at[name] = now
+            periodic_tasks.announced_at[name] = now
 
         cast_link(link, demand)
 
 
-def reset_announced(upkeep: Upkeep, name: str) -> None:
+def reset_announced(periodic_tasks: PeriodicTasks, name: str) -> None:
     """Send all announcements again to an entry, as its connection is new."""
-    upkeep.announced_at.pop(name, None)
+    periodic_tasks.announced_at.pop(name, None)
 
 
-def take_news(context: EntryContext, upkeep: Upkeep, body: Any) -> None:
+def receive_spread(
+    context: EntryContext, periodic_tasks: PeriodicTasks, body: Any
+) -> None:
     """Apply a message from another entry."""
     now = context.clock()
     if isinstance(body, SpreadAnnouncements):
         apply_relayed_announcements(context.tables, body, 0.0, now)
     elif isinstance(body, SpreadDemand):
-        apply_demand(upkeep.memory, context.tables, body, now)
+        apply_demand(periodic_tasks.memory, context.tables, body, now)
 
 
 def run_queue_tick(context: EntryContext, placements: Placements) -> None:
@@ -235,10 +237,10 @@
         run_queue(context, placements)
 
 
-def run_tables_tick(context: EntryContext, upkeep: Upkeep) -> None:
+def run_tables_tick(context: EntryContext, periodic_tasks: PeriodicTasks) -> None:
     """Run the periodic passes over whole tables."""
     now = context.clock()
     expire_upstreams(context.tables, now)
     index_upstreams(context.tables, now)
     smooth_demand(context.tables, now)
-    update_total_demand(upkeep.memory, context.tables, now)
+    update_total_demand(periodic_tasks.memory, context.tables, now)
--- a/src/waxwingwell/adapters/entry/ratings.py
+++ b/src/waxwingwell/adapters/entry/ratings.py
@@ -55,7 +55,7 @@
     """Lowest rating that is served; with a lower one a cascade continues."""
 
 
-async def rate_answer(context: EntryContext, answer: RatedResponse) -> float | None:
+async def rate_response(context: EntryContext, answer: RatedResponse) -> float | None:
     """Return the rating and record it; None if the service has none in time."""
     work = answer.work
     rating_request = RatingAsked(
@@ -67,7 +67,7 @@
     try:
         rating = await _fetch_rating(context, rating_request)
     except Exception as error:
-        logger.debug("rating: No rating of {}: {}.", answer.version, error)
+        logger.debug("rating: Rating request for {} failed: {}.", answer.version, error)
         context.metrics.count("ratings.missing", 1)
         record_unrated(
             context.tables,
@@ -98,7 +98,7 @@
     def decrement(_: object) -> None:
         context.pending_ratings -= 1
 
-    Deferred.fromCoroutine(rate_answer(context, response)).addBoth(decrement)
+    Deferred.fromCoroutine(rate_response(context, response)).addBoth(decrement)
 
 
 async def _fetch_rating(context: EntryContext, rating_request: RatingAsked) -> float:
--- a/src/waxwingwell/adapters/entry/relay.py
+++ b/src/waxwingwell/adapters/entry/relay.py
@@ -29,7 +29,7 @@
     from twisted.python.failure import Failure
 
 
-class End(Enum):
+class StreamEnd(Enum):
     """Reason why the relay from a connection to an engine ended."""
 
     DONE = "done"
@@ -115,7 +115,7 @@
     ) -> None:
         self.stream = stream
         self.sink = sink
-        self.ended: Deferred[End] = Deferred()
+        self.ended: Deferred[StreamEnd] = Deferred()
         self._reactor = reactor
         self._timeout = progress_timeout
         self._last_data_at = float(reactor.seconds())
@@ -143,27 +143,27 @@
 
         if self.stream.done:
             self.sink.final_bytes = received.forward
-            self._finish(End.DONE)
+            self._finish(StreamEnd.DONE)
             return
 
         push_bytes(self.sink, received.forward)
         if received.fault is not None:
-            self._finish(End.FAULTY)
+            self._finish(StreamEnd.FAULTY)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
         """Report a cut, unless the response had ended."""
-        self._finish(End.CUT)
+        self._finish(StreamEnd.CUT)
 
     def _check_progress(self) -> None:
         idle = float(self._reactor.seconds()) - self._last_data_at
         # A paused engine is idle because of the caller, not through a fault of its own.
         if idle > self._timeout and not self.sink.paused:
-            self._finish(End.SILENT)
+            self._finish(StreamEnd.SILENT)
             return
 
         self._timer = self._reactor.callLater(self._timeout / 4, self._check_progress)
 
-    def _finish(self, end: End) -> None:
+    def _finish(self, end: StreamEnd) -> None:
         if self.ended.called:
             return
 
@@ -173,7 +173,7 @@
         self.sink.source = None
         # After a complete response the connection can be reused. After any other end
         # the state of its remaining bytes is unknown, so it is closed.
-        if end in (End.SILENT, End.FAULTY) and self.transport is not None:
+        if end in (StreamEnd.SILENT, StreamEnd.FAULTY) and self.transport is not None:
             self.transport.loseConnection()
 
         self.ended.callback(end)
--- a/src/waxwingwell/adapters/entry/resuming.py
+++ b/src/waxwingwell/adapters/entry/resuming.py
@@ -22,7 +22,7 @@
 from .attempts import finish_attempt
 from .replies import Problem
 from .stream_runs import can_resume
-from .stream_runs import leave_upstream
+from .stream_runs import exclude_upstream
 from .streams import EventStream
 from .upstream_client import AttemptError
 from .upstream_client import UpstreamCall
@@ -130,7 +130,7 @@
         finish_attempt(context, upstream, failed=True)
         logger.info("stream: {} not resumed: {}.", run.stream.request, error)
         if run.stream.last == 0:
-            leave_upstream(run)
+            exclude_upstream(run)
         else:
             delay = RESUME_DELAY * run.resumes
             await deferLater(context.reactor, delay, lambda: None)
@@ -142,7 +142,7 @@
 
     discard_response(response)
     finish_attempt(context, upstream, failed=response.code >= 500)
-    leave_upstream(run)
+    exclude_upstream(run)
     return None
 
 
--- a/src/waxwingwell/adapters/entry/services.py
+++ b/src/waxwingwell/adapters/entry/services.py
@@ -24,17 +24,17 @@
 from .attempts import read_response_body
 from .attempts import run_attempt
 from .checks import check_lease
-from .ledger import Ending
 from .ledger import Reservation
 from .ledger import ReserveOutcome
+from .ledger import Settlement
 from .ledger import reserve_row
 from .ledger import settle_row
+from .non_streaming import check_retry
+from .non_streaming import correct_outcome
 from .placement import place_request
 from .replies import Problem
 from .upstream_client import AttemptError
 from .upstream_client import UpstreamCall
-from .whole import check_retry
-from .whole import correct_outcome
 
 
 if TYPE_CHECKING:
@@ -275,10 +275,10 @@
         stored_answer = None
 
     work = call.work
-    ending = Ending(
+    settlement = Settlement(
         outcome=outcome, answer=None if call.rule.repeatable else stored_answer
     )
-    await settle_row(context, work.workspace, call.key, work.request, ending)
+    await settle_row(context, work.workspace, call.key, work.request, settlement)
 
 
 def _matches_prefix(path: str, prefix: str) -> bool:
--- a/src/waxwingwell/adapters/entry/stream_runs.py
+++ b/src/waxwingwell/adapters/entry/stream_runs.py
@@ -50,7 +50,7 @@
     """Sets the request id that the caller sees, once another row is attached."""
 
 
-def leave_upstream(run: StreamRun) -> None:
+def exclude_upstream(run: StreamRun) -> None:
     """Exclude the current engine from further attempts of this run."""
     run.excluded |= {run.upstream}
     run.upstream = UpstreamId("")
--- a/src/waxwingwell/adapters/entry/streaming.py
+++ b/src/waxwingwell/adapters/entry/streaming.py
@@ -31,14 +31,18 @@
 from .checks import check_dispatch
 from .choice import price_usage
 from .ledger import CONTROL_UNAVAILABLE
-from .ledger import Ending
 from .ledger import Reservation
+from .ledger import Settlement
 from .ledger import reserve_row
 from .ledger import settle_row
+from .non_streaming import CHAT_PATH
+from .non_streaming import check_retry
+from .non_streaming import correct_outcome
+from .non_streaming import make_upstream_problem
 from .placement import place_request
 from .ratings import RatedResponse
 from .ratings import rate_in_background
-from .relay import End
+from .relay import StreamEnd
 from .relay import open_gate
 from .relay import push_bytes
 from .replies import Problem
@@ -50,15 +54,11 @@
 from .resuming import resume_stream
 from .stream_runs import StreamRun
 from .stream_runs import can_resume
-from .stream_runs import leave_upstream
+from .stream_runs import exclude_upstream
 from .streams import read_text
 from .upstream_client import AttemptError
 from .upstream_client import UpstreamCall
 from .upstream_client import make_call
-from .whole import CHAT_PATH
-from .whole import check_retry
-from .whole import correct_outcome
-from .whole import make_upstream_problem
 
 
 if TYPE_CHECKING:
@@ -66,10 +66,10 @@
     from .placement import Placements
 
 
-REFUSED = "the reservation failed"
+RESERVATION_FAILED = "the reservation failed"
 
 
-async def answer_stream(
+async def stream_response(
     context: EntryContext, placements: Placements, run: StreamRun
 ) -> None:
     """Stream a response and settle it; ``Problem`` before the first byte.
@@ -99,11 +99,11 @@
         if run.refusal is not None:
             raise run.refusal
 
-        if end is End.DONE:
+        if end is StreamEnd.DONE:
             await _wait_for_reservation(run)
             return
 
-        if run.sink.gone and not run.chat.keyed:
+        if run.sink.gone and not run.chat.has_caller_key:
             await cancel_stream(context, run)
             raise Problem(
                 status=499,
@@ -115,7 +115,7 @@
 
 async def _stream_once(
     context: EntryContext, placements: Placements, run: StreamRun
-) -> End:
+) -> StreamEnd:
     """Run or resume the response over one connection; return how that ended."""
     if run.upstream and may_resume(context, run):
         response = await resume_stream(context, run)
@@ -123,7 +123,7 @@
         response = await _dispatch(context, placements, run)
 
     if response is None:
-        return End.CUT
+        return StreamEnd.CUT
 
     if response.code != 200:
         data = await readBody(response)
@@ -131,9 +131,9 @@
         raise make_upstream_problem(response.code, data)
 
     end = await relay_body(context, response, run.stream, run.sink)
-    failed = end is not End.DONE and not run.sink.gone and run.refusal is None
+    failed = end is not StreamEnd.DONE and not run.sink.gone and run.refusal is None
     finish_attempt(context, run.upstream, failed=failed)
-    if end is End.SILENT:
+    if end is StreamEnd.SILENT:
         record_missed_deadline(context.tables, run.upstream, now=context.clock())
 
     if failed:
@@ -163,7 +163,7 @@
 
     # An engine at which the stream could not be resumed gets no second attempt.
     if run.upstream:
-        leave_upstream(run)
+        exclude_upstream(run)
 
     if run.attached is not None:
         find_next_engine(context, run)
@@ -191,7 +191,7 @@
         run.ran |= error.may_have_run
         # The engine may hold the response if only the connection failed.
         if not (error.may_have_run and can_resume(context, run.upstream)):
-            leave_upstream(run)
+            exclude_upstream(run)
             check_retry(context, error, repeatable=True)
 
         return None
@@ -214,10 +214,10 @@
         upstream=run.upstream,
         # Without a caller's key the engine runs during the reservation.
         unconfirmed_outcome=OutcomeKind.NOT_RUN
-        if run.chat.keyed
+        if run.chat.has_caller_key
         else OutcomeKind.FAILED,
     )
-    if run.chat.keyed:
+    if run.chat.has_caller_key:
         run.reserved = Deferred()
         outcome = await reserve_row(context, reservation)
         run.reserved.callback(outcome)
@@ -246,7 +246,7 @@
 def _abort_stream(run: StreamRun, error: Exception) -> None:
     """Stop the engine's stream: no part of it may be sent without a row."""
     if not isinstance(error, Problem):
-        error = Problem(status=500, code="internal", message=REFUSED)
+        error = Problem(status=500, code="internal", message=RESERVATION_FAILED)
 
     # The engine has already started, so "not run" would be wrong.
     run.refusal = replace(error, outcome=OutcomeKind.FAILED)
@@ -275,14 +275,14 @@
         run.stream.done,
         lambda: f"{run.stream.request} was settled before its last event",
     )
-    ending = Ending(
+    settlement = Settlement(
         outcome=OutcomeKind.COMPLETED,
         version=run.version,
         upstream=run.upstream,
         usage=usage,
     )
     workspace = run.chosen.work.workspace
-    await settle_row(context, workspace, run.chat.key, run.stream.request, ending)
+    await settle_row(context, workspace, run.chat.key, run.stream.request, settlement)
     push_bytes(run.sink, run.sink.final_bytes)
     if run.evidence_recorded and run.chosen.choice.rate:
         text = read_text(b"".join(run.sink.record))
@@ -323,8 +323,12 @@
         return
 
     work = run.chosen.work
-    ending = Ending(outcome=problem.outcome, version=run.version, upstream=run.upstream)
-    settling = settle_row(context, work.workspace, run.chat.key, work.request, ending)
+    settlement = Settlement(
+        outcome=problem.outcome, version=run.version, upstream=run.upstream
+    )
+    settling = settle_row(
+        context, work.workspace, run.chat.key, work.request, settlement
+    )
     if problem.code == CONTROL_UNAVAILABLE:
         # The caller's final response must not wait for an unavailable leader.
         Deferred.fromCoroutine(settling)
--- a/src/waxwingwell/adapters/entry/streams.py
+++ b/src/waxwingwell/adapters/entry/streams.py
@@ -23,7 +23,7 @@
 """Largest event in bytes; a longer one is a fault of the upstream."""
 
 
-class Fault(Enum):
+class StreamFault(Enum):
     """Faults that end the relay of a stream."""
 
     CROSSED = "an event of another request"
@@ -74,14 +74,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Taken:
+class ReceivedEvents:
     """Bytes to forward, and the fault that ended them, if any."""
 
     forward: bytes
-    fault: Fault | None = None
+    fault: StreamFault | None = None
 
 
-def receive_bytes(stream: EventStream, data: bytes) -> Taken:
+def receive_bytes(stream: EventStream, data: bytes) -> ReceivedEvents:
     """Return the complete new events of this request in ``data``, in order.
 
     Events before an invalid one are returned, the invalid one and all later ones are
@@ -92,8 +92,8 @@
     valid: list[bytes] = []
     for block in blocks:
         number = _read_number(stream, block)
-        if isinstance(number, Fault):
-            return Taken(_join(valid), number)
+        if isinstance(number, StreamFault):
+            return ReceivedEvents(_join(valid), number)
 
         # A resumed or duplicate delivery contains events that were already received.
         if number <= stream.last:
@@ -101,15 +101,15 @@
             continue
 
         if number > stream.last + 1:
-            return Taken(_join(valid), Fault.GAP)
+            return ReceivedEvents(_join(valid), StreamFault.GAP)
 
         stream.last = number
         _record_end(stream, block)
         if number > stream.skip:
             valid.append(block)
 
-    fault = Fault.OVERSIZED if len(stream.partial_event) > MAX_EVENT else None
-    return Taken(_join(valid), fault)
+    fault = StreamFault.OVERSIZED if len(stream.partial_event) > MAX_EVENT else None
+    return ReceivedEvents(_join(valid), fault)
 
 
 def start_connection(stream: EventStream) -> None:
@@ -128,12 +128,14 @@
     return "".join(parts)
 
 
-def _read_number(stream: EventStream, block: bytes) -> int | Fault:
+def _read_number(stream: EventStream, block: bytes) -> int | StreamFault:
     if not block.startswith(stream.prefix):
-        return Fault.CROSSED if block.startswith(b"id: ") else Fault.MALFORMED
+        return (
+            StreamFault.CROSSED if block.startswith(b"id: ") else StreamFault.MALFORMED
+        )
 
     digits = block[len(stream.prefix) : block.find(b"\n")]
-    return int(digits) if digits.isdigit() else Fault.MALFORMED
+    return int(digits) if digits.isdigit() else StreamFault.MALFORMED
 
 
 def _record_end(stream: EventStream, block: bytes) -> None:
--- a/src/waxwingwell/adapters/entry/web.py
+++ b/src/waxwingwell/adapters/entry/web.py
@@ -15,22 +15,22 @@
 from ...decisions.tables import Refusal
 from ...decisions.tables import Work
 from ...records import VersionStatus
-from .chat_answers import run_chat
-from .chat_answers import start_request_span
-from .chat_answers import write_stored_response
+from .chat_responses import run_chat
+from .chat_responses import start_request_span
+from .chat_responses import write_stored_response
 from .chats import parse_chat
 from .checks import assert_outcome
 from .checks import check_lease
 from .guards import respond_to_problems
 from .placement import remove_from_queue
-from .reading import find_config
-from .reading import parse_service_call
-from .reading import read_body
-from .reading import read_headers
 from .replies import JSON
 from .replies import Problem
 from .replies import make_problem
 from .replies import write_problem
+from .request_parsing import find_config
+from .request_parsing import parse_service_call
+from .request_parsing import read_body
+from .request_parsing import read_headers
 from .services import run_service_call
 
 
@@ -191,7 +191,7 @@
         raise
     finally:
         context.running -= 1
-        context.ran.discard(work.request)
+        context.attempted.discard(work.request)
         release(context.tables, work, context.clock())
         context.metrics.time("request", context.clock() - now)
 
--- a/tests/adapters/entry/test_control_client.py
+++ b/tests/adapters/entry/test_control_client.py
@@ -14,10 +14,10 @@
 
 from waxwingwell.adapters.entry.control_client import ControlClient
 from waxwingwell.adapters.entry.control_client import ask_leader
-from waxwingwell.adapters.entry.upkeep import RENEW_RETRY_DELAY
-from waxwingwell.adapters.entry.upkeep import RENEW_TIMEOUT
-from waxwingwell.adapters.entry.upkeep import Upkeep
-from waxwingwell.adapters.entry.upkeep import renew_periodically
+from waxwingwell.adapters.entry.periodic import RENEW_RETRY_DELAY
+from waxwingwell.adapters.entry.periodic import RENEW_TIMEOUT
+from waxwingwell.adapters.entry.periodic import PeriodicTasks
+from waxwingwell.adapters.entry.periodic import renew_periodically
 from waxwingwell.adapters.exceptions import LinkLostError
 from waxwingwell.messages import AskInForce
 from waxwingwell.messages import InForce
@@ -97,12 +97,12 @@
             reactor=self.clock,
             metrics=SimpleNamespace(count=lambda name, _: counted.append(name)),
         )
-        upkeep = Upkeep()
-        renew_periodically(cast("Any", context), upkeep)
+        periodic_tasks = PeriodicTasks()
+        renew_periodically(cast("Any", context), periodic_tasks)
         while not counted:
             self.clock.advance(STEP)
 
         self.assertLess(self.clock.seconds(), RENEW_TIMEOUT + 2 * STEP)
-        self.assertIsNotNone(upkeep.renewal)
-        delay = upkeep.renewal.getTime() - self.clock.seconds()
+        self.assertIsNotNone(periodic_tasks.renewal)
+        delay = periodic_tasks.renewal.getTime() - self.clock.seconds()
         self.assertAlmostEqual(delay, RENEW_RETRY_DELAY)
--- a/tests/adapters/entry/test_streams.py
+++ b/tests/adapters/entry/test_streams.py
@@ -10,7 +10,7 @@
 
 from waxwingwell.adapters.entry.streams import MAX_EVENT
 from waxwingwell.adapters.entry.streams import EventStream
-from waxwingwell.adapters.entry.streams import Fault
+from waxwingwell.adapters.entry.streams import StreamFault
 from waxwingwell.adapters.entry.streams import read_text
 from waxwingwell.adapters.entry.streams import receive_bytes
 from waxwingwell.adapters.entry.streams import start_connection
@@ -30,7 +30,7 @@
     name: str
     data: bytes
     forward: bytes
-    fault: Fault | None = None
+    fault: StreamFault | None = None
     last: int = 0
     done: bool = False
 
@@ -41,23 +41,28 @@
     ),
     Case("partial event is kept", make_event(1) + b"id: re", make_event(1), last=1),
     Case("duplicate", make_event(1) + make_event(1), make_event(1), last=1),
-    Case("gap", make_event(1) + make_event(3), make_event(1), Fault.GAP, last=1),
+    Case("gap", make_event(1) + make_event(3), make_event(1), StreamFault.GAP, last=1),
     Case(
         "event of another request",
         make_event(1) + make_event(2, name="req-2"),
         make_event(1),
-        Fault.CROSSED,
+        StreamFault.CROSSED,
         last=1,
     ),
     Case(
         "request id with a common prefix",
         make_event(1, name="req-11"),
         b"",
-        Fault.CROSSED,
+        StreamFault.CROSSED,
+    ),
+    Case("no number", b"data: {}\n\n", b"", StreamFault.MALFORMED),
+    Case("no digits", b"id: req-1:x\ndata: {}\n\n", b"", StreamFault.MALFORMED),
+    Case(
+        "oversized",
+        b"id: req-1:1\ndata: " + b"x" * MAX_EVENT,
+        b"",
+        StreamFault.OVERSIZED,
     ),
-    Case("no number", b"data: {}\n\n", b"", Fault.MALFORMED),
-    Case("no digits", b"id: req-1:x\ndata: {}\n\n", b"", Fault.MALFORMED),
-    Case("oversized", b"id: req-1:1\ndata: " + b"x" * MAX_EVENT, b"", Fault.OVERSIZED),
     Case(
         "end",
         make_event(1) + make_event(2, DONE),
--- a/tests/adapters/test_endings.py
+++ b/tests/adapters/test_endings.py
@@ -21,7 +21,7 @@
 from waxwingwell.adapters.control import daemon as control
 from waxwingwell.adapters.control.admin import guard
 from waxwingwell.adapters.entry import daemon as entry
-from waxwingwell.adapters.entry.upkeep import Upkeep
+from waxwingwell.adapters.entry.periodic import PeriodicTasks
 from waxwingwell.adapters.link_messages import Body
 from waxwingwell.adapters.links import LinkHandlers
 from waxwingwell.adapters.links import LinkNode
@@ -156,7 +156,7 @@
         daemon = entry.EntryDaemon(
             context=self.context,
             node=self.node,
-            upkeep=Upkeep(),
+            periodic_tasks=PeriodicTasks(),
             placements=cast("Any", None),
             caller_port=Port(),
             upstream_port=Port(self.site),
--- a/tests/adapters/test_tls.py
+++ b/tests/adapters/test_tls.py
@@ -33,8 +33,8 @@
 from waxwingwell.adapters.control.daemon import stop_control
 from waxwingwell.adapters.entry.daemon import start_entry
 from waxwingwell.adapters.entry.daemon import stop_entry
-from waxwingwell.adapters.entry.upkeep import renew_once
-from waxwingwell.adapters.entry.upkeep import stop_upkeep
+from waxwingwell.adapters.entry.periodic import renew_once
+from waxwingwell.adapters.entry.periodic import stop_periodic_tasks
 from waxwingwell.adapters.exceptions import SettingsError
 from waxwingwell.adapters.link_messages import Body
 from waxwingwell.adapters.links import Link
@@ -530,14 +530,14 @@
             link = entry.context.control.links["control-1"]
             link.on_up = lambda: up.callback(None)
             await up.addTimeout(TIMEOUT, REACTOR)
-            while entry.upkeep.renewal is None:
+            while entry.periodic_tasks.renewal is None:
                 await renew_once(entry.context)
 
             self.assertEqual(await self.ask(entry.caller_port), 200)
             self.assertEqual(await self.ask(control.admin_port), 0)
             self.assertEqual(await self.ask(entry.upstream_port), 0)
             # Replies arrive in order, so no earlier renewal is still pending after it.
-            stop_upkeep(entry.upkeep)
+            stop_periodic_tasks(entry.periodic_tasks)
             await renew_once(entry.context)
             self.assertTrue(may_admit(entry.context.lease, entry.context.clock()))
         finally:
--- a/tests/embedded/test_orders.py
+++ b/tests/embedded/test_orders.py
@@ -6,7 +6,7 @@
 
 from waxwingwell.adapters.control.orders import may_order
 from waxwingwell.adapters.control.orders import reconcile_orders
-from waxwingwell.adapters.entry.control_calls import pass_order
+from waxwingwell.adapters.entry.control_calls import forward_order
 from waxwingwell.embedded.system import send_command
 from waxwingwell.messages import OrderPassed
 from waxwingwell.messages import OrderVersions
@@ -79,7 +79,7 @@
         )
         raise_floor(context.fencing, 5)
         obeyed = engine.orders.obeyed
-        reply = await pass_order(context, order)
+        reply = await forward_order(context, order)
         assert isinstance(reply, OrderPassed)
         self.assertEqual(reply.status, 0)
         self.assertEqual(engine.orders.obeyed, obeyed)
@@ -90,7 +90,7 @@
         context = self.system.entry.context
         context.lease.expires_at = 0.0
         order = OrderVersions(upstream=UpstreamId("engine-1"), versions=(), fencing=9)
-        reply = await pass_order(context, order)
+        reply = await forward_order(context, order)
         assert isinstance(reply, OrderPassed)
         self.assertEqual(reply.status, 0)
         self.assertIn("lease", reply.reason)
