--- a/src/waxwingwell/adapters/control/admin.py
+++ b/src/waxwingwell/adapters/control/admin.py
@@ -48,7 +48,7 @@
     return site
 
 
-def guard(context: ControlContext) -> Callable[[Any], Any]:
+def require_operator(context: ControlContext) -> Callable[[Any], Any]:
     """Return a decorator that runs a route only for authenticated operators."""
 
     def decorate(handler: Any) -> Any:
@@ -59,10 +59,10 @@
                 return write_json(request, ErrorView(error="unknown key"), status=401)
 
             def finish(result: Any) -> Any:
-                context.answering -= 1
+                context.unanswered -= 1
                 return result
 
-            context.answering += 1
+            context.unanswered += 1
             response = Deferred.fromCoroutine(handler(request, operator, **names))
             return response.addBoth(finish)
 
--- a/src/waxwingwell/adapters/control/changes.py
+++ b/src/waxwingwell/adapters/control/changes.py
@@ -26,7 +26,7 @@
 from ...state.group import leader_of
 from ..exceptions import LinkError
 from ..links import call_link
-from .admin import guard
+from .admin import require_operator
 from .admin import write_error
 from .admin import write_json
 from .service import ask_in_force
@@ -53,7 +53,7 @@
     """Add the routes that run commands and report whether changes are in force."""
 
     @app.route("/admin/v1/commands", methods=["POST"])
-    @guard(context)
+    @require_operator(context)
     async def run_command(request: Request, operator: OperatorKey) -> bytes:
         body = request.content.read(MAX_BODY + 1)
         try:
@@ -76,7 +76,7 @@
         )
 
     @app.route("/admin/v1/in-force", methods=["GET"])
-    @guard(context)
+    @require_operator(context)
     async def show_in_force(request: Request, operator: OperatorKey) -> bytes:
         value = (request.args.get(b"config_version") or [b""])[0]
         if not value.isdigit():
--- a/src/waxwingwell/adapters/control/context.py
+++ b/src/waxwingwell/adapters/control/context.py
@@ -42,7 +42,7 @@
     """Set only while this process leads; created again after each election."""
     leases_term: int = 0
     flush_due: bool = False
-    answering: int = 0
+    unanswered: int = 0
     """Number of operators' requests without a response yet."""
     swept_at: float = 0.0
     stepped_at: float = 0.0
--- a/src/waxwingwell/adapters/control/daemon.py
+++ b/src/waxwingwell/adapters/control/daemon.py
@@ -64,7 +64,7 @@
 GROUP_ID = "control"
 HANDOVER_LIMIT = 2.0
 """Seconds that a planned stop waits for another member to become leader."""
-ANSWER_LIMIT = 5.0
+RESPONSE_LIMIT = 5.0
 """Seconds that a planned stop then waits for pending responses and replies."""
 _COMMANDS = msgspec.msgpack.Decoder(Command)
 
@@ -196,7 +196,7 @@
 
     context.group.store.close()
     logger.info(
-        "control: {} stopped, {} answers and {} connections cut.",
+        "control: {} stopped with {} replies pending, {} connections cut.",
         context.settings.node,
         pending,
         cut,
@@ -205,13 +205,13 @@
 
 def count_unanswered(daemon: ControlDaemon) -> int:
     """Return how many requests and calls that were read have no response yet."""
-    calls = sum(protocol.answering for protocol in daemon.node.accepted)
-    return daemon.context.answering + calls
+    calls = sum(protocol.unanswered for protocol in daemon.node.accepted)
+    return daemon.context.unanswered + calls
 
 
 async def _wait_until_answered(daemon: ControlDaemon) -> None:
     context = daemon.context
-    deadline = context.clock() + ANSWER_LIMIT
+    deadline = context.clock() + RESPONSE_LIMIT
     while count_unanswered(daemon) and context.clock() < deadline:
         await deferLater(context.reactor, POLL_SECONDS, lambda: None)
 
--- a/src/waxwingwell/adapters/control/members.py
+++ b/src/waxwingwell/adapters/control/members.py
@@ -15,7 +15,7 @@
 from ..admin_views import MembersChange
 from ..admin_views import MembersReply
 from ..admin_views import MemberView
-from .admin import guard
+from .admin import require_operator
 from .admin import write_error
 from .admin import write_json
 from .entries import ask_entries
@@ -39,12 +39,12 @@
     """Add the routes on the system's processes."""
 
     @app.route("/admin/v1/members", methods=["GET"])
-    @guard(context)
+    @require_operator(context)
     async def show_members(request: Request, operator: OperatorKey) -> bytes:
         return write_json(request, await describe_members(context))
 
     @app.route("/admin/v1/members", methods=["POST"])
-    @guard(context)
+    @require_operator(context)
     async def change_members(request: Request, operator: OperatorKey) -> bytes:
         if operator.workspace:
             return write_error(request, 403, "this key is for one workspace only")
--- a/src/waxwingwell/adapters/control/orders.py
+++ b/src/waxwingwell/adapters/control/orders.py
@@ -100,7 +100,7 @@
 
     if isinstance(reply, OrderPassed) and reply.status != 200:
         logger.info(
-            "orders: {} did not take its order: {} {}.",
+            "orders: {} refused its order: {} {}.",
             order.upstream,
             reply.status,
             reply.reason,
--- a/src/waxwingwell/adapters/control/views.py
+++ b/src/waxwingwell/adapters/control/views.py
@@ -15,8 +15,8 @@
 from ..admin_views import ConfigView
 from ..admin_views import HistoryView
 from ..admin_views import SessionView
-from .admin import guard
 from .admin import may_see
+from .admin import require_operator
 from .admin import write_error
 from .admin import write_json
 from .entries import gather_upstreams
@@ -43,7 +43,7 @@
 
 def _add_workspace_views(app: Klein, context: ControlContext) -> None:
     @app.route("/admin/v1/answers/<workspace>", methods=["GET"])
-    @guard(context)
+    @require_operator(context)
     async def show_answers(
         request: Request, operator: OperatorKey, workspace: str
     ) -> bytes:
@@ -57,7 +57,7 @@
         return write_json(request, view)
 
     @app.route("/admin/v1/answers/<workspace>/history", methods=["GET"])
-    @guard(context)
+    @require_operator(context)
     async def show_history(
         request: Request, operator: OperatorKey, workspace: str
     ) -> bytes:
@@ -77,14 +77,14 @@
         return write_json(request, rows)
 
     @app.route("/admin/v1/bills", methods=["GET"])
-    @guard(context)
+    @require_operator(context)
     async def show_bills(request: Request, operator: OperatorKey) -> bytes:
         bills = list_bills(context.holder.state.ledger.bills)
         mine = [bill for bill in bills if may_see(operator, bill.workspace)]
         return write_json(request, mine)
 
     @app.route("/admin/v1/sessions", methods=["GET"])
-    @guard(context)
+    @require_operator(context)
     async def show_sessions(request: Request, operator: OperatorKey) -> bytes:
         wanted = (request.args.get(b"workspace") or [b""])[0].decode(errors="replace")
         rows = []
@@ -101,7 +101,7 @@
 
 def _add_fleet_views(app: Klein, context: ControlContext) -> None:
     @app.route("/admin/v1/config", methods=["GET"])
-    @guard(context)
+    @require_operator(context)
     async def show_config(request: Request, operator: OperatorKey) -> bytes:
         snapshot = make_snapshot(context.holder.state)
         view = ConfigView(
@@ -117,22 +117,22 @@
         return write_json(request, view)
 
     @app.route("/admin/v1/revisions", methods=["GET"])
-    @guard(context)
+    @require_operator(context)
     async def show_revisions(request: Request, operator: OperatorKey) -> bytes:
         return write_json(request, context.holder.state.config.revisions)
 
     @app.route("/admin/v1/status", methods=["GET"])
-    @guard(context)
+    @require_operator(context)
     async def show_status(request: Request, operator: OperatorKey) -> bytes:
         return write_json(request, describe_status(context))
 
     @app.route("/admin/v1/upstreams", methods=["GET"])
-    @guard(context)
+    @require_operator(context)
     async def show_upstreams(request: Request, operator: OperatorKey) -> bytes:
         return write_json(request, await gather_upstreams(context))
 
     @app.route("/admin/v1/audit", methods=["GET"])
-    @guard(context)
+    @require_operator(context)
     async def show_audit(request: Request, operator: OperatorKey) -> bytes:
         rows = [
             AuditView(
--- a/src/waxwingwell/adapters/links.py
+++ b/src/waxwingwell/adapters/links.py
@@ -234,7 +234,7 @@
             cast("ITCPTransport", self.transport).abortConnection()
 
     @property
-    def answering(self) -> int:
+    def unanswered(self) -> int:
         """Number of calls received from the peer that have no reply yet."""
         return self._unanswered_calls
 
--- a/src/waxwingwell/adapters/registry/stopping.py
+++ b/src/waxwingwell/adapters/registry/stopping.py
@@ -113,7 +113,7 @@
 
 def count_calls(context: RegistryContext) -> int:
     """Return how many calls of other processes have no reply yet."""
-    return sum(protocol.answering for protocol in list_connections(context))
+    return sum(protocol.unanswered for protocol in list_connections(context))
 
 
 def close_connections(
--- a/tests/adapters/test_endings.py
+++ b/tests/adapters/test_endings.py
@@ -19,7 +19,7 @@
 from waxwingwell.adapters import shutdown
 from waxwingwell.adapters.connection_tracking import ConnectionTrackingSite
 from waxwingwell.adapters.control import daemon as control
-from waxwingwell.adapters.control.admin import guard
+from waxwingwell.adapters.control.admin import require_operator
 from waxwingwell.adapters.entry import daemon as entry
 from waxwingwell.adapters.entry.periodic import PeriodicTasks
 from waxwingwell.adapters.link_messages import Body
@@ -75,7 +75,7 @@
             settings=SimpleNamespace(node="near", operators=(key,)),
             reactor=self.clock,
             clock=self.clock.seconds,
-            answering=0,
+            unanswered=0,
             flush_due=False,
             links={},
             group=SimpleNamespace(
@@ -110,7 +110,7 @@
             self.requests.append(response)
             return await response
 
-        app.route("/")(guard(self.context)(wait))
+        app.route("/")(require_operator(self.context)(wait))
         return ConnectionTrackingSite(app.resource(), reactor=self.clock)
 
     def handle_call(self, sender: str, body: Any) -> Deferred[Message]:
@@ -197,7 +197,7 @@
         process.run(0.5, caller)
         self.assertTrue(stopped.called)
         self.assertTrue(caller.sent.endswith(b"accepted\r\n0\r\n\r\n"))
-        self.assertEqual(process.context.answering, 0)
+        self.assertEqual(process.context.unanswered, 0)
 
     def test_a_running_call_is_answered(self) -> None:
         """A control stops while it commits an entry's settle.
@@ -222,7 +222,7 @@
         process.open_caller()
         process.call()
         stopped = process.stop_control()
-        process.run(control.ANSWER_LIMIT + 2 * shutdown.CLOSE_TIMEOUT_SECONDS + 0.1)
+        process.run(control.RESPONSE_LIMIT + 2 * shutdown.CLOSE_TIMEOUT_SECONDS + 0.1)
         self.assertTrue(stopped.called)
 
 
