--- a/bench/fault_callers.py
+++ b/bench/fault_callers.py
@@ -16,8 +16,8 @@
 from scripts.topology import SERVICE
 
 from waxwingwell_standins.text import ChatMessage
-from waxwingwell_standins.text import make_answer
-from waxwingwell_standins.text import read_prompt
+from waxwingwell_standins.text import generate_tokens
+from waxwingwell_standins.text import join_messages
 
 
 CALLER_TIMEOUT_SECONDS = 30.0
@@ -195,8 +195,8 @@
 
 def make_expected_text(version: str, prompt: str) -> str:
     """Return the text with which a version must respond to a prompt."""
-    text = read_prompt([ChatMessage(role="user", content=prompt)])
-    return "".join(make_answer(version, text, MAX_TOKENS))
+    text = join_messages([ChatMessage(role="user", content=prompt)])
+    return "".join(generate_tokens(version, text, MAX_TOKENS))
 
 
 async def run_traffic(
--- a/scripts/world.py
+++ b/scripts/world.py
@@ -26,7 +26,7 @@
 from waxwingwell_standins.rating import start_rating
 from waxwingwell_standins.relay import Relay
 from waxwingwell_standins.relay import RelayOrder
-from waxwingwell_standins.relay import obey_faults
+from waxwingwell_standins.relay import apply_faults
 from waxwingwell_standins.relay import start_relay
 from waxwingwell_standins.service import Service
 from waxwingwell_standins.service import start_service
@@ -129,7 +129,7 @@
     @app.route("/relays/<name>", methods=["POST"])
     def set_relay(request: Request, name: str) -> bytes:
         order = msgspec.json.decode(request.content.read(), type=RelayOrder)
-        obey_faults(standins.relays[name], order)
+        apply_faults(standins.relays[name], order)
         return b"{}"
 
     @app.route("/service", methods=["POST"])
--- a/src/waxwingwell_standins/chat_routes.py
+++ b/src/waxwingwell_standins/chat_routes.py
@@ -20,7 +20,7 @@
 from .listener import reply_error
 from .listener import reply_json
 from .text import ChatMessage
-from .text import read_prompt
+from .text import join_messages
 from .watchers import watch_complete_response
 from .watchers import watch_stream
 
@@ -114,7 +114,7 @@
     job = make_job(
         name,
         chat.model,
-        read_prompt(chat.messages),
+        join_messages(chat.messages),
         max_tokens=chat.max_completion_tokens or chat.max_tokens or 0,
         min_tokens=chat.min_tokens,
         priority=get_header(request, PRIORITY_HEADER),
--- a/src/waxwingwell_standins/jobs.py
+++ b/src/waxwingwell_standins/jobs.py
@@ -19,7 +19,7 @@
 from .prefixes import count_cached_tokens
 from .prefixes import store_prefixes
 from .text import count_tokens
-from .text import make_answer
+from .text import generate_tokens
 
 
 if TYPE_CHECKING:
@@ -100,7 +100,7 @@
     priority: str = "",
 ) -> Job:
     """Create a job without queueing it."""
-    tokens = make_answer(version, prompt, max_tokens, min_tokens=min_tokens)
+    tokens = generate_tokens(version, prompt, max_tokens, min_tokens=min_tokens)
     truncated = 0 < max_tokens == len(tokens)
     return Job(
         request=request,
--- a/src/waxwingwell_standins/orders.py
+++ b/src/waxwingwell_standins/orders.py
@@ -46,7 +46,7 @@
     desired: set[str] = field(default_factory=set)
     fencing: int = 0
     """Highest fencing number seen."""
-    obeyed: int = 0
+    applied: int = 0
     refused: int = 0
     timers: list[DelayedCall] = field(default_factory=list)
     fetches: set[Deferred[Any]] = field(default_factory=set)
@@ -59,7 +59,7 @@
         table.refused += 1
         return False
 
-    table.obeyed += 1
+    table.applied += 1
     table.fencing = max(table.fencing, order.fencing)
     table.desired = set(order.versions)
     table.loaded &= table.desired
--- a/src/waxwingwell_standins/relay.py
+++ b/src/waxwingwell_standins/relay.py
@@ -131,11 +131,11 @@
                 request, status=400, code="bad_order", message=str(error)
             )
 
-        obey_faults(relay, order)
+        apply_faults(relay, order)
         return reply_json(request, {"open": len(relay.pipes.pairs)})
 
 
-def obey_faults(relay: Relay, order: RelayOrder) -> None:
+def apply_faults(relay: Relay, order: RelayOrder) -> None:
     """Apply the faults of an order."""
     if order.silence:
         relay.silence()
--- a/src/waxwingwell_standins/text.py
+++ b/src/waxwingwell_standins/text.py
@@ -29,7 +29,7 @@
     content: str = ""
 
 
-def read_prompt(messages: Iterable[ChatMessage]) -> str:
+def join_messages(messages: Iterable[ChatMessage]) -> str:
     """Join the messages of a chat into one prompt, on which the response depends."""
     return "\n".join(f"{message.role}: {message.content}" for message in messages)
 
@@ -39,7 +39,7 @@
     return max(1, -(-len(text) // CHARACTERS_PER_TOKEN))
 
 
-def make_answer(
+def generate_tokens(
     version: str, prompt: str, max_tokens: int, *, min_tokens: int = 0
 ) -> list[str]:
     """Generate the response tokens of a version for a prompt.
--- a/tests/embedded/test_callers.py
+++ b/tests/embedded/test_callers.py
@@ -8,8 +8,8 @@
 from openai import OpenAI
 from twisted.internet.threads import deferToThread
 
-from tests.standins.support import read_cut
 from tests.standins.support import read_json
+from tests.standins.support import read_until_closed
 from waxwingwell.embedded.workspace import DEMO_KEY
 
 from .support import CHAT
@@ -101,7 +101,7 @@
         headers = {f"x_{number}": "y" * 100 for number in range(600)}
         response = await self.call(CHAT, make_chat(), **headers)
         self.assertEqual(response.code, 400)
-        await read_cut(response)
+        await read_until_closed(response)
         response = await self.call(CHAT, make_chat())
         self.assertEqual(response.code, 200)
 
@@ -139,7 +139,7 @@
                 {"id": "o-1", "club": "putter"},
                 Idempotency_Key="key-1",
             )
-            bodies.append(await read_cut(response))
+            bodies.append(await read_until_closed(response))
 
         self.assertEqual(len(set(bodies)), 1)
         self.assertEqual(self.system.fleet.service.executions["o-1"], 1)
@@ -153,9 +153,9 @@
 
     async def test_keyed_chat_is_replayed(self) -> None:
         first = await self.call(CHAT, make_chat(), Idempotency_Key="chat-1")
-        complete = await read_cut(first)
+        complete = await read_until_closed(first)
         retry = await self.call(CHAT, make_chat(), Idempotency_Key="chat-1")
-        self.assertEqual(await read_cut(retry), complete)
+        self.assertEqual(await read_until_closed(retry), complete)
 
     async def test_health(self) -> None:
         for path in ("/healthz", "/readyz"):
--- a/tests/embedded/test_faults.py
+++ b/tests/embedded/test_faults.py
@@ -4,8 +4,8 @@
 
 from typing import TYPE_CHECKING
 
-from tests.standins.support import read_cut
 from tests.standins.support import read_json
+from tests.standins.support import read_until_closed
 from waxwingwell_standins.faults import EngineFaults
 
 from .support import CHAT
@@ -48,7 +48,7 @@
                     )
 
                 response = await self.call(CHAT, make_chat(stream=True, max_tokens=8))
-                data = await read_cut(response)
+                data = await read_until_closed(response)
                 request_id = response.headers.getRawHeaders("x-request-id")[0]
                 self.assertTrue(data.endswith(DONE), data[-300:])
                 ids = [line for line in data.splitlines() if line.startswith(b"id: ")]
@@ -64,7 +64,7 @@
         self.system.fleet.engines[0].faults = EngineFaults(refuse=True)
         for _ in range(4):
             response = await self.call(CHAT, make_chat(stream=True))
-            self.assertTrue((await read_cut(response)).endswith(DONE))
+            self.assertTrue((await read_until_closed(response)).endswith(DONE))
 
     async def test_executed_request_is_not_reported_as_not_run(self) -> None:
         # Every engine runs the request but responds with another request id. No engine
@@ -89,7 +89,7 @@
             engine.faults = EngineFaults(times=1, silent_after=2)
 
         response = await self.call(CHAT, make_chat(stream=True))
-        self.assertTrue((await read_cut(response)).endswith(DONE))
+        self.assertTrue((await read_until_closed(response)).endswith(DONE))
 
 
 class BillingTest(EmbeddedTestCase):
@@ -102,7 +102,7 @@
         request_ids = set()
         for stream in (True, False, True):
             response = await self.call(CHAT, make_chat(stream=stream))
-            await read_cut(response)
+            await read_until_closed(response)
             request_ids.add(response.headers.getRawHeaders("x-request-id")[0])
 
         settled = [row.request for row in self.rows() if row.settled_at]
--- a/tests/embedded/test_orders.py
+++ b/tests/embedded/test_orders.py
@@ -78,11 +78,11 @@
             fencing=3,
         )
         raise_floor(context.fencing, 5)
-        obeyed = engine.orders.obeyed
+        applied = engine.orders.applied
         reply = await forward_order(context, order)
         assert isinstance(reply, OrderPassed)
         self.assertEqual(reply.status, 0)
-        self.assertEqual(engine.orders.obeyed, obeyed)
+        self.assertEqual(engine.orders.applied, applied)
 
     async def test_entry_without_lease_forwards_nothing(self) -> None:
         # An entry was suspended while it held an old order. When it resumes, its lease
--- a/tests/embedded/test_return.py
+++ b/tests/embedded/test_return.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from tests.standins.support import read_cut
+from tests.standins.support import read_until_closed
 from waxwingwell.records import OutcomeKind
 from waxwingwell_standins.faults import EngineFaults
 
@@ -25,7 +25,7 @@
         first = await self.call(
             CHAT, make_chat(stream=True, max_tokens=12), Idempotency_Key=KEY
         )
-        complete = await read_cut(first)
+        complete = await read_until_closed(first)
         events = complete.split(b"\n\n")[:-1]
         request_id = first.headers.getRawHeaders("x-request-id")[0]
         for position in (0, 4, len(events) - 1):
@@ -40,7 +40,7 @@
                 self.assertEqual(
                     retry.headers.getRawHeaders("x-request-id")[0], request_id
                 )
-                rest = (await read_cut(retry)).split(b"\n\n")[:-1]
+                rest = (await read_until_closed(retry)).split(b"\n\n")[:-1]
                 self.assertEqual(rest, events[position:])
 
         runs = sum(
@@ -56,10 +56,10 @@
         # The engine that held the response is gone. The caller must get an error that
         # says so, and the request must not silently run and be billed again.
         first = await self.call(CHAT, make_chat(stream=True), Idempotency_Key=KEY)
-        await read_cut(first)
+        await read_until_closed(first)
         for engine in self.system.fleet.engines:
             engine.faults = EngineFaults(drop_after=0)
 
         retry = await self.call(CHAT, make_chat(stream=True), Idempotency_Key=KEY)
         self.assertEqual(retry.code, 409)
-        self.assertIn(b"already_answered", await read_cut(retry))
+        self.assertIn(b"already_answered", await read_until_closed(retry))
--- a/tests/standins/support.py
+++ b/tests/standins/support.py
@@ -21,7 +21,13 @@
     from twisted.trial.unittest import TestCase as AsyncTestCase
 
 
-__all__ = ["AsyncTestCase", "DisconnectingProtocol", "read_cut", "read_json", "send"]
+__all__ = [
+    "AsyncTestCase",
+    "DisconnectingProtocol",
+    "read_json",
+    "read_until_closed",
+    "send",
+]
 
 TIMEOUT = 5.0
 
@@ -47,7 +53,7 @@
     return msgspec.json.decode(await treq.content(response))
 
 
-async def read_cut(response: Response) -> bytes:
+async def read_until_closed(response: Response) -> bytes:
     """Return the body received until the connection closed, complete or not."""
     parts: list[bytes] = []
     with contextlib.suppress(Exception):
--- a/tests/standins/test_engine.py
+++ b/tests/standins/test_engine.py
@@ -15,12 +15,12 @@
 from waxwingwell_standins.faults import EngineFaults
 from waxwingwell_standins.jobs import JobStatus
 from waxwingwell_standins.settings import EngineSettings
-from waxwingwell_standins.text import make_answer
+from waxwingwell_standins.text import generate_tokens
 
 from .support import AsyncTestCase
 from .support import DisconnectingProtocol
-from .support import read_cut
 from .support import read_json
+from .support import read_until_closed
 from .support import send
 
 
@@ -73,8 +73,10 @@
             X_Request_Id="r-1",
         )
         events = split_events(await treq.content(response))
-        count = len(make_answer(VERSION, PROMPT, 0))
-        self.assertEqual(join_text(events), "".join(make_answer(VERSION, PROMPT, 0)))
+        count = len(generate_tokens(VERSION, PROMPT, 0))
+        self.assertEqual(
+            join_text(events), "".join(generate_tokens(VERSION, PROMPT, 0))
+        )
         self.assertEqual(
             [name for name, _ in events], [f"r-1:{n}" for n in range(1, count + 4)]
         )
@@ -91,7 +93,7 @@
         body = await read_json(response)
         self.assertEqual(
             body["choices"][0]["message"]["content"],
-            "".join(make_answer(VERSION, PROMPT, 3)),
+            "".join(generate_tokens(VERSION, PROMPT, 3)),
         )
         self.assertEqual(body["choices"][0]["finish_reason"], "length")
 
@@ -107,12 +109,12 @@
             chat_request,
             X_Request_Id="r-2",
         )
-        first = split_events(await read_cut(dropped))
+        first = split_events(await read_until_closed(dropped))
         resumed = await send("GET", engine.url + "/v1/streams/r-2?after=4")
         second = split_events(await treq.content(resumed))
         self.assertEqual([name for name, _ in first], [f"r-2:{n}" for n in range(1, 5)])
         self.assertEqual(
-            join_text(first + second), "".join(make_answer(VERSION, PROMPT, 0))
+            join_text(first + second), "".join(generate_tokens(VERSION, PROMPT, 0))
         )
         self.assertEqual(engine.runs, {"r-2": 1})
 
@@ -131,7 +133,7 @@
         first = split_events(b"".join(parts))
         self.assertEqual([name for name, _ in first], ["r-4:1", "r-4:2"])
         self.assertEqual(
-            join_text(first + second), "".join(make_answer(VERSION, PROMPT, 0))
+            join_text(first + second), "".join(generate_tokens(VERSION, PROMPT, 0))
         )
 
     async def test_job_cancelled_when_caller_disconnects(self) -> None:
--- a/tests/standins/test_relay.py
+++ b/tests/standins/test_relay.py
@@ -16,7 +16,7 @@
 from waxwingwell_standins.settings import RelaySettings
 
 from .support import AsyncTestCase
-from .support import read_cut
+from .support import read_until_closed
 from .support import send
 
 
@@ -63,7 +63,7 @@
         self.addCleanup(relay.stop)
         open_response = await send("GET", relay.url + "/begin")
         relay.cut()
-        self.assertEqual(await read_cut(open_response), b"begun")
+        self.assertEqual(await read_until_closed(open_response), b"begun")
         response = await send("GET", relay.url + "/name")
         self.assertEqual(await treq.content(response), b"a")
 
