--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -12,9 +12,9 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from .soak.__main__ import begin
-from .soak.__main__ import list_gateways
-from .soak.__main__ import open_stage
+from .soak.__main__ import list_gateway_addresses
+from .soak.__main__ import open_environment
+from .soak.__main__ import start_traffic
 from .soak.callers import Caller
 from .soak.callers import call_once
 from .soak.processes import Fleet
@@ -46,28 +46,28 @@
 
 async def measure(folder: Path) -> None:
     """Print the memory use for each number of streams."""
-    stage = await open_stage(
+    environment = await open_environment(
         folder,
         random.Random(1),
         registries=3,
         gateways=1,
-        upstreams_each=1,
-        pace=EVENT_INTERVAL_SECONDS,
+        upstreams_per_service=1,
+        event_interval=EVENT_INTERVAL_SECONDS,
     )
     background: list[asyncio.Task[None]] = []
     try:
-        await begin(stage, background, callers_each=0)
+        await start_traffic(environment, background, callers_per_gateway=0)
         for count in STREAMS:
-            await measure_streams(stage.fleet, stage.journal, count)
+            await measure_streams(environment.fleet, environment.journal, count)
     finally:
-        stop_fleet(stage.fleet)
+        stop_fleet(environment.fleet)
         for task in background:
             task.cancel()
 
 
 async def measure_streams(fleet: Fleet, journal: Journal, count: int) -> None:
     """Print the memory use with ``count`` streams open."""
-    gateways = list_gateways(fleet)
+    gateways = list_gateway_addresses(fleet)
     callers = [
         Caller(f"stream{count}-{number}", gateways, journal, random.Random(number))
         for number in range(count)
@@ -76,8 +76,10 @@
     await asyncio.sleep(SETTLE_SECONDS)
     memory = read_memory(fleet)
     requests = await asyncio.gather(*calls)
-    whole = sum(request.whole for request in requests)
-    print(f"{count} streams: {memory:.1f} MB resident, {whole} came whole", flush=True)
+    complete = sum(request.complete for request in requests)
+    print(
+        f"{count} streams: {memory:.1f} MB resident, {complete} came whole", flush=True
+    )
 
 
 def main() -> None:
--- a/bench/gateway_path.py
+++ b/bench/gateway_path.py
@@ -37,8 +37,8 @@
 from .path import render
 from .soak.__main__ import START_SECONDS
 from .soak.__main__ import await_service
-from .soak.__main__ import begin
-from .soak.__main__ import open_stage
+from .soak.__main__ import open_environment
+from .soak.__main__ import start_traffic
 from .soak.http import read_body
 from .soak.http import read_head
 from .soak.http import write_message
@@ -55,8 +55,8 @@
 from .soak.records import Run
 from .soak.records import read_clock
 from .soak.upstreams import Upstream
-from .soak.upstreams import beat_forever
-from .soak.upstreams import work_on
+from .soak.upstreams import process_request
+from .soak.upstreams import send_heartbeats
 
 
 if TYPE_CHECKING:
@@ -65,7 +65,7 @@
 
     from .soak.http import Message
     from .soak.processes import Member
-    from .soak.schedule import Stage
+    from .soak.schedule import SoakEnvironment
 
 
 GATEWAY_SCRIPT = Path(__file__).resolve().parent / "gateway_process.py"
@@ -157,8 +157,8 @@
     )
     upstream = Upstream(run.upstream, "", "", Journal(), random.Random(0), ())
     upstream.work = 0.0
-    upstream.pace = EVENT_INTERVAL_SECONDS
-    await work_on(upstream, sent, run, writer)
+    upstream.event_interval = EVENT_INTERVAL_SECONDS
+    await process_request(upstream, sent, run, writer)
 
 
 def make_id(number: int) -> str:
@@ -211,14 +211,14 @@
     )
 
 
-async def start_gateway(stage: Stage, mode: str) -> Server:
+async def start_gateway(environment: SoakEnvironment, mode: str) -> Server:
     """Restart the gateway with a log mode and wait until it serves."""
-    member = stage.fleet.gateways[0]
+    member = environment.fleet.gateways[0]
     kill_member(member)
     member.record = replace(member.record, first_start=False)
     member.log.unlink(missing_ok=True)
     start_member(member, (str(GATEWAY_SCRIPT), mode))
-    missing = await await_service(stage, Journal(), START_SECONDS)
+    missing = await await_service(environment, Journal(), START_SECONDS)
     assert member.process is not None
     if missing:
         raise TimeoutError(missing)
@@ -236,27 +236,29 @@
     return member.log.read_text()
 
 
-async def compare_hop(stage: Stage, hops: dict[bool, Server]) -> None:
+async def compare_hop(environment: SoakEnvironment, hops: dict[bool, Server]) -> None:
     """Measure each load through the bare hop and the gateway alternately, twice."""
-    gateway = await start_gateway(stage, "file")
+    gateway = await start_gateway(environment, "file")
     for scenario in SCENARIOS:
         servers = (hops[scenario.stream], gateway) * 2
         figures = [await measure(server, scenario) for server in servers]
         print(render(scenario.title, figures), flush=True)
 
 
-async def compare_logs(stage: Stage) -> None:
+async def compare_logs(environment: SoakEnvironment) -> None:
     """Print the gateway's CPU time per request for each log mode."""
     for scenario, modes in LOG_SCENARIOS:
         print(f"log, {scenario.title}", flush=True)
         for mode in modes * ROUNDS:
-            await measure_log(stage, scenario, mode)
+            await measure_log(environment, scenario, mode)
 
 
-async def measure_log(stage: Stage, scenario: Scenario, mode: str) -> None:
+async def measure_log(
+    environment: SoakEnvironment, scenario: Scenario, mode: str
+) -> None:
     """Print CPU time and log bytes per request, less the gateway's idle CPU time."""
-    server = await start_gateway(stage, mode)
-    member = stage.fleet.gateways[0]
+    server = await start_gateway(environment, mode)
+    member = environment.fleet.gateways[0]
     before = read_cpu(server.pid)
     await asyncio.sleep(IDLE_SECONDS)
     idle = (read_cpu(server.pid) - before) / IDLE_SECONDS
@@ -277,39 +279,41 @@
     print(line, flush=True)
 
 
-async def profile(stage: Stage) -> None:
+async def profile(environment: SoakEnvironment) -> None:
     """Print profiles of the gateway under complete responses and under streams."""
     for scenario in (SCENARIOS[0], SCENARIOS[2]):
-        await measure(await start_gateway(stage, "profile"), scenario)
-        log = await stop_gateway(stage.fleet.gateways[0])
+        await measure(await start_gateway(environment, "profile"), scenario)
+        log = await stop_gateway(environment.fleet.gateways[0])
         print(f"profile, {scenario.title}\n{log[log.rindex('function calls') :]}")
 
 
 async def run_benches(folder: Path, port: int, hops: dict[bool, Server]) -> None:
     """Start the system and run the benchmarks that the arguments name."""
-    stage = await open_stage(
-        folder, random.Random(1), registries=3, gateways=1, upstreams_each=1
+    environment = await open_environment(
+        folder, random.Random(1), registries=3, gateways=1, upstreams_per_service=1
     )
     background: list[asyncio.Task[None]] = []
     try:
-        for upstream in stage.upstreams:
+        for upstream in environment.upstreams:
             upstream.proxy = ExternalListener((upstream.host, port))
             upstream.born = time.time_ns() // 1_000_000
             upstream.up = True
-            background.append(asyncio.create_task(beat_forever(upstream)))
+            background.append(asyncio.create_task(send_heartbeats(upstream)))
 
-        await begin(replace(stage, upstreams=[]), background, callers_each=0)
+        await start_traffic(
+            replace(environment, upstreams=[]), background, callers_per_gateway=0
+        )
         names = sys.argv[1:] or ["hop", "log"]
         if "hop" in names:
-            await compare_hop(stage, hops)
+            await compare_hop(environment, hops)
 
         if "log" in names:
-            await compare_logs(stage)
+            await compare_logs(environment)
 
         if "profile" in names:
-            await profile(stage)
+            await profile(environment)
     finally:
-        stop_fleet(stage.fleet)
+        stop_fleet(environment.fleet)
         for task in background:
             task.cancel()
 
--- a/bench/soak/__main__.py
+++ b/bench/soak/__main__.py
@@ -34,7 +34,7 @@
 from .records import Journal
 from .records import read_clock
 from .records import watch_stalls
-from .schedule import Stage
+from .schedule import SoakEnvironment
 from .schedule import run_faults
 from .seeds import KEPT_SEEDS
 from .seeds import SoakCase
@@ -43,7 +43,7 @@
 from .stops import start_slow_callers
 from .upstreams import EVENT_SECONDS
 from .upstreams import Upstream
-from .upstreams import beat_forever
+from .upstreams import send_heartbeats
 from .upstreams import start_upstream
 
 
@@ -71,51 +71,51 @@
     starts: bool = False,
 ) -> tuple[Journal, list[str]]:
     """Run one seed; return its journal and the guarantees that were violated."""
-    stage = await open_stage(
+    environment = await open_environment(
         folder,
         random.Random(seed),
         registries=registries,
         gateways=gateways,
-        upstreams_each=UPSTREAMS_PER_SERVICE,
+        upstreams_per_service=UPSTREAMS_PER_SERVICE,
     )
-    journal = stage.journal
+    journal = environment.journal
     background = [asyncio.create_task(watch_stalls(journal))]
     # Garbage collection of a run's records pauses callers and upstreams up to 0.7 s.
     gc.disable()
     try:
-        await begin(stage, background)
+        await start_traffic(environment, background)
         if starts:
-            background += start_slow_callers(stage)
-            await run_starts(stage, seconds)
+            background += start_slow_callers(environment)
+            await run_starts(environment, seconds)
         elif planned:
-            background += start_slow_callers(stage)
-            await run_stops(stage, seconds)
+            background += start_slow_callers(environment)
+            await run_stops(environment, seconds)
         else:
-            await run_faults(stage, seconds)
+            await run_faults(environment, seconds)
 
-        await check_recovery(stage)
+        await check_recovery(environment)
     finally:
         gc.enable()
         for task in background:
             task.cancel()
 
         await asyncio.gather(*background, return_exceptions=True)
-        findings = [*check_journal(journal), *check_exits(stage.fleet)]
-        stop_fleet(stage.fleet)
-        await close_all(stage.links, stage.upstreams)
+        findings = [*check_journal(journal), *check_exits(environment.fleet)]
+        stop_fleet(environment.fleet)
+        await close_all(environment.links, environment.upstreams)
 
     return journal, findings
 
 
-async def open_stage(
+async def open_environment(
     folder: Path,
     rng: random.Random,
     *,
     registries: int,
     gateways: int,
-    upstreams_each: int,
-    pace: float = EVENT_SECONDS,
-) -> Stage:
+    upstreams_per_service: int,
+    event_interval: float = EVENT_SECONDS,
+) -> SoakEnvironment:
     """Start the product's processes behind proxies, without starting upstreams."""
     fleet = make_fleet(folder, registries, gateways)
     links = [
@@ -130,7 +130,9 @@
 
     controls = tuple((m.record.address, m.record.admin_port) for m in fleet.registries)
     journal = Journal()
-    names = [(one, number) for one in SERVICES for number in range(upstreams_each)]
+    names = [
+        (one, number) for one in SERVICES for number in range(upstreams_per_service)
+    ]
     upstreams = [
         Upstream(
             f"{service}-{number}",
@@ -139,54 +141,58 @@
             journal,
             random.Random(rng.getrandbits(64)),
             controls,
-            pace=pace,
+            event_interval=event_interval,
         )
         for place, (service, number) in enumerate(names, start=1)
     ]
-    return Stage(fleet, journal, upstreams, links, controls, rng)
+    return SoakEnvironment(fleet, journal, upstreams, links, controls, rng)
 
 
-async def begin(
-    stage: Stage,
+async def start_traffic(
+    environment: SoakEnvironment,
     background: list[asyncio.Task[None]],
     *,
-    callers_each: int = CALLERS_PER_GATEWAY,
+    callers_per_gateway: int = CALLERS_PER_GATEWAY,
 ) -> None:
     """Start the upstreams, wait until the system serves, then start the callers."""
-    for upstream in stage.upstreams:
+    for upstream in environment.upstreams:
         await start_upstream(upstream)
-        background.append(asyncio.create_task(beat_forever(upstream)))
+        background.append(asyncio.create_task(send_heartbeats(upstream)))
 
     deadline = read_clock() + START_SECONDS
-    while not await publish(stage.journal, stage.controls, stage.random, 1):
+    while not await publish(
+        environment.journal, environment.controls, environment.random, 1
+    ):
         if read_clock() > deadline:
             raise TimeoutError("no control accepted the first document in time")
 
-    await await_service(stage, Journal(), START_SECONDS)
-    gateways = list_gateways(stage.fleet)
-    for number in range(callers_each * len(gateways)):
-        rng = random.Random(stage.random.getrandbits(64))
-        caller = Caller(f"caller{number}", gateways, stage.journal, rng)
+    await await_service(environment, Journal(), START_SECONDS)
+    gateways = list_gateway_addresses(environment.fleet)
+    for number in range(callers_per_gateway * len(gateways)):
+        rng = random.Random(environment.random.getrandbits(64))
+        caller = Caller(f"caller{number}", gateways, environment.journal, rng)
         background.append(asyncio.create_task(call_forever(caller)))
 
-    rng = random.Random(stage.random.getrandbits(64))
-    reader = read_documents_forever(stage.journal, stage.controls, rng)
+    rng = random.Random(environment.random.getrandbits(64))
+    reader = read_documents_forever(environment.journal, environment.controls, rng)
     background.append(asyncio.create_task(reader))
 
 
-def list_gateways(fleet: Fleet) -> tuple[tuple[str, int], ...]:
+def list_gateway_addresses(fleet: Fleet) -> tuple[tuple[str, int], ...]:
     """Return the addresses at which gateways accept callers."""
     return tuple((m.record.address, m.record.caller_port) for m in fleet.gateways)
 
 
-async def await_service(stage: Stage, journal: Journal, limit: float) -> str:
+async def await_service(
+    environment: SoakEnvironment, journal: Journal, limit: float
+) -> str:
     """Wait until every gateway serves every kind of request.
 
     Returns an empty text, or the first gateway and kind that is not served in time.
     """
     deadline = read_clock() + limit
     prober = Caller("prober", (), journal, random.Random(0))
-    for gateway in list_gateways(stage.fleet):
+    for gateway in list_gateway_addresses(environment.fleet):
         for kind in ("stream", "order", "read"):
             while not is_served(await call_once(prober, kind, gateway)):
                 if read_clock() > deadline:
@@ -197,19 +203,21 @@
     return ""
 
 
-async def check_recovery(stage: Stage) -> None:
+async def check_recovery(environment: SoakEnvironment) -> None:
     """Check that all gateways serve again and all controls return the document."""
-    missing = await await_service(stage, Journal(), RECOVERY_TIMEOUT_SECONDS)
+    missing = await await_service(environment, Journal(), RECOVERY_TIMEOUT_SECONDS)
     if missing:
-        stage.journal.violations.append(
+        environment.journal.violations.append(
             f"{RECOVERY_TIMEOUT_SECONDS} s after the faults {missing}"
         )
 
     deadline = read_clock() + RECOVERY_TIMEOUT_SECONDS
-    for control in stage.controls:
-        while await read_newest(stage.journal, control) is None:
+    for control in environment.controls:
+        while await read_newest(environment.journal, control) is None:
             if read_clock() > deadline:
-                stage.journal.violations.append(f"{control[0]} reads no document back")
+                environment.journal.violations.append(
+                    f"{control[0]} reads no document back"
+                )
                 break
 
             await asyncio.sleep(0.1)
--- a/bench/soak/callers.py
+++ b/bench/soak/callers.py
@@ -111,7 +111,7 @@
     )
     try:
         await read_body(body_reader, response)
-        request.whole = True
+        request.complete = True
     finally:
         check_body(request, response)
 
@@ -128,7 +128,7 @@
     make = make_stream if request.kind == "stream" else make_body
     expected = make(request.request_id, request.path)
     request.intact = expected.startswith(response.body)
-    if request.whole:
+    if request.complete:
         request.intact = expected == response.body
 
 
--- a/bench/soak/checks.py
+++ b/bench/soak/checks.py
@@ -79,7 +79,7 @@
         if not 200 <= request.status < 300:
             continue
 
-        if request.whole and not request.intact:
+        if request.complete and not request.intact:
             yield f"{request.request_id}: a whole answer with another body"
         elif not request.intact:
             yield (
@@ -154,7 +154,7 @@
     runs = group_runs(journal)
     for request in journal.requests:
         stop = find_stop(journal, request)
-        if stop is None or not request.written or request.whole:
+        if stop is None or not request.written or request.complete:
             continue
 
         if not is_undisturbed(
@@ -222,4 +222,4 @@
 
 def is_served(request: CallerRequest) -> bool:
     """Return whether a caller got a complete successful response."""
-    return 200 <= request.status < 300 and request.whole
+    return 200 <= request.status < 300 and request.complete
--- a/bench/soak/records.py
+++ b/bench/soak/records.py
@@ -63,7 +63,7 @@
     sent_at: float = 0.0
     ended_at: float = 0.0
     status: int = 0
-    whole: bool = False
+    complete: bool = False
     signature: str = ""
     intact: bool = True
     """Whether the received part of the body is a prefix of the expected body."""
--- a/bench/soak/schedule.py
+++ b/bench/soak/schedule.py
@@ -43,7 +43,7 @@
 
 
 @dataclass(slots=True)
-class Stage:
+class SoakEnvironment:
     """The processes, upstreams and proxies of a run, and its journal."""
 
     fleet: Fleet
@@ -55,11 +55,11 @@
     random: random.Random
 
 
-FaultAction = Callable[[Stage], Awaitable[str | None]]
+FaultAction = Callable[[SoakEnvironment], Awaitable[str | None]]
 """Injects and ends one fault; returns its target, or None if there was no fault."""
 
 
-async def run_faults(stage: Stage, seconds: float) -> None:
+async def run_faults(environment: SoakEnvironment, seconds: float) -> None:
     """Start faults for ``seconds``, then wait until the last one has ended.
 
     Each fault has its own random generator, so that its draws do not depend on the
@@ -68,90 +68,98 @@
     until = read_clock() + seconds
     tasks = []
     while read_clock() < until:
-        action = stage.random.choice(FAULT_ACTIONS)
-        forked = replace(stage, random=random.Random(stage.random.getrandbits(64)))
+        action = environment.random.choice(FAULT_ACTIONS)
+        forked = replace(
+            environment, random=random.Random(environment.random.getrandbits(64))
+        )
         tasks.append(asyncio.create_task(record_fault(forked, action)))
-        await asyncio.sleep(MAX_GAP_SECONDS * stage.random.random())
+        await asyncio.sleep(MAX_GAP_SECONDS * environment.random.random())
 
     await asyncio.gather(*tasks)
 
 
-async def record_fault(stage: Stage, action: FaultAction) -> None:
+async def record_fault(environment: SoakEnvironment, action: FaultAction) -> None:
     """Run a fault and record its time span."""
     name = getattr(action, "__name__", "fault")
     fault = Fault(name=name, target="", began_at=read_clock(), ended_at=float("inf"))
-    stage.journal.faults.append(fault)
-    target = await action(stage)
+    environment.journal.faults.append(fault)
+    target = await action(environment)
     fault.ended_at = read_clock()
     if target is None:
-        stage.journal.faults.remove(fault)
+        environment.journal.faults.remove(fault)
     else:
         fault.target = target
 
 
-def reserve_member(stage: Stage, members: list[Member], min_left: int) -> Member | None:
+def reserve_member(
+    environment: SoakEnvironment, members: list[Member], min_left: int
+) -> Member | None:
     """Reserve a random process for a fault if more than ``min_left`` have none."""
     free = [member for member in members if not member.has_fault]
     if len(free) <= min_left:
         return None
 
-    member = stage.random.choice(free)
+    member = environment.random.choice(free)
     member.has_fault = True
     return member
 
 
-def reserve_any_member(stage: Stage) -> Member | None:
+def reserve_any_member(environment: SoakEnvironment) -> Member | None:
     """Reserve a gateway or a registry; a majority of registries stays intact."""
-    if stage.random.random() < 0.5:
-        return reserve_member(stage, stage.fleet.gateways, 1)
+    if environment.random.random() < 0.5:
+        return reserve_member(environment, environment.fleet.gateways, 1)
 
     return reserve_member(
-        stage, stage.fleet.registries, len(stage.fleet.registries) // 2 + 1
+        environment,
+        environment.fleet.registries,
+        len(environment.fleet.registries) // 2 + 1,
     )
 
 
-async def hold_fault(stage: Stage) -> None:
+async def hold_fault(environment: SoakEnvironment) -> None:
     """Wait for the random duration of a fault."""
-    await asyncio.sleep(0.2 + (MAX_FAULT_SECONDS - 0.2) * stage.random.random())
+    await asyncio.sleep(0.2 + (MAX_FAULT_SECONDS - 0.2) * environment.random.random())
 
 
-async def kill(stage: Stage) -> str | None:
+async def kill(environment: SoakEnvironment) -> str | None:
     """Kill a process, and restart it."""
-    member = reserve_any_member(stage)
+    member = reserve_any_member(environment)
     if member is None:
         return None
 
     kill_member(member)
-    await hold_fault(stage)
+    await hold_fault(environment)
     restart_member(member)
     member.has_fault = False
     return member.record.name
 
 
-async def wipe(stage: Stage) -> str | None:
+async def wipe(environment: SoakEnvironment) -> str | None:
     """Kill a registry, and restart it with an empty data folder."""
-    min_left = len(stage.fleet.registries) - 1
-    member = reserve_member(stage, stage.fleet.registries, min_left)
+    min_left = len(environment.fleet.registries) - 1
+    member = reserve_member(environment, environment.fleet.registries, min_left)
     if member is None:
         return None
 
     kill_member(member)
     wipe_member(member)
-    await hold_fault(stage)
+    await hold_fault(environment)
     restart_member(member)
     await asyncio.sleep(MAX_FAULT_SECONDS)
     member.has_fault = False
     return member.record.name
 
 
-async def stop(stage: Stage) -> str | None:
+async def stop(environment: SoakEnvironment) -> str | None:
     """Stop a process gracefully, and restart it."""
-    member = reserve_any_member(stage)
-    return None if member is None else await stop_member(stage, member)
+    member = reserve_any_member(environment)
+    return None if member is None else await stop_member(environment, member)
 
 
 async def stop_member(
-    stage: Stage, member: Member, number: signal.Signals = signal.SIGTERM
+    environment: SoakEnvironment,
+    member: Member,
+    number: signal.Signals = signal.SIGTERM,
 ) -> str:
     """Stop a process gracefully, check its exit, and restart it; return its address."""
     assert member.process is not None
@@ -161,7 +169,7 @@
     while member.process.poll() is None:
         if read_clock() > deadline:
             state = describe_state(member)
-            stage.journal.violations.append(
+            environment.journal.violations.append(
                 f"{member.record.name} did not stop: {state}"
             )
             kill_member(member)
@@ -171,119 +179,125 @@
     code = member.process.returncode
     # Before the program's first statement the signal's default action applies.
     if code and (age > INTERPRETER_START_SECONDS or code != -number):
-        stage.journal.violations.append(f"{member.record.name} stopped with {code}")
+        environment.journal.violations.append(
+            f"{member.record.name} stopped with {code}"
+        )
 
     restart_member(member)
     member.has_fault = False
     return member.record.address
 
 
-async def pause(stage: Stage) -> str | None:
+async def pause(environment: SoakEnvironment) -> str | None:
     """Suspend a process for a while."""
-    member = reserve_any_member(stage)
+    member = reserve_any_member(environment)
     if member is None:
         return None
 
     signal_member(member, signal.SIGSTOP)
-    await hold_fault(stage)
+    await hold_fault(environment)
     signal_member(member, signal.SIGCONT)
     member.has_fault = False
     return member.record.name
 
 
-async def hang_up(stage: Stage) -> str | None:
+async def hang_up(environment: SoakEnvironment) -> str | None:
     """Signal a process to reload its settings, which are unchanged."""
-    member = stage.random.choice(stage.fleet.members)
+    member = environment.random.choice(environment.fleet.members)
     signal_member(member, signal.SIGHUP)
     return member.record.name
 
 
-async def disturb_proxies(stage: Stage, proxies: list[Proxy]) -> None:
+async def disturb_proxies(environment: SoakEnvironment, proxies: list[Proxy]) -> None:
     """Inject a fault into some connections for a while."""
-    chosen = stage.random.sample(proxies, stage.random.randint(1, len(proxies)))
-    injected_fault = stage.random.choice(
+    chosen = environment.random.sample(
+        proxies, environment.random.randint(1, len(proxies))
+    )
+    injected_fault = environment.random.choice(
         [ProxyFault.DELAY, ProxyFault.SILENCE, ProxyFault.ONE_WAY, None]
     )
     for proxy in chosen:
         if injected_fault is None:
-            stage.random.choice([reset_pairs, blackhole_pairs])(proxy)
+            environment.random.choice([reset_pairs, blackhole_pairs])(proxy)
         else:
             proxy.injected_fault = injected_fault
-            proxy.delay = 0.1 * stage.random.random()
+            proxy.delay = 0.1 * environment.random.random()
 
-    await hold_fault(stage)
+    await hold_fault(environment)
     for proxy in chosen:
         proxy.injected_fault = ProxyFault.NONE
 
 
-async def harm_links(stage: Stage) -> str | None:
+async def harm_links(environment: SoakEnvironment) -> str | None:
     """Inject a fault into links between gateways and registries."""
-    await disturb_proxies(stage, stage.links)
+    await disturb_proxies(environment, environment.links)
     return "links"
 
 
-async def harm_upstreams(stage: Stage) -> str | None:
+async def harm_upstreams(environment: SoakEnvironment) -> str | None:
     """Inject a fault into connections to upstreams."""
-    proxies = [one.proxy for one in stage.upstreams if one.proxy is not None]
-    await disturb_proxies(stage, proxies)
+    proxies = [one.proxy for one in environment.upstreams if one.proxy is not None]
+    await disturb_proxies(environment, proxies)
     return "upstreams"
 
 
-def pick_upstream(stage: Stage) -> Upstream | None:
+def pick_upstream(environment: SoakEnvironment) -> Upstream | None:
     """Return a random upstream whose service has another one that serves."""
-    serving = [one for one in stage.upstreams if one.up and not one.leaving]
+    serving = [one for one in environment.upstreams if one.up and not one.leaving]
     redundant = [
         one
         for one in serving
         if sum(other.service == one.service for other in serving) > 1
     ]
-    return stage.random.choice(redundant) if redundant else None
+    return environment.random.choice(redundant) if redundant else None
 
 
-async def crash_upstream(stage: Stage) -> str | None:
+async def crash_upstream(environment: SoakEnvironment) -> str | None:
     """Crash an upstream, and restart it under the same id."""
-    upstream = pick_upstream(stage)
+    upstream = pick_upstream(environment)
     if upstream is None:
         return None
 
     await stop_upstream(upstream)
-    await hold_fault(stage)
+    await hold_fault(environment)
     await start_upstream(upstream)
     return upstream.name
 
 
-async def leave_upstream(stage: Stage) -> str | None:
+async def leave_upstream(environment: SoakEnvironment) -> str | None:
     """Let an upstream leave, and restart it under another id."""
-    upstream = pick_upstream(stage)
+    upstream = pick_upstream(environment)
     if upstream is None:
         return None
 
     name = upstream.name
     await leave(upstream)
-    await hold_fault(stage)
-    upstream.name = f"{name.partition('+')[0]}+{stage.random.getrandbits(20):x}"
+    await hold_fault(environment)
+    upstream.name = f"{name.partition('+')[0]}+{environment.random.getrandbits(20):x}"
     await start_upstream(upstream)
     return name
 
 
-async def spoil_answers(stage: Stage) -> str | None:
+async def spoil_answers(environment: SoakEnvironment) -> str | None:
     """Make the upstreams of a service truncate some of their responses."""
-    service = stage.random.choice(stage.upstreams).service
-    spoiled = [one for one in stage.upstreams if one.service == service]
+    service = environment.random.choice(environment.upstreams).service
+    spoiled = [one for one in environment.upstreams if one.service == service]
     for upstream in spoiled:
         upstream.truncated_share = TRUNCATED_SHARE
 
-    await hold_fault(stage)
+    await hold_fault(environment)
     for upstream in spoiled:
         upstream.truncated_share = 0.0
 
     return service
 
 
-async def change(stage: Stage) -> str | None:
+async def change(environment: SoakEnvironment) -> str | None:
     """Publish the next document, possibly concurrently with other changes."""
-    version = max(stage.journal.documents) + stage.random.randint(1, 3)
-    await publish(stage.journal, stage.controls, stage.random, version)
+    version = max(environment.journal.documents) + environment.random.randint(1, 3)
+    await publish(
+        environment.journal, environment.controls, environment.random, version
+    )
     return None
 
 
--- a/bench/soak/starts.py
+++ b/bench/soak/starts.py
@@ -18,7 +18,7 @@
 
 if TYPE_CHECKING:
     from .processes import Member
-    from .schedule import Stage
+    from .schedule import SoakEnvironment
 
 
 MAX_START_SECONDS = 0.8
@@ -32,42 +32,45 @@
 SIGNALS = (signal.SIGTERM, signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
 
 
-async def run_starts(stage: Stage, seconds: float) -> None:
+async def run_starts(environment: SoakEnvironment, seconds: float) -> None:
     """Restart processes in overlapping series, and signal them during their start."""
     await run_series(
-        stage, seconds, restart_gateways, restart_registries, publish_and_reload
+        environment, seconds, restart_gateways, restart_registries, publish_and_reload
     )
 
 
-async def restart_gateways(stage: Stage) -> None:
+async def restart_gateways(environment: SoakEnvironment) -> None:
     """Restart every gateway; the restarts overlap."""
-    await run_overlapping(stage, restart)
+    await run_overlapping(environment, restart)
 
 
-async def restart_registries(stage: Stage) -> None:
+async def restart_registries(environment: SoakEnvironment) -> None:
     """Restart the registries one after the other, so that a majority keeps serving."""
-    for member in stage.fleet.registries:
-        await restart(fork_random(stage), member)
-        await asyncio.sleep(MAX_STEP_SECONDS * stage.random.random())
+    for member in environment.fleet.registries:
+        await restart(fork_random(environment), member)
+        await asyncio.sleep(MAX_STEP_SECONDS * environment.random.random())
 
 
-async def restart(stage: Stage, member: Member) -> None:
+async def restart(environment: SoakEnvironment, member: Member) -> None:
     """Restart a process, and signal it one or more times during its start."""
-    await record_stop(stage, member)
-    drawn = [draw_signal(stage) for _ in range(stage.random.randint(1, MAX_SIGNALS))]
+    await record_stop(environment, member)
+    drawn = [
+        draw_signal(environment)
+        for _ in range(environment.random.randint(1, MAX_SIGNALS))
+    ]
     for after, number in sorted(drawn):
         await asyncio.sleep(member.started_at + after - read_clock())
         if number is signal.SIGHUP:
             signal_member(member, number)
         else:
-            await record_stop(stage, member, number)
+            await record_stop(environment, member, number)
 
 
-def draw_signal(stage: Stage) -> tuple[float, signal.Signals]:
+def draw_signal(environment: SoakEnvironment) -> tuple[float, signal.Signals]:
     """Return a random signal, and the seconds after the start at which it is sent."""
     spread = MAX_START_SECONDS - MIN_START_SECONDS
-    after = MIN_START_SECONDS + spread * stage.random.random()
-    number = stage.random.choice(SIGNALS)
+    after = MIN_START_SECONDS + spread * environment.random.random()
+    number = environment.random.choice(SIGNALS)
     if number is signal.SIGINT:
         after = max(after, MIN_INTERRUPT_SECONDS)
 
--- a/bench/soak/upstreams.py
+++ b/bench/soak/upstreams.py
@@ -59,7 +59,7 @@
     server: asyncio.Server | None = None
     born: int = 0
     sequence: int = 0
-    pace: float = EVENT_SECONDS
+    event_interval: float = EVENT_SECONDS
     """Seconds between two events of a stream."""
     work: float = WORK_SECONDS
     """Seconds of work on a small response."""
@@ -105,7 +105,7 @@
                 writer.transport.abort()
 
 
-async def beat_forever(upstream: Upstream) -> None:
+async def send_heartbeats(upstream: Upstream) -> None:
     """Send heartbeats while the upstream is up."""
     while True:
         if upstream.up:
@@ -185,12 +185,12 @@
     )
     upstream.journal.runs.append(run)
     try:
-        return await work_on(upstream, sent, run, writer)
+        return await process_request(upstream, sent, run, writer)
     finally:
         run.ended_at = read_clock()
 
 
-async def work_on(
+async def process_request(
     upstream: Upstream, sent: wire.ReceivedRequest, run: Run, writer: StreamWriter
 ) -> bool:
     """Process a request and send its response; return False after an abort."""
@@ -227,7 +227,9 @@
     lines = [f"{name}: {value}" for name, value in head.items()]
     lines.append("Transfer-Encoding: chunked")
     writer.write("\r\n".join(["HTTP/1.1 200 OK", *lines, "", ""]).encode())
-    pace = LARGE_STREAM_SECONDS / EVENTS if is_large(run.path) else upstream.pace
+    event_interval = (
+        LARGE_STREAM_SECONDS / EVENTS if is_large(run.path) else upstream.event_interval
+    )
     truncated = upstream.rng.random() < upstream.truncated_share
     for number in range(sent.resume_after + 1, EVENTS + 1):
         event = make_event(sent.request_id, run.path, number)
@@ -240,7 +242,7 @@
 
         writer.write(write_chunk(event))
         await writer.drain()
-        await asyncio.sleep(pace)
+        await asyncio.sleep(event_interval)
 
     writer.write(b"0\r\n\r\n")
     await writer.drain()
--- a/bench/versions.py
+++ b/bench/versions.py
@@ -19,7 +19,7 @@
 from waxwingwell.decisions.versions import choose_version
 from waxwingwell.experiments.worlds import KINDS
 from waxwingwell.experiments.worlds import World
-from waxwingwell.experiments.worlds import draw_answers
+from waxwingwell.experiments.worlds import draw_qualities
 from waxwingwell.experiments.worlds import make_request
 from waxwingwell.experiments.worlds import make_world
 
@@ -42,7 +42,7 @@
     for name in world.tables.workspaces:
         for kind in KINDS:
             work = make_request(name, kind, "r")
-            answers = draw_answers(world, (name, kind.name))
+            answers = draw_qualities(world, (name, kind.name))
             for version, rating in answers.items():
                 for _ in range(RATINGS):
                     record_sent(world.tables, work, version, rate=True, now=NOW)
--- a/src/waxwingwell/experiments/gateways.py
+++ b/src/waxwingwell/experiments/gateways.py
@@ -18,11 +18,11 @@
 from ..routing.placement import list_pool_members
 from ..routing.placement import place_request
 from .measures import pick_quantile
-from .placing import Deployment
-from .placing import PlacementPolicy
-from .placing import PlacementRun
-from .placing import StreamKind
-from .placing import simulate_placement
+from .placement_simulation import Deployment
+from .placement_simulation import PlacementPolicy
+from .placement_simulation import PlacementRun
+from .placement_simulation import StreamKind
+from .placement_simulation import simulate_placement
 
 
 if TYPE_CHECKING:
--- a/src/waxwingwell/experiments/quality.py
+++ b/src/waxwingwell/experiments/quality.py
@@ -16,11 +16,11 @@
 from .quality_report import RolloutFigures
 from .quality_report import SeedFigures
 from .quality_report import TrafficFigures
-from .rollout_runs import MAX_BAD_LOSS
-from .rollout_runs import MIN_BAD_LOSS
-from .rollout_runs import RolloutCase
-from .rollout_runs import run_canary
-from .rollout_runs import run_staged
+from .rollout_simulation import MAX_BAD_LOSS
+from .rollout_simulation import MIN_BAD_LOSS
+from .rollout_simulation import RolloutCase
+from .rollout_simulation import run_canary
+from .rollout_simulation import run_staged
 from .traffic import POLICIES
 from .traffic import TrafficTotals
 from .traffic import run_traffic
--- a/src/waxwingwell/experiments/traffic.py
+++ b/src/waxwingwell/experiments/traffic.py
@@ -19,7 +19,7 @@
 from .worlds import RATING_PRICE
 from .worlds import Cell
 from .worlds import World
-from .worlds import draw_answers
+from .worlds import draw_qualities
 from .worlds import find_oracle_plan
 from .worlds import make_request
 
@@ -108,7 +108,7 @@
         world.degraded = number >= degrade_at
         workspace, kind = cells[number % len(cells)]
         cell = (workspace, kind.name)
-        qualities = draw_answers(world, cell)
+        qualities = draw_qualities(world, cell)
         work = make_request(workspace, kind, str(number))
         if kind.name == "question":
             session = f"{workspace}/{number // (len(cells) * SESSION_LENGTH)}"
--- a/src/waxwingwell/experiments/worlds.py
+++ b/src/waxwingwell/experiments/worlds.py
@@ -100,7 +100,7 @@
     return Work(name, workspace, kind, kind.priority, answer_tokens=1)
 
 
-def draw_answers(world: World, cell: Cell) -> dict[VersionId, float]:
+def draw_qualities(world: World, cell: Cell) -> dict[VersionId, float]:
     """Draw the quality of each version's response to one request."""
     shared = world.rng.gauss(0.0, SHARED_VARIANCE**0.5 * STANDARD_DEVIATION)
     own = (1.0 - SHARED_VARIANCE) ** 0.5 * STANDARD_DEVIATION
@@ -166,7 +166,7 @@
         return best
 
     state = world.rng.getstate()
-    samples = [draw_answers(world, cell) for _ in range(SAMPLES)]
+    samples = [draw_qualities(world, cell) for _ in range(SAMPLES)]
     world.rng.setstate(state)
     for strong in world.versions:
         for cheap in world.versions:
--- a/tests/experiments/test_gateways.py
+++ b/tests/experiments/test_gateways.py
@@ -10,8 +10,8 @@
 from waxwingwell.experiments.gateways import compute_cached_share
 from waxwingwell.experiments.gateways import compute_wait
 from waxwingwell.experiments.gateways import run_gateways
-from waxwingwell.experiments.placing import PlacementRun
-from waxwingwell.experiments.placing import simulate_placement
+from waxwingwell.experiments.placement_simulation import PlacementRun
+from waxwingwell.experiments.placement_simulation import simulate_placement
 
 
 @cache
--- a/tests/experiments/test_quality.py
+++ b/tests/experiments/test_quality.py
@@ -11,13 +11,13 @@
 from waxwingwell.experiments.quality_report import SeedFigures
 from waxwingwell.experiments.quality_report import TrafficFigures
 from waxwingwell.experiments.quality_report import list_goals
-from waxwingwell.experiments.rollout_runs import RolloutCase
-from waxwingwell.experiments.rollout_runs import run_canary
-from waxwingwell.experiments.rollout_runs import run_staged
+from waxwingwell.experiments.rollout_simulation import RolloutCase
+from waxwingwell.experiments.rollout_simulation import run_canary
+from waxwingwell.experiments.rollout_simulation import run_staged
 from waxwingwell.experiments.traffic import POLICIES
 from waxwingwell.experiments.traffic import run_traffic
 from waxwingwell.experiments.worlds import KINDS
-from waxwingwell.experiments.worlds import draw_answers
+from waxwingwell.experiments.worlds import draw_qualities
 from waxwingwell.experiments.worlds import find_oracle_plan
 from waxwingwell.experiments.worlds import get_quality
 from waxwingwell.experiments.worlds import make_world
@@ -35,7 +35,7 @@
     def test_true_quality_is_the_mean_of_drawn_qualities(self) -> None:
         world = make_world("frio", 3)
         cell = (next(iter(world.tables.workspaces)), "tag")
-        draws = [draw_answers(world, cell) for _ in range(4000)]
+        draws = [draw_qualities(world, cell) for _ in range(4000)]
         for version in world.versions:
             mean = sum(qualities[version] for qualities in draws) / len(draws)
             self.assertAlmostEqual(mean, get_quality(world, cell, version), delta=0.01)
--- a/tests/system/stages.py
+++ b/tests/system/environments.py
@@ -7,9 +7,9 @@
 import random
 from typing import TYPE_CHECKING
 
-from bench.soak.__main__ import begin
 from bench.soak.__main__ import close_all
-from bench.soak.__main__ import open_stage
+from bench.soak.__main__ import open_environment
+from bench.soak.__main__ import start_traffic
 from bench.soak.processes import stop_fleet
 
 
@@ -17,25 +17,27 @@
     from collections.abc import AsyncIterator
     from pathlib import Path
 
-    from bench.soak.schedule import Stage
+    from bench.soak.schedule import SoakEnvironment
 
 
 SEED = 1
 
 
 @contextlib.asynccontextmanager
-async def open_small_stage(folder: Path) -> AsyncIterator[Stage]:
+async def open_small_environment(folder: Path) -> AsyncIterator[SoakEnvironment]:
     """Run one gateway, one registry and one upstream per service, without callers."""
     rng = random.Random(SEED)
-    stage = await open_stage(folder, rng, registries=1, gateways=1, upstreams_each=1)
+    environment = await open_environment(
+        folder, rng, registries=1, gateways=1, upstreams_per_service=1
+    )
     background: list[asyncio.Task[None]] = []
     try:
-        await begin(stage, background, callers_each=0)
-        yield stage
+        await start_traffic(environment, background, callers_per_gateway=0)
+        yield environment
     finally:
         for task in background:
             task.cancel()
 
         await asyncio.gather(*background, return_exceptions=True)
-        stop_fleet(stage.fleet)
-        await close_all(stage.links, stage.upstreams)
+        stop_fleet(environment.fleet)
+        await close_all(environment.links, environment.upstreams)
--- a/tests/system/test_planned_stops.py
+++ b/tests/system/test_planned_stops.py
@@ -26,12 +26,12 @@
 
 from waxwingwell_standin import wire
 
-from .stages import open_small_stage
+from .environments import open_small_environment
 
 
 if TYPE_CHECKING:
     from bench.soak.records import Run
-    from bench.soak.schedule import Stage
+    from bench.soak.schedule import SoakEnvironment
 
 
 POLL_SECONDS = 0.02
@@ -66,17 +66,19 @@
 
 async def get_body(folder: Path, path: str, upstream_state: str) -> bytes:
     """Start the processes, and return the response body that a caller receives."""
-    async with open_small_stage(folder) as stage:
-        return await read_late(stage, path, upstream_state)
+    async with open_small_environment(folder) as environment:
+        return await read_late(environment, path, upstream_state)
 
 
-async def read_late(stage: Stage, path: str, upstream_state: str) -> bytes:
+async def read_late(
+    environment: SoakEnvironment, path: str, upstream_state: str
+) -> bytes:
     """Stop the gateway, and read once it has checked for requests in progress."""
-    gateway = stage.fleet.gateways[0]
+    gateway = environment.fleet.gateways[0]
     gateway_address = (gateway.record.address, gateway.record.caller_port)
     reader, writer = await open_slowly(*gateway_address)
     writer.write(write_request(path))
-    run = await await_run(stage)
+    run = await await_run(environment)
     response: Message | None = None
     if upstream_state == "answered":
         response = await read_head(reader)
@@ -102,10 +104,10 @@
     return write_message(f"POST {path} HTTP/1.1", {"Host": HOST, **headers}, b"please")
 
 
-async def await_run(stage: Stage) -> Run:
+async def await_run(environment: SoakEnvironment) -> Run:
     """Wait until an upstream processes the request."""
     while True:
-        for run in stage.journal.runs:
+        for run in environment.journal.runs:
             if run.request_id == REQUEST_ID:
                 return run
 
--- a/tests/system/test_signalled_start.py
+++ b/tests/system/test_signalled_start.py
@@ -17,13 +17,13 @@
 from bench.soak.processes import restart_member
 from bench.soak.processes import signal_member
 
-from .stages import open_small_stage
+from .environments import open_small_environment
 from .test_planned_stops import write_request
 
 
 if TYPE_CHECKING:
     from bench.soak.processes import Member
-    from bench.soak.schedule import Stage
+    from bench.soak.schedule import SoakEnvironment
 
 
 POLL_SECONDS = 0.001
@@ -55,15 +55,15 @@
     folder: Path, signals: tuple[signal.Signals, ...]
 ) -> tuple[list[int], int]:
     """Signal a starting gateway; return its callers' statuses and its exit code."""
-    async with open_small_stage(folder) as stage:
-        return await signal_start(stage, signals)
+    async with open_small_environment(folder) as environment:
+        return await signal_start(environment, signals)
 
 
 async def signal_start(
-    stage: Stage, signals: tuple[signal.Signals, ...]
+    environment: SoakEnvironment, signals: tuple[signal.Signals, ...]
 ) -> tuple[list[int], int]:
     """Restart the gateway, and signal it once callers have connected."""
-    gateway = stage.fleet.gateways[0]
+    gateway = environment.fleet.gateways[0]
     kill_member(gateway)
     restart_member(gateway)
     connections = [await connect_early(gateway) for _ in range(CALLER_COUNT)]
