--- a/bench/fault_schedule.py
+++ b/bench/fault_schedule.py
@@ -11,11 +11,11 @@
 from typing import Any
 
 from scripts.faults import CONTROLS
-from scripts.faults import ask_admin
-from scripts.faults import freeze
+from scripts.faults import get_admin_view
 from scripts.faults import post_command
+from scripts.faults import resume_process
 from scripts.faults import set_relays
-from scripts.faults import thaw
+from scripts.faults import suspend_process
 from scripts.launcher import Deployment
 from scripts.launcher import get_status
 from scripts.launcher import kill_process
@@ -123,9 +123,9 @@
         return _restart(system, entry)
 
     if name == "freeze leader":
-        freeze(system, leader)
+        suspend_process(system, leader)
         time.sleep(PAUSE_SECONDS)
-        thaw(system, leader)
+        resume_process(system, leader)
         return leader
 
     if name == "cut off entry":
@@ -156,7 +156,9 @@
 
 def is_healthy(schedule: Schedule) -> bool:
     """Return whether all processes are ready and all members are up to date."""
-    statuses = [ask_admin(schedule.system, node, "status") for node in list_controls()]
+    statuses = [
+        get_admin_view(schedule.system, node, "status") for node in list_controls()
+    ]
     if any(status is None for status in statuses):
         return False
 
@@ -183,7 +185,7 @@
 def get_leader(system: Deployment) -> str:
     """Return the current leader's name, or an empty string if there is none."""
     for node in list_controls():
-        status = ask_admin(system, node, "status")
+        status = get_admin_view(system, node, "status")
         if status is not None and status["leads"]:
             return node
 
@@ -255,7 +257,7 @@
     """Return whether a version is in force, by the first control that responds."""
     path = f"in-force?config_version={version}"
     for node in list_controls():
-        response = ask_admin(system, node, path, 0.5)
+        response = get_admin_view(system, node, path, 0.5)
         if response is not None:
             return bool(response.get("in_force"))
 
--- a/bench/faults.py
+++ b/bench/faults.py
@@ -18,9 +18,9 @@
 from threading import Thread
 from typing import TYPE_CHECKING
 
-from scripts.faults import ask_admin
-from scripts.faults import make_faulty
-from scripts.faults import read_counts
+from scripts.faults import get_admin_view
+from scripts.faults import get_execution_counts
+from scripts.faults import make_faulty_deployment
 from scripts.launcher import stop_all
 from scripts.launcher import wait_until
 from scripts.topology import WORKSPACE
@@ -64,7 +64,7 @@
 
 def run(folder: Path, seconds: float, seed: int, rate: float) -> int:
     """Run once and print the results; return the number of violations and losses."""
-    system = make_faulty(
+    system = make_faulty_deployment(
         folder,
         entries=3,
         engines=3,
@@ -80,7 +80,7 @@
         calls = run_load(system, schedule, seconds, seed, rate)
         wait_until(lambda: all_rows_closed(system), "all rows are closed")
         failed_invariants = list_failed_invariants(system)
-        counts = read_counts(system)
+        counts = get_execution_counts(system)
     finally:
         codes = stop_all(system)
 
@@ -116,7 +116,7 @@
 def all_rows_closed(system: Deployment) -> bool:
     """Return whether the leader has no open ledger row."""
     leader = get_leader(system)
-    status = ask_admin(system, leader, "status") if leader else None
+    status = get_admin_view(system, leader, "status") if leader else None
     return status is not None and status["open_rows"] == 0
 
 
--- a/scripts/faults.py
+++ b/scripts/faults.py
@@ -35,13 +35,13 @@
 
 
 CONTROLS = 3
-WORLD = "world"
+STANDINS_PROCESS = "world"
 """Name of the process that hosts the stand-ins."""
 RELAYS_PROCESS = "world-relays"
 """Name of the process that hosts the relays when it is separate."""
 
 
-def make_faulty(
+def make_faulty_deployment(
     folder: Path,
     *,
     entries: int,
@@ -104,16 +104,16 @@
     if not separate_processes:
         _add_standins_process(
             deployment,
-            WORLD,
+            STANDINS_PROCESS,
             {"engines": engine_settings, "relays": relay_settings, **other_settings},
         )
         return deployment
 
-    _add_standins_process(deployment, WORLD, other_settings)
+    _add_standins_process(deployment, STANDINS_PROCESS, other_settings)
     _add_standins_process(deployment, RELAYS_PROCESS, {"relays": relay_settings})
     for name, engine in engine_settings.items():
         _add_standins_process(
-            deployment, f"{WORLD}-{name}", {"engines": {name: engine}}
+            deployment, f"{STANDINS_PROCESS}-{name}", {"engines": {name: engine}}
         )
 
     return deployment
@@ -139,8 +139,11 @@
     has_own_process = (
         path.startswith("relays/") and RELAYS_PROCESS in deployment.processes
     )
-    ask_world(
-        deployment, path, faults, process=RELAYS_PROCESS if has_own_process else WORLD
+    call_standins(
+        deployment,
+        path,
+        faults,
+        process=RELAYS_PROCESS if has_own_process else STANDINS_PROCESS,
     )
 
 
@@ -150,14 +153,14 @@
         set_faults(deployment, f"relays/{entry}.{control}", **faults)
 
 
-def read_counts(deployment: Deployment) -> dict[str, dict[str, int]]:
+def get_execution_counts(deployment: Deployment) -> dict[str, dict[str, int]]:
     """Return executions of chats and calls by request id, of orders by order id."""
     totals: dict[str, dict[str, int]] = {"chats": {}, "calls": {}, "orders": {}}
     for process in deployment.processes:
-        if not process.startswith(WORLD):
+        if not process.startswith(STANDINS_PROCESS):
             continue
 
-        counts = ask_world(deployment, "counts", None, process=process)
+        counts = call_standins(deployment, "counts", None, process=process)
         for kind, runs in totals.items():
             for name, number in counts[kind].items():
                 runs[name] = runs.get(name, 0) + number
@@ -165,8 +168,8 @@
     return totals
 
 
-def ask_world(
-    deployment: Deployment, path: str, body: Any, *, process: str = WORLD
+def call_standins(
+    deployment: Deployment, path: str, body: Any, *, process: str = STANDINS_PROCESS
 ) -> Any:
     """Call the control port of a stand-in process; return the decoded response."""
     data = None if body is None else json.dumps(body).encode()
@@ -177,7 +180,9 @@
         return json.load(response)
 
 
-def ask_admin(deployment: Deployment, node: str, path: str, timeout: float = 1) -> Any:
+def get_admin_view(
+    deployment: Deployment, node: str, path: str, timeout: float = 1
+) -> Any:
     """Return a view of one control process; None if the request fails."""
     port = deployment.ports[f"{node}.admin"]
     request = urllib.request.Request(
@@ -213,7 +218,9 @@
         return 0, None
 
 
-def make_version(name: str, change_id: str, expected_revision: int) -> dict[str, Any]:
+def make_register_command(
+    name: str, change_id: str, expected_revision: int
+) -> dict[str, Any]:
     """Return the command that registers version 1 of a model."""
     return {
         "type": "RegisterVersion",
@@ -230,16 +237,16 @@
     }
 
 
-def find_leader(deployment: Deployment, *, besides: str = "") -> str:
-    """Wait until a control process other than ``besides`` leads; return it."""
+def wait_for_leader(deployment: Deployment, *, other_than: str = "") -> str:
+    """Wait until a control process other than ``other_than`` leads; return it."""
     leaders: list[str] = []
 
     def has_leader() -> bool:
         for node in name_nodes("control", CONTROLS):
-            if node == besides or not is_alive(deployment, node):
+            if node == other_than or not is_running(deployment, node):
                 continue
 
-            status = ask_admin(deployment, node, "status")
+            status = get_admin_view(deployment, node, "status")
             if status is not None and status["leads"]:
                 leaders.append(node)
                 return True
@@ -250,7 +257,7 @@
     return leaders[-1]
 
 
-def is_alive(deployment: Deployment, name: str) -> bool:
+def is_running(deployment: Deployment, name: str) -> bool:
     """Return whether a process was started and has not exited."""
     popen = deployment.processes[name].popen
     return popen is not None and popen.poll() is None
@@ -262,18 +269,18 @@
     start_process(deployment, name)
 
 
-def wipe_member(deployment: Deployment, node: str) -> None:
+def wipe_control(deployment: Deployment, node: str) -> None:
     """Kill a control process and delete its data folder."""
     kill_process(deployment, node)
     shutil.rmtree(deployment.folder / f"{node}.data")
 
 
-def freeze(deployment: Deployment, name: str) -> None:
+def suspend_process(deployment: Deployment, name: str) -> None:
     """Suspend a process with SIGSTOP."""
     signal_process(deployment, name, signal.SIGSTOP)
 
 
-def thaw(deployment: Deployment, name: str) -> None:
+def resume_process(deployment: Deployment, name: str) -> None:
     """Resume a suspended process with SIGCONT."""
     signal_process(deployment, name, signal.SIGCONT)
 
--- a/tests/system/support.py
+++ b/tests/system/support.py
@@ -18,14 +18,14 @@
 from typing import Any
 
 from scripts.faults import CONTROLS
-from scripts.faults import ask_admin
-from scripts.faults import find_leader
-from scripts.faults import is_alive
-from scripts.faults import make_faulty
+from scripts.faults import get_admin_view
+from scripts.faults import is_running
+from scripts.faults import make_faulty_deployment
 from scripts.faults import read_log
+from scripts.faults import resume_process
 from scripts.faults import set_faults
 from scripts.faults import set_relays
-from scripts.faults import thaw
+from scripts.faults import wait_for_leader
 from scripts.launcher import HOST
 from scripts.launcher import Deployment
 from scripts.launcher import get_status
@@ -82,7 +82,7 @@
 def get_deployment() -> Deployment:
     """Start the deployment that all tests share; it is stopped at exit."""
     folder = tempfile.TemporaryDirectory()
-    deployment = make_faulty(
+    deployment = make_faulty_deployment(
         Path(folder.name),
         entries=len(ENTRIES),
         engines=len(ENGINES),
@@ -153,8 +153,8 @@
 def remove_faults(deployment: Deployment) -> None:
     """Remove every fault and wait until all processes serve."""
     for name in deployment.processes:
-        thaw(deployment, name)
-        if not is_alive(deployment, name):
+        resume_process(deployment, name)
+        if not is_running(deployment, name):
             start_process(deployment, name)
 
     wait_until(lambda: _reset_faults(deployment), "the faults to be removed")
@@ -165,7 +165,7 @@
 
 def _is_control_complete(deployment: Deployment) -> bool:
     """Return whether every control votes and is linked to the leader."""
-    status = ask_admin(deployment, find_leader(deployment), "status")
+    status = get_admin_view(deployment, wait_for_leader(deployment), "status")
     if status is None or len(status["voters"]) < CONTROLS:
         return False
 
--- a/tests/system/test_control.py
+++ b/tests/system/test_control.py
@@ -7,16 +7,16 @@
 from typing import Any
 
 from scripts.faults import CONTROLS
-from scripts.faults import ask_admin
-from scripts.faults import find_leader
-from scripts.faults import freeze
-from scripts.faults import make_version
+from scripts.faults import get_admin_view
+from scripts.faults import get_execution_counts
+from scripts.faults import make_register_command
 from scripts.faults import post_command
-from scripts.faults import read_counts
 from scripts.faults import read_log
+from scripts.faults import resume_process
 from scripts.faults import set_relays
-from scripts.faults import thaw
-from scripts.faults import wipe_member
+from scripts.faults import suspend_process
+from scripts.faults import wait_for_leader
+from scripts.faults import wipe_control
 from scripts.launcher import kill_process
 from scripts.launcher import signal_process
 from scripts.launcher import start_process
@@ -39,7 +39,7 @@
 
     def register_version(self, name: str, expected: int = 0) -> Any:
         """Register a version; return the outcome of the change."""
-        command = make_version(name, f"{name}-{expected}", expected)
+        command = make_register_command(name, f"{name}-{expected}", expected)
         found: list[Any] = []
 
         def attempt() -> bool:
@@ -56,7 +56,7 @@
 
     def get_control_status(self, node: str) -> Any:
         """Return the status of a control process, or an empty dict."""
-        return ask_admin(self.system, node, "status") or {}
+        return get_admin_view(self.system, node, "status") or {}
 
     def send_orders(
         self, done: threading.Event, entry: str, name: str
@@ -76,13 +76,15 @@
         """
         name = "leaderless"
         caller = self.start_caller(self.send_order, DIRECT_ENTRY, name)
-        wait_until(lambda: read_counts(self.system)["orders"].get(name, 0) > 0, name)
-        kill_process(self.system, find_leader(self.system))
+        wait_until(
+            lambda: get_execution_counts(self.system)["orders"].get(name, 0) > 0, name
+        )
+        kill_process(self.system, wait_for_leader(self.system))
         first = caller.result()
         self.assertEqual(first.status, 201)
         again = self.send_order(RELAYED_ENTRY, name)
         self.assertEqual((again.status, again.body), (201, first.body))
-        self.assertEqual(read_counts(self.system)["orders"][name], 1)
+        self.assertEqual(get_execution_counts(self.system)["orders"][name], 1)
 
     def test_paused_leader_resumes(self) -> None:
         """The leader's process is suspended for longer than its lease, then resumes.
@@ -92,15 +94,15 @@
         accepted it, or granted leases on its outdated state, the accepted change would
         be undone.
         """
-        leader = find_leader(self.system)
-        freeze(self.system, leader)
-        rival = make_version("frozen", "rival", 0)
+        leader = wait_for_leader(self.system)
+        suspend_process(self.system, leader)
+        rival = make_register_command("frozen", "rival", 0)
         late = self.pool.submit(post_command, self.system, leader, rival, 30.0)
-        asked = self.pool.submit(ask_admin, self.system, leader, "status", 30.0)
-        find_leader(self.system, besides=leader)
+        asked = self.pool.submit(get_admin_view, self.system, leader, "status", 30.0)
+        wait_for_leader(self.system, other_than=leader)
         accepted = self.register_version("frozen")
         self.assertEqual(accepted["type"], "Accepted")
-        thaw(self.system, leader)
+        resume_process(self.system, leader)
         self.assertFalse(asked.result()["leads"])
         status, outcome = late.result()
         self.assertIn(status, (409, 503), outcome)
@@ -119,15 +121,15 @@
         The member that lost its disk must rejoin under a new id. Once promoted, it
         forms a majority with the leader, so changes are still accepted.
         """
-        leader = find_leader(self.system)
+        leader = wait_for_leader(self.system)
         nodes = [n for n in name_nodes("control", CONTROLS) if n != leader]
         lost, second = nodes
         before = set(self.get_control_status(leader)["voters"])
-        wipe_member(self.system, lost)
+        wipe_control(self.system, lost)
         start_process(self.system, lost)
 
         def is_repaired() -> bool:
-            status = self.get_control_status(find_leader(self.system))
+            status = self.get_control_status(wait_for_leader(self.system))
             voters = {item for item in status["voters"] if item.startswith(lost)}
             return bool(
                 voters - before
@@ -138,9 +140,9 @@
 
         wait_until(is_repaired, f"{lost} to vote again")
         kill_process(self.system, second)
-        find_leader(self.system, besides=second)
+        wait_for_leader(self.system, other_than=second)
         self.assertEqual(self.register_version("repaired")["type"], "Accepted")
-        known = ask_admin(self.system, lost, "config")["versions"]
+        known = get_admin_view(self.system, lost, "config")["versions"]
         self.assertIn("swift@1", [item["version"] for item in known])
 
     def test_isolated_entry_fails_closed_and_recovers(self) -> None:
@@ -168,12 +170,12 @@
         log = read_log(self.system, RELAYED_ENTRY)
         self.assertIn(f"Configuration {version} taken", log)
         self.assertEqual(self.send_order(RELAYED_ENTRY, "cut-off").status, 201)
-        self.assertNotIn("served", read_counts(self.system)["chats"])
+        self.assertNotIn("served", get_execution_counts(self.system)["chats"])
 
     def is_in_force(self, version: int) -> bool:
-        leader = find_leader(self.system)
+        leader = wait_for_leader(self.system)
         path = f"in-force?config_version={version}"
-        return bool((ask_admin(self.system, leader, path) or {}).get("in_force"))
+        return bool((get_admin_view(self.system, leader, path) or {}).get("in_force"))
 
     def test_unresponsive_links_are_replaced(self) -> None:
         """The connections between an entry and control start to drop all data.
@@ -198,13 +200,13 @@
             self.pool.submit(self.send_orders, done, entry, "handed")
             for entry in ENTRIES
         ]
-        leader = find_leader(self.system)
+        leader = wait_for_leader(self.system)
         signal_process(self.system, leader, signal.SIGTERM)
         self.assertEqual(wait_process(self.system, leader), 0)
-        find_leader(self.system, besides=leader)
+        wait_for_leader(self.system, other_than=leader)
         done.set()
         responses = [response for caller in callers for response in caller.result()]
         self.assertEqual({response.status for response in responses}, {201})
-        runs = read_counts(self.system)["orders"]
+        runs = get_execution_counts(self.system)["orders"]
         handed = {name: n for name, n in runs.items() if name.startswith("handed")}
         self.assertEqual(set(handed.values()), {1})
--- a/tests/system/test_orders.py
+++ b/tests/system/test_orders.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from scripts.faults import ask_world
-from scripts.faults import read_counts
+from scripts.faults import call_standins
+from scripts.faults import get_execution_counts
 from scripts.faults import set_faults
 from scripts.faults import set_relays
 from scripts.launcher import kill_process
@@ -29,10 +29,10 @@
     """Each test sends an order with a name of its own, by which the service counts."""
 
     def count_runs(self, name: str) -> int:
-        return read_counts(self.system)["orders"].get(name, 0)
+        return get_execution_counts(self.system)["orders"].get(name, 0)
 
     def has_responded(self) -> bool:
-        return bool(ask_world(self.system, "counts", None)["answering"] == 0)
+        return bool(call_standins(self.system, "counts", None)["answering"] == 0)
 
     def wait_for_run(self, name: str) -> None:
         wait_until(lambda: self.count_runs(name) > 0, f"{name} to run")
--- a/tests/system/test_streams.py
+++ b/tests/system/test_streams.py
@@ -11,11 +11,11 @@
 from concurrent.futures import wait
 from typing import Any
 
-from scripts.faults import WORLD
-from scripts.faults import ask_admin
-from scripts.faults import find_leader
-from scripts.faults import read_counts
+from scripts.faults import STANDINS_PROCESS
+from scripts.faults import get_admin_view
+from scripts.faults import get_execution_counts
 from scripts.faults import set_faults
+from scripts.faults import wait_for_leader
 from scripts.launcher import HOST
 from scripts.launcher import Deployment
 from scripts.launcher import get_status
@@ -68,7 +68,7 @@
             set_faults(self.system, f"engines/{engine}", **faults)
 
     def count_runs(self, response: Response) -> int:
-        return read_counts(self.system)["chats"].get(response.request, 0)
+        return get_execution_counts(self.system)["chats"].get(response.request, 0)
 
     def test_connections_that_fail_in_the_middle(self) -> None:
         """An engine's connection fails, or stops sending, in the middle of a stream.
@@ -138,7 +138,7 @@
         with self.open_stream(DIRECT_ENTRY) as caller:
             data = caller.recv(65_536)
             self.assertIn(b"200 OK", data)
-            kill_process(self.system, WORLD)
+            kill_process(self.system, STANDINS_PROCESS)
             data += b"".join(iter(lambda: caller.recv(65_536), b""))
 
         self.assertNotIn(b"[DONE]", data)
@@ -203,14 +203,14 @@
         self.assertEqual(outcome["type"], "Accepted")
         version = outcome["config_version"]
         wait_until(lambda: self.is_in_force(version), "the withdrawal to be in force")
-        before = read_counts(self.system)["chats"]
+        before = get_execution_counts(self.system)["chats"]
         for entry in (RELAYED_ENTRY, DIRECT_ENTRY):
             response = self.send_chat(entry, "after", **fields)
             self.assertEqual((response.status, response.outcome), (410, "not_run"))
 
         done.set()
         self.assertIn(410, load.result())
-        started = set(read_counts(self.system)["chats"]) - set(before)
+        started = set(get_execution_counts(self.system)["chats"]) - set(before)
         self.assertEqual(started, set())
 
     def send_chats(self, done: threading.Event, fields: dict[str, object]) -> list[int]:
@@ -221,9 +221,9 @@
         return statuses
 
     def is_in_force(self, version: int) -> bool:
-        leader = find_leader(self.system)
+        leader = wait_for_leader(self.system)
         path = f"in-force?config_version={version}"
-        return bool((ask_admin(self.system, leader, path) or {}).get("in_force"))
+        return bool((get_admin_view(self.system, leader, path) or {}).get("in_force"))
 
     def test_session_keeps_its_version_through_entry_loss(self) -> None:
         """The entry that chose a session's version dies, and the session continues.
