--- a/src/waxwingwell/commands/demo.py
+++ b/src/waxwingwell/commands/demo.py
@@ -28,11 +28,11 @@
         results = _run(reactor, Path(folder))
 
     rows = [
-        (item.step, "ok" if item.good else "FAILED", item.happened) for item in results
+        (item.step, "ok" if item.passed else "FAILED", item.summary) for item in results
     ]
     print(tabulate(rows, headers=("step", "", "what happened")))
-    good = bool(results) and all(item.good for item in results)
-    sys.exit(0 if good else 1)
+    passed = bool(results) and all(item.passed for item in results)
+    sys.exit(0 if passed else 1)
 
 
 def _run(reactor: Any, folder: Path) -> list[StepResult]:
--- a/src/waxwingwell/demo/tour.py
+++ b/src/waxwingwell/demo/tour.py
@@ -18,10 +18,10 @@
 from ..messages import StartRollout
 from ..messages import WithdrawVersion
 from ..records import VersionId
-from .caller import read_admin
-from .caller import send_change
-from .caller import send_chat
-from .caller import send_order
+from .client import read_admin
+from .client import send_change
+from .client import send_chat
+from .client import send_order
 
 
 if TYPE_CHECKING:
@@ -42,8 +42,8 @@
     """Outcome of one step, shown as one row of the printed table."""
 
     step: str
-    happened: str
-    good: bool
+    summary: str
+    passed: bool
 
 
 @dataclass(slots=True)
@@ -59,10 +59,10 @@
     tour = Tour(system)
     for name, step in STEPS:
         try:
-            happened = await step(tour)
-            tour.results.append(StepResult(name, happened, good=True))
+            summary = await step(tour)
+            tour.results.append(StepResult(name, summary, passed=True))
         except (AssertionError, TimeoutError, KeyError) as error:
-            tour.results.append(StepResult(name, f"{error!r}", good=False))
+            tour.results.append(StepResult(name, f"{error!r}", passed=False))
 
     return tour.results
 
