--- a/bench/soak/upstreams.py
+++ b/bench/soak/upstreams.py
@@ -59,7 +59,7 @@
     server: asyncio.Server | None = None
     born: int = 0
     sequence: int = 0
-    pace: float = EVENT_SECONDS
+    event_interval: float = EVENT_SECONDS
     """Seconds between two events of a stream."""
     work: float = WORK_SECONDS
     """Seconds of work on a small response."""
@@ -105,7 +105,7 @@
                 writer.transport.abort()
 
 
-async def beat_forever(upstream: Upstream) -> None:
+async def send_heartbeats(upstream: Upstream) -> None:
     """Send heartbeats while the upstream is up."""
     while True:
         if upstream.up:
@@ -168,7 +168,7 @@
 
     Returns False if the connection has to be closed.
     """
-    sent = wire.read_sent(request.headers)
+    sent = wire.read_received_request(request.headers)
     if sent.expected_upstream not in ("", upstream.name) or not upstream.up:
         refusal = wire.write_refusal(sent.request_id)
         writer.write(write_message("HTTP/1.1 421 Misdirected", refusal))
@@ -185,16 +185,16 @@
     )
     upstream.journal.runs.append(run)
     try:
-        return await work_on(upstream, sent, run, writer)
+        return await process_request(upstream, sent, run, writer)
     finally:
         run.ended_at = read_clock()
 
 
-async def work_on(
-    upstream: Upstream, sent: wire.SentRequest, run: Run, writer: StreamWriter
+async def process_request(
+    upstream: Upstream, sent: wire.ReceivedRequest, run: Run, writer: StreamWriter
 ) -> bool:
     """Process a request and send its response; return False after an abort."""
-    headers = wire.write_answer(sent.request_id, upstream.name)
+    headers = wire.write_response(sent.request_id, upstream.name)
     if run.path.startswith("/stream/"):
         return await send_stream(upstream, sent, run, headers, writer)
 
@@ -217,7 +217,7 @@
 
 async def send_stream(
     upstream: Upstream,
-    sent: wire.SentRequest,
+    sent: wire.ReceivedRequest,
     run: Run,
     headers: dict[str, str],
     writer: StreamWriter,
@@ -227,7 +227,9 @@
     lines = [f"{name}: {value}" for name, value in head.items()]
     lines.append("Transfer-Encoding: chunked")
     writer.write("\r\n".join(["HTTP/1.1 200 OK", *lines, "", ""]).encode())
-    pace = LARGE_STREAM_SECONDS / EVENTS if is_large(run.path) else upstream.pace
+    event_interval = (
+        LARGE_STREAM_SECONDS / EVENTS if is_large(run.path) else upstream.event_interval
+    )
     truncated = upstream.rng.random() < upstream.truncated_share
     for number in range(sent.resume_after + 1, EVENTS + 1):
         event = make_event(sent.request_id, run.path, number)
@@ -240,7 +242,7 @@
 
         writer.write(write_chunk(event))
         await writer.drain()
-        await asyncio.sleep(pace)
+        await asyncio.sleep(event_interval)
 
     writer.write(b"0\r\n\r\n")
     await writer.drain()
--- a/bench/versions.py
+++ b/bench/versions.py
@@ -14,12 +14,12 @@
 
 from tabulate import tabulate
 
-from waxwingwell.decisions.evidence import note_rating
-from waxwingwell.decisions.evidence import note_sent
+from waxwingwell.decisions.evidence import record_rating
+from waxwingwell.decisions.evidence import record_sent
 from waxwingwell.decisions.versions import choose_version
 from waxwingwell.experiments.worlds import KINDS
 from waxwingwell.experiments.worlds import World
-from waxwingwell.experiments.worlds import draw_answers
+from waxwingwell.experiments.worlds import draw_qualities
 from waxwingwell.experiments.worlds import make_request
 from waxwingwell.experiments.worlds import make_world
 
@@ -42,11 +42,11 @@
     for name in world.tables.workspaces:
         for kind in KINDS:
             work = make_request(name, kind, "r")
-            answers = draw_answers(world, (name, kind.name))
+            answers = draw_qualities(world, (name, kind.name))
             for version, rating in answers.items():
                 for _ in range(RATINGS):
-                    note_sent(world.tables, work, version, rate=True, now=NOW)
-                    note_rating(world.tables, name, kind, version, rating, NOW)
+                    record_sent(world.tables, work, version, rate=True, now=NOW)
+                    record_rating(world.tables, name, kind, version, rating, NOW)
 
     return world
 
--- a/src/waxwingwell/adapters/entry/attempts.py
+++ b/src/waxwingwell/adapters/entry/attempts.py
@@ -10,14 +10,14 @@
 from opentelemetry.trace import StatusCode
 from twisted.web.client import readBody
 
-from ...decisions.upstreams import note_dispatch
-from ...decisions.upstreams import note_finish
-from ...invariants import Promise
+from ...decisions.upstreams import record_dispatch
+from ...decisions.upstreams import record_finish
+from ...invariants import Invariant
 from ...invariants import check
 from ..telemetry import make_traceparent
 from ..telemetry import start_span
-from .relay import End
 from .relay import RelayProtocol
+from .relay import StreamEnd
 from .upstream_client import AttemptError
 from .upstream_client import UpstreamCall
 from .upstream_client import discard_response
@@ -52,7 +52,7 @@
         raise AttemptError(f"{upstream} has left", may_have_run=False)
 
     check(
-        Promise.NO_NEW_WORK_WHEN_LEAVING,
+        Invariant.NO_NEW_WORK_WHEN_LEAVING,
         not row.announcement.leaving,
         lambda: f"work was dispatched to leaving upstream {upstream}",
     )
@@ -77,15 +77,15 @@
     )
     attempt_span.set_attribute("upstream", upstream)
     call = make_call(make_traceparent(attempt_span))
-    note_dispatch(context.tables, upstream, work, now=context.clock())
+    record_dispatch(context.tables, upstream, work, now=context.clock())
     limit = context.settings.progress_timeout * HEADERS_TIMEOUT_FACTOR
     try:
         response = await send_call(context, row, call, limit=limit)
-        context.ran.add(work.request)
+        context.attempted.add(work.request)
         check_response_id(response, call)
     except AttemptError as error:
         if error.may_have_run:
-            context.ran.add(work.request)
+            context.attempted.add(work.request)
 
         attempt_span.set_status(StatusCode.ERROR, str(error))
         finish_attempt(context, upstream, failed=True)
@@ -102,7 +102,9 @@
     if response_id and response_id != call.request:
         discard_response(response)
         # The reason reaches the caller, so it must not contain another request's id.
-        logger.warning("entry: {} was answered as {}.", call.request, response_id)
+        logger.warning(
+            "entry: Response to {} carries request id {}.", call.request, response_id
+        )
         raise AttemptError("the answer was another request's", may_have_run=True)
 
 
@@ -110,7 +112,7 @@
     context: EntryContext, upstream: UpstreamId, *, failed: bool
 ) -> None:
     """Count a finished attempt; ``failed`` if the upstream was at fault."""
-    note_finish(context.tables, upstream, failed=failed, now=context.clock())
+    record_finish(context.tables, upstream, failed=failed, now=context.clock())
 
 
 async def read_response_body(
@@ -134,7 +136,7 @@
 
 async def relay_body(
     context: EntryContext, response: Any, stream: EventStream, sink: Sink
-) -> End:
+) -> StreamEnd:
     """Relay a response's events; return the reason why the relay ended."""
     relay = RelayProtocol(
         stream,
--- a/src/waxwingwell/adapters/gateway/arrivals.py
+++ b/src/waxwingwell/adapters/gateway/arrivals.py
@@ -8,18 +8,18 @@
 from ...routing.lookup import find_route
 from ...routing.lookup import find_workspace
 from ...routing.records import RouteKind
-from ...routing.retries import note_request
+from ...routing.retries import record_request
 from ..events import log_event
 from ..http.records import find_header
-from ..measures import REQUESTS
+from ..metrics import REQUESTS
 from .choice import choose_service
 from .choice import find_session_key
 from .endings import RETRY_AFTER
 from .endings import retry_after
 from .exchange import Exchange
-from .waiting import Waiting
+from .waiting import QueuedRequest
+from .waiting import compute_wait_limit
 from .waiting import enqueue_request
-from .waiting import find_wait
 
 
 if TYPE_CHECKING:
@@ -51,12 +51,12 @@
         serve_request(context, request, facts, responder, now)
         return
 
-    limit = find_wait(context.startup_queue, facts.budget)
+    limit = compute_wait_limit(context.startup_queue, facts.budget)
     if limit <= 0.0:
         refuse(facts, responder, 503, NO_CONFIGURATION)
         return
 
-    waiting = Waiting(
+    waiting = QueuedRequest(
         serve=partial(serve_request, context, request, facts, responder, now),
         refuse=partial(refuse, facts, responder, 503, NO_CONFIGURATION),
     )
@@ -103,7 +103,7 @@
         return
 
     service = choose_service(route, find_session_key(facts))
-    note_request(context.retries, service, now, context.settings.retries)
+    record_request(context.retries, service, now, context.settings.retries)
     Exchange(context, request, facts, route, workspace, responder, arrived_at).start()
 
 
--- a/src/waxwingwell/adapters/http/server.py
+++ b/src/waxwingwell/adapters/http/server.py
@@ -15,7 +15,7 @@
 from twisted.internet.protocol import connectionDone
 
 from ..events import log_event
-from ..measures import ANSWERS_CUT
+from ..metrics import TRUNCATED_RESPONSES
 from .output import SendBuffer
 from .records import HeaderList
 from .records import HttpLimits
@@ -182,7 +182,7 @@
         if not self.unsent:
             return
 
-        ANSWERS_CUT.inc()
+        TRUNCATED_RESPONSES.inc()
         log_event(
             "http: Answer cut",
             request=self._last_request_id,
@@ -403,17 +403,17 @@
         return HttpConnection(self.service)
 
 
-def is_settled(service: HttpService) -> bool:
+def is_drained(service: HttpService) -> bool:
     """Tell whether all responses have been sent, as a planned stop requires.
 
     It is not enough that no request is in progress: the last bytes of a response may
     still be buffered, for the reactor's next turn or for a slow reader. They would be
     dropped as the process ends, and the caller would get a truncated response.
     """
-    return not count_unsettled(service)
+    return not count_undrained(service)
 
 
-def count_unsettled(service: HttpService) -> int:
+def count_undrained(service: HttpService) -> int:
     """Return the number of connections with a request or a response in progress."""
     return sum(not connection.drained for connection in service.connections)
 
--- a/src/waxwingwell/commands/demo.py
+++ b/src/waxwingwell/commands/demo.py
@@ -12,7 +12,7 @@
 from twisted.internet.defer import Deferred
 
 from ..adapters.settings import EmbeddedSettings
-from ..adapters.telemetry import start_logs
+from ..adapters.telemetry import start_logging
 
 
 if TYPE_CHECKING:
@@ -23,16 +23,16 @@
     """Run the tour on free ports and print its results; exit 0 if all steps passed."""
     from twisted.internet import reactor
 
-    start_logs(log_level)
+    start_logging(log_level)
     with tempfile.TemporaryDirectory() as folder:
         results = _run(reactor, Path(folder))
 
     rows = [
-        (item.step, "ok" if item.good else "FAILED", item.happened) for item in results
+        (item.step, "ok" if item.passed else "FAILED", item.summary) for item in results
     ]
     print(tabulate(rows, headers=("step", "", "what happened")))
-    good = bool(results) and all(item.good for item in results)
-    sys.exit(0 if good else 1)
+    passed = bool(results) and all(item.passed for item in results)
+    sys.exit(0 if passed else 1)
 
 
 def _run(reactor: Any, folder: Path) -> list[StepResult]:
--- a/src/waxwingwell/state/demand.py
+++ b/src/waxwingwell/state/demand.py
@@ -34,14 +34,14 @@
 
 
 @dataclass(slots=True)
-class DemandMemory:
+class DemandTable:
     """The latest message of each other entry, least recently received first."""
 
     rows: dict[EntryId, EntryDemand] = field(default_factory=dict)
 
 
-def take_demand(
-    memory: DemandMemory, tables: Tables, message: SpreadDemand, now: float
+def apply_demand(
+    memory: DemandTable, tables: Tables, message: SpreadDemand, now: float
 ) -> bool:
     """Store another entry's demand; return false if a newer message is stored."""
     row = memory.rows.get(message.entry)
@@ -53,7 +53,7 @@
     while len(memory.rows) > MAX_SENDERS:
         del memory.rows[next(iter(memory.rows))]
 
-    sum_demand(memory, tables, now)
+    update_total_demand(memory, tables, now)
     return True
 
 
@@ -62,15 +62,15 @@
     return message.incarnation, message.sequence
 
 
-def sum_demand(memory: DemandMemory, tables: Tables, now: float) -> None:
+def update_total_demand(memory: DemandTable, tables: Tables, now: float) -> None:
     """Write the other entries' total demand into the tables; called on each tick.
 
     The demand of an entry that crashed or is partitioned off is ignored after
     ``DEMAND_TIMEOUT``, so that its last report doesn't block a workspace for good.
     """
     for demand in tables.demand.values():
-        demand.elsewhere_in_flight = 0
-        demand.elsewhere_rate = 0.0
+        demand.other_entries_in_flight = 0
+        demand.other_entries_rate = 0.0
 
     expired = []
     for entry, row in memory.rows.items():
@@ -90,8 +90,8 @@
     triples = zip(message.workspaces, message.in_flight, message.rates, strict=True)
     for workspace, in_flight, rate in triples:
         demand = tables.demand.setdefault(workspace, WorkspaceDemand())
-        demand.elsewhere_in_flight += in_flight
-        demand.elsewhere_rate += rate
+        demand.other_entries_in_flight += in_flight
+        demand.other_entries_rate += rate
 
 
 def make_demand(
--- a/src/waxwingwell/state/ledger.py
+++ b/src/waxwingwell/state/ledger.py
@@ -12,7 +12,7 @@
 from sys import intern
 from typing import TYPE_CHECKING
 
-from ..invariants import Promise
+from ..invariants import Invariant
 from ..invariants import check
 from ..messages import AlreadyOpen
 from ..messages import AlreadySettled
@@ -30,7 +30,7 @@
 from ..records import VersionId
 from ..records import WorkspaceId
 from .attempts import has_ended
-from .attempts import note_ended
+from .attempts import record_ended
 from .retention import advance_clock
 from .retention import bill_row
 from .retention import close_row
@@ -79,7 +79,7 @@
     if not may_reopen(ledger, existing, row):
         return AlreadySettled(row=existing)
 
-    note_ended(ledger, existing.request)
+    record_ended(ledger, existing.request)
     return _open_row(ledger, row)
 
 
@@ -140,7 +140,7 @@
     row_key = (row.workspace, row.key)
     before = ledger.rows.get(row_key)
     check(
-        Promise.AT_MOST_ONCE,
+        Invariant.AT_MOST_ONCE,
         before is None or before.outcome is OutcomeKind.NOT_RUN,
         lambda: f"{row_key} reopened after {before and before.outcome}",
     )
@@ -191,19 +191,19 @@
 
     row = ledger.rows.get(row_key)
     if row is None:
-        note_ended(ledger, command.request)
+        record_ended(ledger, command.request)
         text = "no row under this key; it was never reserved or is past its retention"
         return Rejected(findings=(Finding("key", text),))
 
     if row.request != command.request:
-        note_ended(ledger, command.request)
+        record_ended(ledger, command.request)
         return Settled(row=row, changed=False)
 
     if row.status is not RowStatus.OPEN and ledger.swept.get(row_key) != row.request:
         return Settled(row=row, changed=False)
 
     not_billed = row.status is RowStatus.OPEN or row_key in ledger.swept
-    check(Promise.BILLED_ONCE, not_billed, lambda: f"{row_key} settled twice")
+    check(Invariant.BILLED_ONCE, not_billed, lambda: f"{row_key} settled twice")
     settled = close_row(ledger, row_key, _make_settled_row(ledger, row, command))
     bill_row(ledger, row_key, settled)
     return Settled(row=settled, changed=True)
--- a/tests/adapters/gateway/support.py
+++ b/tests/adapters/gateway/support.py
@@ -16,21 +16,21 @@
 from twisted.internet.testing import StringTransportWithDisconnection
 from twisted.python.failure import Failure
 
+from tests.routing.factories import make_announcement
 from tests.routing.factories import make_document
-from tests.routing.factories import make_news
 from tests.routing.factories import make_route
 from waxwingwell.adapters.gateway.arrivals import handle_request
 from waxwingwell.adapters.gateway.context import GatewayContext
-from waxwingwell.adapters.gateway.dialect import AnswerFacts
 from waxwingwell.adapters.gateway.dialect import Dialect
 from waxwingwell.adapters.gateway.dialect import Dispatch
 from waxwingwell.adapters.gateway.dialect import RequestFacts
+from waxwingwell.adapters.gateway.dialect import ResponseFacts
 from waxwingwell.adapters.gateway.settings import GatewaySettings
 from waxwingwell.adapters.http.records import HeaderList
 from waxwingwell.adapters.http.records import HttpLimits
 from waxwingwell.adapters.http.server import HttpConnection
 from waxwingwell.adapters.http.server import HttpService
-from waxwingwell.routing.fleet import take_news
+from waxwingwell.routing.fleet import apply_announcement
 from waxwingwell.routing.lookup import index_document
 
 
@@ -61,11 +61,11 @@
     return kept
 
 
-def read_answer(status: int, headers: HeaderList) -> AnswerFacts:
+def read_response(status: int, headers: HeaderList) -> ResponseFacts:
     """Decode the head of an upstream's response."""
     found = {name.lower(): value.decode() for name, value in headers}
     confidence = found.get(b"x-confidence")
-    return AnswerFacts(
+    return ResponseFacts(
         not_run=b"x-not-run" in found,
         signed=b"x-signed" in found,
         request_id=found.get(b"x-id"),
@@ -73,7 +73,7 @@
     )
 
 
-DIALECT = Dialect(read_request, write_request, read_answer)
+DIALECT = Dialect(read_request, write_request, read_response)
 
 
 class Transport(StringTransportWithDisconnection):
@@ -86,7 +86,7 @@
     aborted = False
     half_closed = False
     held = False
-    stays = False
+    keeps_sending = False
     """Whether the peer continues to send after this end was half-closed."""
     waiting = b""
 
@@ -121,7 +121,7 @@
     def loseWriteConnection(self) -> None:  # noqa: N802
         """Half-close the connection."""
         self.half_closed = True
-        if not self.stays:
+        if not self.keeps_sending:
             self.loseConnection()
 
     def setTcpNoDelay(self, enabled: bool) -> None:  # noqa: N802
@@ -269,7 +269,7 @@
     document = make_document(routes=(make_route(**route),))
     gateway.context.index = index_document(document)
     for name in names or ("u1", "u2", "u3"):
-        take_news(gateway.context.fleet, make_news(name), 0.0)
+        apply_announcement(gateway.context.fleet, make_announcement(name), 0.0)
 
     gateway.service = HttpService(
         reactor=gateway.reactor,
@@ -303,7 +303,7 @@
     return f"{len(data):x}\r\n".encode() + data + b"\r\n"
 
 
-def note_lines(action: Callable[[], None]) -> list[Any]:
+def capture_log(action: Callable[[], None]) -> list[Any]:
     """Return the log records that an action produces."""
     found: list[Any] = []
     sink = logger.add(lambda text: found.append(text.record))
--- a/tests/adapters/test_tls.py
+++ b/tests/adapters/test_tls.py
@@ -29,14 +29,14 @@
 from tests.adapters.certificates import make_authority
 from tests.adapters.certificates import write_key
 from tests.standins.support import AsyncTestCase
-from waxwingwell.adapters.bodies import Body
 from waxwingwell.adapters.control.daemon import start_control
 from waxwingwell.adapters.control.daemon import stop_control
 from waxwingwell.adapters.entry.daemon import start_entry
 from waxwingwell.adapters.entry.daemon import stop_entry
-from waxwingwell.adapters.entry.upkeep import renew_once
-from waxwingwell.adapters.entry.upkeep import stop_upkeep
+from waxwingwell.adapters.entry.periodic import renew_once
+from waxwingwell.adapters.entry.periodic import stop_periodic_tasks
 from waxwingwell.adapters.exceptions import SettingsError
+from waxwingwell.adapters.link_messages import Body
 from waxwingwell.adapters.links import Link
 from waxwingwell.adapters.links import LinkFactory
 from waxwingwell.adapters.links import LinkHandlers
@@ -345,7 +345,7 @@
         self.casts: list[Any] = []
 
     def make_node(self, name: str) -> LinkNode:
-        def take_call(sender: str, body: Any) -> Deferred[Any]:
+        def handle_call(sender: str, body: Any) -> Deferred[Any]:
             reply: Deferred[Any] = Deferred()
             reply.callback(InForce(in_force=sender == "near"))
             return reply
@@ -354,8 +354,8 @@
             name=name,
             reactor=REACTOR,
             handlers=LinkHandlers(
-                take_call=take_call,
-                take_cast=lambda sender, body: self.casts.append(sender),
+                handle_call=handle_call,
+                handle_cast=lambda sender, body: self.casts.append(sender),
                 body_type=Body,
             ),
             timing=LinkTiming(),
@@ -530,14 +530,14 @@
             link = entry.context.control.links["control-1"]
             link.on_up = lambda: up.callback(None)
             await up.addTimeout(TIMEOUT, REACTOR)
-            while entry.upkeep.renewal is None:
+            while entry.periodic_tasks.renewal is None:
                 await renew_once(entry.context)
 
             self.assertEqual(await self.ask(entry.caller_port), 200)
             self.assertEqual(await self.ask(control.admin_port), 0)
             self.assertEqual(await self.ask(entry.upstream_port), 0)
             # Replies arrive in order, so no earlier renewal is still pending after it.
-            stop_upkeep(entry.upkeep)
+            stop_periodic_tasks(entry.periodic_tasks)
             await renew_once(entry.context)
             self.assertTrue(may_admit(entry.context.lease, entry.context.clock()))
         finally:
--- a/tests/platform_adapter/test_start.py
+++ b/tests/platform_adapter/test_start.py
@@ -71,13 +71,13 @@
 def start(fields):
     {in_start}
     return main.Role(
-        stop=lambda told_at: print("stopped", told_at <= main.read_clock()),
+        stop=lambda requested_at: print("stopped", requested_at <= main.read_clock()),
         reload=lambda new: None,
     )
 main.start_gateway = start
 main._reactor = Reactor
 start_of_process = ProcessStart(main.read_clock())
-main.keep_signals(start_of_process)
+main.record_signals(start_of_process)
 {before}
 main.main(["start.py", "gateway"], start_of_process)
 {after}
--- a/tests/state/test_recovery.py
+++ b/tests/state/test_recovery.py
@@ -14,13 +14,13 @@
 from tests.state.consensus.fakes import lose_disk
 from tests.state.consensus.fakes import make_cluster
 from tests.state.consensus.fakes import open_fake_store
-from tests.state.consensus.fakes import put
+from tests.state.consensus.fakes import propose_command
 from tests.state.consensus.fakes import run_for
 from tests.state.consensus.fakes import start_node
 from waxwingwell.state.exceptions import InvalidMemberError
 from waxwingwell.state.group import term_of
 from waxwingwell.state.recovery import describe_store
-from waxwingwell.state.recovery import keep_alone
+from waxwingwell.state.recovery import make_only_voter
 
 
 class RecoveryTest(unittest.TestCase):
@@ -36,7 +36,7 @@
         await_voters(cluster)
         leader = await_leader(cluster)
         for number in range(100):
-            put(cluster, leader, b"%d" % number)
+            propose_command(cluster, leader, b"%d" % number)
 
         run_for(cluster, 1.0)
         term = term_of(group_of(cluster, leader))
@@ -51,7 +51,7 @@
         store = open_fake_store(cluster.nodes[leader].disk)
         before = describe_store(store)
         self.assertEqual(len(before.voters), 3)
-        kept = keep_alone(store)
+        kept = make_only_voter(store)
         self.assertEqual(kept.voters, (before.member,))
         start_node(cluster, leader)
         self.assertEqual(lease_holders(cluster), [leader])
@@ -64,4 +64,4 @@
 
     def test_empty_disk_is_rejected(self) -> None:
         with self.assertRaisesRegex(InvalidMemberError, "holds no group"):
-            keep_alone(open_fake_store(Disk()))
+            make_only_voter(open_fake_store(Disk()))
