--- a/src/waxwingwell/adapters/links.py
+++ b/src/waxwingwell/adapters/links.py
@@ -149,7 +149,9 @@
             for item in self._unpacker:
                 self._handle_frame(msgspec.convert(item, type=Frame))
         except (msgspec.ValidationError, ValueError, msgpack.UnpackException) as error:
-            logger.warning("link: Malformed frame from {}: {}.", self.remote, error)
+            logger.warning(
+                "link: Closed the connection to {}: bad frame, {}.", self.remote, error
+            )
             self.abort()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
--- a/src/waxwingwell/adapters/registry/members.py
+++ b/src/waxwingwell/adapters/registry/members.py
@@ -95,7 +95,7 @@
         )
     except CorruptStorageError as error:
         log_event(
-            "registry: Data is corrupt, erasing it to rejoin the group",
+            "registry: Data is unreadable, erasing it to rejoin the group",
             reason=str(error),
         )
         erase_data(context)
