--- a/Makefile
+++ b/Makefile
@@ -4,8 +4,9 @@
 BIN := $(VENV)/bin
 STAMP := $(VENV)/.installed
 
-# Deployments of the users that each landing is played on; `make regression` needs their
-# bench in PLATFORM_BENCH and the folder of their site files in PLATFORM_SITES.
+# Users' deployments that `make regression` scores for each landing: paths of site files
+# below the folder PLATFORM_SITES, without .toml. PLATFORM_BENCH is the path of their
+# bench; both must be set.
 REGRESSION_SITES := large/entoto-fit-large further/kwahu-birds \
 	further-grown/kwahu-birds-grown grown/entoto-fit-grown grown/papa-frio-grown
 
