--- a/src/waxwingwell/decisions/accounts.py
+++ b/src/waxwingwell/decisions/accounts.py
@@ -22,7 +22,7 @@
 DEBT_CAP = 50.0
 """Maximum debt in rating points."""
 RECENT_WINDOW_RATINGS = 24.0
-"""Mean age, in ratings, over which ``RatingStats.recent_*`` decay exponentially."""
+"""Time constant, in ratings, of the decay of ``RatingStats.recent_*``."""
 MIN_RECENT_RATINGS = 12.0
 """Decayed number of recent ratings below which no change is detected."""
 CHANGE_STANDARD_ERRORS = 4.0
--- a/src/waxwingwell/decisions/admission.py
+++ b/src/waxwingwell/decisions/admission.py
@@ -48,7 +48,10 @@
 
 
 def admit(tables: Tables, work: Work, now: float) -> Admitted | Refusal:
-    """Admit the work and count it, or refuse it and count nothing."""
+    """Admit the work and count it, or refuse it.
+
+    A refusal uses up no token; it counts only in the workspace's offered rate.
+    """
     config = tables.workspaces.get(work.workspace)
     if config is None:
         return Refusal("unknown_workspace", "the workspace is not configured", 403)
@@ -162,7 +165,10 @@
 
 
 def release(tables: Tables, work: Work, now: float) -> None:
-    """Undo the counts of ``admit``; call it once for each admitted request."""
+    """Undo the in-flight counts of ``admit``, and release the request's claim.
+
+    Call it once for each admitted request. The token is not returned.
+    """
     release_claim(tables, work.request)
     demand = tables.demand.get(work.workspace)
     if demand is None:
--- a/src/waxwingwell/decisions/candidates.py
+++ b/src/waxwingwell/decisions/candidates.py
@@ -41,7 +41,7 @@
 
     rows: list[UpstreamRow] = field(default_factory=list)
     ejected: UpstreamRow | None = None
-    """The upstream excluded only by its ejection whose ejection ends first."""
+    """Of the upstreams that only an ejection excludes, the one whose ends first."""
 
 
 def find_candidates(
--- a/src/waxwingwell/decisions/cascades.py
+++ b/src/waxwingwell/decisions/cascades.py
@@ -27,7 +27,10 @@
 CASCADE_TARGET_SLACK = 0.02
 """Rating points by which a cascade's target is lowered when credit is at its cap."""
 LATENCY_PENALTY = 0.1
-"""Share of the cost that a cascade must save to justify its added latency."""
+"""Share of its cost by which a cascade must be cheaper, at a latency weight of 1.
+
+It makes up for the latency of the second response.
+"""
 BISECTION_STEPS = 7
 """Bisection steps over the threshold's range; the last is smaller than 0.01."""
 
--- a/src/waxwingwell/decisions/claims.py
+++ b/src/waxwingwell/decisions/claims.py
@@ -1,4 +1,4 @@
-"""Reservations of upstream capacity between the choice and the dispatch.
+"""Claims: slots reserved at an upstream between the choice and the dispatch.
 
 An order waits a few milliseconds for its ledger row between the two. If its slot
 looked free in that time, draining the queue would send all queued orders to the same
--- a/src/waxwingwell/decisions/comparisons.py
+++ b/src/waxwingwell/decisions/comparisons.py
@@ -91,10 +91,11 @@
 
 
 def _find_baseline(sums: RatingSums, incumbent_recent: RatingSums | None) -> float:
-    """Return the incumbent's mean in a cell, bounded by its recent mean.
+    """Return the incumbent's mean in a cell, or its recent upper bound if lower.
 
     If the work becomes harder, both versions' ratings fall, and a candidate compared
-    with old ratings would be rolled back without being worse.
+    with old ratings would be rolled back without being worse. So the mean is limited to
+    one standard error above the recent mean.
     """
     mean = sums.total / sums.rated
     if incumbent_recent is None or incumbent_recent.rated < MIN_INCUMBENT_RATINGS:
--- a/src/waxwingwell/decisions/exploration.py
+++ b/src/waxwingwell/decisions/exploration.py
@@ -22,7 +22,7 @@
 REJECT_DEVIATIONS = 3.0
 """Standard errors below the target at which a version is no longer explored."""
 UNCERTAIN_REJECT_DEVIATIONS = 5.0
-"""The same for a version whose few ratings may be poor by chance."""
+"""``REJECT_DEVIATIONS`` for versions whose few ratings may be poor by chance."""
 EXPLORE_PROBABILITY = 0.8
 """Probability that a request may explore while the budget lasts."""
 EXPLORE_BASE = 300.0
@@ -30,7 +30,7 @@
 EXPLORE_SHARE = 0.05
 """Additional budget as a share of responses, at an exposure weight of 0."""
 PROBE_SHARE = 0.015
-"""Share of responses that may probe versions whose mean is below the target."""
+"""Share of responses that may probe cheaper versions, even if they seem too poor."""
 PROBE_MIN_SPARE_CREDIT = 0.5
 """Spare credit that probing requires, where 1 is the cap."""
 PROBE_MAX_RATINGS = 60.0
@@ -40,7 +40,7 @@
 EXPLORE_MIN_CREDIT = -1.5
 """Credit, in rating points, below which exploration is suspended."""
 EXPLORE_MAX_OUTSTANDING = 12
-"""Cap on explored responses with an outstanding rating, since ratings lag."""
+"""Cap on a version's outstanding ratings by workspace and kind, since ratings lag."""
 
 
 def get_exploration_limit(
@@ -119,7 +119,7 @@
     """Return the expected improvement of a version over the target.
 
     See Jones, Schonlau and Welch (1998). It is small for versions known to miss the
-    target and for versions whose mean is known precisely.
+    target, and for those close to it whose mean is known precisely.
     """
     estimate = option.estimate
     distance = (estimate.mean - context.target) / estimate.error
--- a/src/waxwingwell/decisions/holders.py
+++ b/src/waxwingwell/decisions/holders.py
@@ -22,7 +22,7 @@
 
 
 MIN_HOLDERS = 2
-"""Minimum number of holders of a version, so that one may fail."""
+"""Minimum number of holders of a version that receives work, so that one may fail."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/waxwingwell/decisions/options.py
+++ b/src/waxwingwell/decisions/options.py
@@ -101,8 +101,9 @@
 def find_primary(context: ChoiceContext) -> Option:
     """Return the cheapest confident option, or else the one with the best upper bound.
 
-    If all known versions miss the target, a better unknown one would never get a
-    request with a lower bound, since its large error would count against it.
+    If all known versions miss the target, and options were ranked by a lower bound, a
+    better unknown one would never get a request: its large error would count against
+    it.
     """
     for option in context.options:
         if is_confident(context, option):
@@ -128,7 +129,7 @@
 
 
 def get_spare_credit(context: ChoiceContext) -> float:
-    """Return the spare credit, from 0 to 1 at the cap.
+    """Return the spare credit, from 0 at half of the cap to 1 at the cap.
 
     Versions close to the target stay uncertain, so an expensive one far above it would
     serve all requests and exceed the requested quality. Spare credit lowers the
--- a/src/waxwingwell/decisions/prefixes.py
+++ b/src/waxwingwell/decisions/prefixes.py
@@ -87,7 +87,7 @@
 def record_prefixes(
     tables: Tables, upstream: UpstreamId, digests: Iterable[str], now: float
 ) -> None:
-    """Record that the upstream received prompts with these prefixes at ``now``."""
+    """Record that prompts with these prefixes are at the upstream as of ``now``."""
     row = tables.upstreams.get(upstream)
     if row is None:
         return
--- a/src/waxwingwell/decisions/retries.py
+++ b/src/waxwingwell/decisions/retries.py
@@ -70,7 +70,8 @@
     """Return whether a retry can neither run work twice nor corrupt a response.
 
     A request that provably did not run may always be retried. One that may have run
-    may be retried only if it is idempotent and no part of the response has been sent.
+    may be retried only if it is idempotent and the caller has received no part of the
+    response.
     """
     if dispatch_state in (DispatchState.NOT_SENT, DispatchState.REFUSED):
         return True
--- a/src/waxwingwell/decisions/shares.py
+++ b/src/waxwingwell/decisions/shares.py
@@ -21,9 +21,9 @@
     """Return the workspaces and priorities that exceed their fair share.
 
     By priority alone, a workspace that floods the highest priority would starve all
-    others. So when its running work of a priority and above takes most of the
-    capacity and another workspace waits, its further work of that priority goes last
-    and is limited as the lowest priority is.
+    others. So when its running work of a priority and above exceeds
+    ``MAX_RUNNING_SHARE`` of all running work and another workspace waits, its further
+    work of that priority goes last and is limited as the lowest priority is.
     """
     names = {waiting.work.workspace for waiting in tables.waiting.values()}
     if len(names) < 2:
--- a/src/waxwingwell/decisions/tables.py
+++ b/src/waxwingwell/decisions/tables.py
@@ -40,7 +40,7 @@
     """Consecutive failures."""
     ejected_until: float = 0.0
     prefixes: dict[str, float] = field(default_factory=dict)
-    """Time of the last request, by digest of its prompt prefixes."""
+    """When a prompt prefix was last sent to or reported by the upstream, by digest."""
     finished: list[float] = field(default_factory=list)
     """Times of this entry's completions since the load report, oldest first."""
     prefill_until: float = 0.0
@@ -173,7 +173,7 @@
     claims: dict[str, UpstreamId] = field(default_factory=dict)
     """Upstream with a slot reserved, by request id."""
     enqueued: int = 0
-    """Number of requests enqueued so far, the number of the latest one."""
+    """Number of requests enqueued so far; the latest one has it as ``number``."""
     finish_rate: float = 0.0
     """Smoothed completions per second at this entry."""
     finish_rate_updated_at: float = 0.0
--- a/src/waxwingwell/decisions/versions.py
+++ b/src/waxwingwell/decisions/versions.py
@@ -88,7 +88,7 @@
 
 
 def have_ratings_stopped(tables: Tables, now: float) -> bool:
-    """Return whether the last rating is so old that the evidence is stale."""
+    """Return whether there is no rating yet, or the last one is stale."""
     return (
         not tables.last_rating_at or now - tables.last_rating_at > RATING_STALE_SECONDS
     )
--- a/tests/decisions/test_upstreams.py
+++ b/tests/decisions/test_upstreams.py
@@ -159,7 +159,7 @@
         """
         cases: dict[str, dict[str, Any]] = {
             "failed": {"failures": 1},
-            "on trial": {"probing": True},
+            "probing": {"probing": True},
         }
         for name, changes in cases.items():
             with self.subTest(name):
--- a/tests/decisions/test_versions.py
+++ b/tests/decisions/test_versions.py
@@ -382,7 +382,7 @@
 
 
 def make_all_statuses() -> Tables:
-    """Return tables with also an ending, a withdrawn and a disallowed version."""
+    """Return tables that also hold an ending, a withdrawn and a disallowed version."""
     tables = make_tables()
     cheap = tables.versions[CHEAP]
     extra = (
