--- a/src/waxwingwell/state/consensus/elections.py
+++ b/src/waxwingwell/state/consensus/elections.py
@@ -141,7 +141,10 @@
 
 
 def notify_if_expelled(replica: Replica, sender: str) -> bool:
-    """Notify a removed member, so that it stops and logs why; return if removed."""
+    """Notify a member whose removal is committed, so that it stops and logs why.
+
+    Return whether it was notified.
+    """
     if sender not in replica.membership.removed:
         return False
 
--- a/src/waxwingwell/state/consensus/lease.py
+++ b/src/waxwingwell/state/consensus/lease.py
@@ -43,7 +43,7 @@
 
 
 def holds_lease(replica: Replica, now: float) -> bool:
-    """Return whether this member is the leader and no other can be at this time.
+    """Return whether this member holds the lease, so that no other can hold one now.
 
     A leader that was suspended or partitioned finds ``now`` past the end of its
     lease, even before it receives any message of a new leader.
--- a/src/waxwingwell/state/consensus/messages.py
+++ b/src/waxwingwell/state/consensus/messages.py
@@ -98,7 +98,10 @@
 
 
 class Expelled(ConsensusMessage, frozen=True, kw_only=True):
-    """Notification that the target's id is no longer a member of the group."""
+    """Notification that the target's id is no longer a member of the group.
+
+    For example, its disk was replaced, or another member took its place meanwhile.
+    """
 
 
 ConsensusBody = (
--- a/src/waxwingwell/state/consensus/replication.py
+++ b/src/waxwingwell/state/consensus/replication.py
@@ -187,7 +187,7 @@
 
 
 def record_match(replica: Replica, progress: Progress, match: int) -> None:
-    """Record up to where a member holds the log durably; advance the commit."""
+    """Record up to where a member holds the log durably; advance the commit index."""
     if match < progress.match:
         return
 
@@ -266,9 +266,9 @@
     hold one, so the lease is released for the rest of the term first.
 
     The whole log must be committed, too. If the target held a command before a
-    majority did, its election would end the term: the proposer would be notified of
-    a lost command that is then applied. No proposals are accepted during a transfer,
-    so all are committed soon if a majority responds.
+    majority did, its election would end the term: the proposer would be notified that
+    the command was lost, although it is then applied. No proposals are accepted during
+    a transfer, so all are committed soon if a majority responds.
     """
     transfer = replica.transfer
     if transfer is None or transfer.sent:
--- a/src/waxwingwell/state/consensus/snapshots.py
+++ b/src/waxwingwell/state/consensus/snapshots.py
@@ -97,7 +97,7 @@
 
 
 def receive_snapshot(replica: Replica, message: InstallSnapshot, now: float) -> None:
-    """Install the leader's snapshot if it is ahead of the commit; respond."""
+    """Install the leader's snapshot if it is ahead of the commit index; respond."""
     if message.term < replica.term:
         send_snapshot_response(replica, message, 0)
         return
--- a/tests/state/consensus/fakes.py
+++ b/tests/state/consensus/fakes.py
@@ -164,7 +164,10 @@
 
 
 def start_node(cluster: Cluster, name: str, heard_at: float | None = None) -> None:
-    """Start a member from its disk; it heard no leader after ``heard_at``."""
+    """Start a member from its disk.
+
+    It heard no leader after ``heard_at``; if None, it may have heard one until now.
+    """
     node = cluster.nodes[name]
     node.applied = []
     node.frozen = False
--- a/tests/state/consensus/randomised.py
+++ b/tests/state/consensus/randomised.py
@@ -96,7 +96,7 @@
         return self.cluster
 
     def pick_node(self, number: int) -> Node:
-        """Return the member of a drawn number; the first lease holder if it is even."""
+        """Return a lease holder, if any, for an even number, else the member drawn."""
         holders = lease_holders(self.live_cluster())
         if holders and number % 2 == 0:
             return self.live_cluster().nodes[holders[0]]
