--- a/src/waxwingwell/adapters/connections.py
+++ b/src/waxwingwell/adapters/connections.py
@@ -24,7 +24,7 @@
 CONNECT_SECONDS = 1.0
 USER_TIMEOUT_MS = 2_000
 """Milliseconds without an acknowledgement after which the kernel closes a connection.
-By default, a dead connection would hold its unsent bytes for minutes."""
+By default, a dead connection would hold its unacknowledged bytes for minutes."""
 
 
 class _SingleConnectionFactory(ClientFactory):
--- a/src/waxwingwell/adapters/events.py
+++ b/src/waxwingwell/adapters/events.py
@@ -1,7 +1,7 @@
 """Structured log lines: one JSON object per line on standard output.
 
-Writing never blocks the process: a line is dropped and counted if the reader of the
-pipe lags, or if routine events exceed their rate limit.
+Writing never blocks the process. A line is dropped and counted if the reader of the
+pipe lags, or if it is a routine event and too many lines were logged in this second.
 """
 
 from __future__ import annotations
--- a/src/waxwingwell/adapters/links.py
+++ b/src/waxwingwell/adapters/links.py
@@ -67,7 +67,7 @@
     max_retry_pause: float = 0.2
     """Maximum pause before the next attempt."""
     first_attempt_factor: float = 1.0
-    """Factor on the two above at the first attempt; it doubles with each failure."""
+    """Factor on the two above at the first attempt; it doubles per failure, up to 1."""
 
 
 ROUTING_TIMING = LinkTiming(
--- a/src/waxwingwell/adapters/settings.py
+++ b/src/waxwingwell/adapters/settings.py
@@ -116,7 +116,7 @@
     progress_timeout: float = Field(default=5.0, gt=0)
     """Seconds without data from an upstream after which a stream is resumed."""
     drain_notice: float = Field(default=2.0, ge=0)
-    """Seconds for which requests are still accepted after the health check fails."""
+    """Seconds for which a stopping entry that reports not ready accepts requests."""
     drain_limit: float = Field(default=600.0, gt=0)
     telemetry: Telemetry = Telemetry()
 
--- a/src/waxwingwell/messages.py
+++ b/src/waxwingwell/messages.py
@@ -117,7 +117,7 @@
 
 
 class SettleAbandoned(Message, frozen=True, kw_only=True):
-    """Close rows left open by an entry's dead incarnations, all below this one."""
+    """Close the rows left open by an entry's incarnations below the given one."""
 
     entry: EntryId
     below_incarnation: int
@@ -244,7 +244,7 @@
 
     config_version: int
     since: int = 0
-    """0 for a full snapshot, which replaces an entry's state; else it is merged."""
+    """0 for a full snapshot, which replaces an entry's configuration; else merged."""
     workspaces: tuple[WorkspaceConfig, ...] = ()
     versions: tuple[VersionSpec, ...] = ()
     rollouts: tuple[Rollout, ...] = ()
@@ -394,7 +394,7 @@
 
 
 class Beat(Message, frozen=True, kw_only=True):
-    """Heartbeat; a connection that receives none for several intervals is replaced."""
+    """Heartbeat; a connection that receives nothing for several of them is replaced."""
 
 
 class Call(Message, frozen=True, kw_only=True):
--- a/src/waxwingwell/records.py
+++ b/src/waxwingwell/records.py
@@ -278,7 +278,7 @@
     OPEN = "open"
     SETTLED = "settled"
     UNKNOWN = "unknown"
-    """Its entry died when a non-idempotent request may already have been dispatched."""
+    """A non-idempotent request may have run; also the status after its entry died."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/waxwingwell/state/bills.py
+++ b/src/waxwingwell/state/bills.py
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True)
 class Bill:
-    """Usage and cost of a workspace by version; plain services have no version."""
+    """Usage and cost of one workspace for one version, which is empty for services."""
 
     workspace: WorkspaceId
     version: VersionId
--- a/src/waxwingwell/state/configuration.py
+++ b/src/waxwingwell/state/configuration.py
@@ -84,7 +84,7 @@
 
 
 def digest_change(change: ConfigChange) -> bytes:
-    """Return a digest without the time stamp, which differs on a resend."""
+    """Return a digest of a change without its time stamp, which differs on a resend."""
     unstamped = msgspec.structs.replace(change, at=0.0)
     return blake2b(msgspec.msgpack.encode(unstamped), digest_size=DIGEST_SIZE).digest()
 
--- a/src/waxwingwell/state/leases.py
+++ b/src/waxwingwell/state/leases.py
@@ -119,8 +119,8 @@
     ``snapshot`` is the newest committed configuration. The caller must have confirmed
     its leadership for ``now`` after reading the snapshot; otherwise a partitioned
     leader would grant leases for an outdated configuration. ``list_evidence`` is called
-    every ``EVIDENCE_INTERVAL`` seconds; the evidence of other grants is empty, which
-    means unchanged.
+    at most every ``EVIDENCE_INTERVAL`` seconds for each entry; other grants have no
+    evidence, and the entry keeps the totals that it has.
     """
     lease_key = (message.entry, message.incarnation)
     newest = leases.newest.get(message.entry, message.incarnation)
@@ -265,7 +265,7 @@
 def finish_renewal(
     lease: ConfigLease, number: int, granted: LeaseGranted, now: float
 ) -> bool:
-    """Apply a granted lease; return whether the entry may now admit work.
+    """Apply a granted lease; return false if it is ignored or no lease is valid.
 
     A grant is ignored if its renewal is unknown or it is for a newer configuration. The
     lease starts when the renewal was sent, not at ``now``: a delayed response would
--- a/src/waxwingwell/state/ledger.py
+++ b/src/waxwingwell/state/ledger.py
@@ -150,7 +150,7 @@
 
 
 def _is_blank(row: LedgerRow) -> bool:
-    """Return whether a row is open without outcome fields, which saves a copy."""
+    """Return whether a row is open without outcome fields, so it needs no copy."""
     return (
         row.status is RowStatus.OPEN
         and row.outcome is OutcomeKind.FAILED
@@ -212,7 +212,7 @@
 def _open_carried_row(
     ledger: Ledger, command: Settle, row: LedgerRow
 ) -> Rejected | None:
-    """Open the row included in a settle, if its workspace and key match."""
+    """Open the row included in a settle; return a rejection if that is not possible."""
     if (row.workspace, row.key) != (command.workspace, command.key):
         text = "the row brought along has another workspace or key"
         return Rejected(findings=(Finding("row", text),))
@@ -252,12 +252,12 @@
     others as possibly run.
     """
     advance_clock(ledger, command.at)
-    places = [
+    row_keys = [
         row_key
         for row_key, incarnation in ledger.open_rows.get(command.entry, {}).items()
         if incarnation < command.below_incarnation
     ]
-    for row_key in places:
+    for row_key in row_keys:
         row = ledger.rows[row_key]
         outcome = OutcomeKind.FAILED if row.repeatable else OutcomeKind.MAY_HAVE_RUN
         status = RowStatus.SETTLED if row.repeatable else RowStatus.UNKNOWN
@@ -265,7 +265,7 @@
         close_row(ledger, row_key, closed)
         ledger.swept[row_key] = row.request
 
-    return Swept(rows=len(places))
+    return Swept(rows=len(row_keys))
 
 
 def list_open_entries(ledger: Ledger) -> dict[EntryId, OpenIncarnations]:
--- a/src/waxwingwell/state/membership.py
+++ b/src/waxwingwell/state/membership.py
@@ -47,9 +47,10 @@
 def apply_announcement(
     tables: Tables, announcement: Announcement, age: float, now: float
 ) -> bool:
-    """Apply an announcement made ``age`` seconds ago; return whether it was applied.
+    """Apply an announcement; return whether it changed anything.
 
-    A delayed announcement that arrives after its upstream left or restarted would
+    ``age`` is the number of seconds since an entry received it from its upstream. A
+    delayed announcement that arrives after its upstream left or restarted would
     otherwise make the upstream available again, so that new work goes to a process that
     no longer runs. Therefore only a higher rank is applied, a tombstone keeps the rank
     of an upstream that left, and an announcement whose lease expired in transit never
--- a/src/waxwingwell/state/recovery.py
+++ b/src/waxwingwell/state/recovery.py
@@ -36,7 +36,10 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreSummary:
-    """Contents of a member's disk; the greatest by term and index is to be kept."""
+    """Contents of a member's disk.
+
+    Of several members, the one with the greatest last term, then index, is to be kept.
+    """
 
     member: str
     last_term: int
--- a/src/waxwingwell/state/rollouts.py
+++ b/src/waxwingwell/state/rollouts.py
@@ -166,7 +166,7 @@
 
 
 def _check_running(rollout: Rollout, change: StepRollout) -> list[Finding]:
-    """Return findings for running: one stage on, any back, or resumed at the same."""
+    """Return findings for a step to running: the next, a lower or the paused stage."""
     if change.stage < rollout.stage:
         return []
 
--- a/src/waxwingwell/state/storage_load.py
+++ b/src/waxwingwell/state/storage_load.py
@@ -124,7 +124,7 @@
 def convert_error(
     error: sqlite3.Error, path: Path
 ) -> StorageError | CorruptStorageError:
-    """Return the storage error for an SQLite error, by whether the file is corrupt."""
+    """Return a ``StorageError`` if an operation failed, else a corruption error."""
     if isinstance(error, sqlite3.OperationalError):
         return StorageError(f"{path}: {error}")
 
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -18,7 +18,7 @@
         self.addCleanup(setattr, BREACHES, "counts", counts)
         self.addCleanup(setattr, BREACHES, "raise_on_breach", raising)
 
-    def test_ten_promises(self) -> None:
+    def test_ten_invariants(self) -> None:
         self.assertEqual(len(Invariant), 10)
 
     def test_breach_is_counted_and_raised_where_asked(self) -> None:
