--- a/src/waxwingwell/state/group_records.py
+++ b/src/waxwingwell/state/group_records.py
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Machine:
-    """Functions of the state machine that the log drives; all are deterministic.
+    """Functions of the state machine that the log drives; must be deterministic.
 
     ``apply(index, command)`` returns the command's outcome, ``save()`` returns the
     whole state, and ``restore(data)`` replaces it by a saved one.
