--- a/src/waxwingwell/adapters/control/orders.py
+++ b/src/waxwingwell/adapters/control/orders.py
@@ -100,7 +100,7 @@
 
     if isinstance(reply, OrderPassed) and reply.status != 200:
         logger.info(
-            "orders: {} refused its order: {} {}.",
+            "orders: Order for {} was not accepted: {} {}.",
             order.upstream,
             reply.status,
             reply.reason,
--- a/src/waxwingwell/adapters/entry/announcements.py
+++ b/src/waxwingwell/adapters/entry/announcements.py
@@ -55,7 +55,11 @@
 
 
 def parse_announcement(body: bytes) -> Announcement:
-    """Return a validated announcement; ``Problem`` 400 names each invalid field."""
+    """Return a validated announcement.
+
+    ``Problem`` 413 if the body is too long; 400 if it can't be decoded or has invalid
+    fields, which are all named.
+    """
     if len(body) > MAX_ANNOUNCEMENT_BYTES:
         raise Problem(
             status=413, code="body_too_large", message="body: too long", param="body"
--- a/src/waxwingwell/adapters/entry/chat_responses.py
+++ b/src/waxwingwell/adapters/entry/chat_responses.py
@@ -37,7 +37,7 @@
 
 
 Request = Any
-"""A request of twisted.web, whose methods carry no types."""
+"""A ``twisted.web`` request, whose methods are untyped."""
 
 MAX_STORED_CHAT_BYTES = 262_144
 """Largest complete chat response stored for a retry with the caller's key."""
--- a/src/waxwingwell/adapters/entry/chats.py
+++ b/src/waxwingwell/adapters/entry/chats.py
@@ -88,7 +88,7 @@
     key: str
     """Request key; the request id if the caller sent none."""
     has_caller_key: bool
-    """The caller sent the key, so that it may retry the request."""
+    """The caller sent the key and may therefore retry the request."""
     digest: str
     fields: dict[str, Any]
     """The decoded body, forwarded with the model filled in."""
--- a/src/waxwingwell/adapters/entry/checks.py
+++ b/src/waxwingwell/adapters/entry/checks.py
@@ -56,8 +56,8 @@
     """Check lease, allowance and withdrawal at the moment of dispatch.
 
     A version that was open at admission may be withdrawn while the request waits in
-    the queue or for its row. A process that was suspended in between is also stopped
-    here, since its lease has expired.
+    the queue or for its row. If this process was suspended meanwhile, the request is
+    refused here too, since the lease has expired.
     """
     check_lease(context)
     refusal = find_refusal(context.tables, work, version)
@@ -71,7 +71,7 @@
     check(
         Invariant.ALLOWED_VERSION,
         config is not None and version in config.allowed,
-        lambda: f"{work.request} was sent to {version}, which its workspace forbids",
+        lambda: f"{work.request} was sent to {version}, not allowed in its workspace",
     )
     check(
         Invariant.NO_NEW_WORK_WHEN_WITHDRAWN,
--- a/src/waxwingwell/adapters/entry/control_client.py
+++ b/src/waxwingwell/adapters/entry/control_client.py
@@ -32,7 +32,10 @@
 RETRY_DELAY = 0.05
 """Seconds between attempts while no leader is known."""
 AVOID_SECONDS = 0.5
-"""Seconds for which a process is not called again after a timeout."""
+"""Seconds for which a process is avoided after a call timed out or its link was lost.
+
+It is called all the same if no other link is up.
+"""
 
 
 @dataclass(slots=True)
--- a/src/waxwingwell/adapters/entry/ledger.py
+++ b/src/waxwingwell/adapters/entry/ledger.py
@@ -218,7 +218,8 @@
             return
 
         logger.error(
-            "ledger: Gave up settling {}; control will settle it.", command.request
+            "ledger: Gave up settling {}; control settles it once this entry ends.",
+            command.request,
         )
     finally:
         context.pending_settlements -= 1
--- a/src/waxwingwell/adapters/entry/periodic.py
+++ b/src/waxwingwell/adapters/entry/periodic.py
@@ -61,7 +61,7 @@
 EVIDENCE_TIMEOUT = 2.0
 """Seconds for which a report of evidence waits for a leader's reply."""
 SPREAD_INTERVAL = 0.5
-"""Seconds between two messages to the other entries."""
+"""Seconds between two rounds of messages to the other entries."""
 NEVER_ANNOUNCED = float("-inf")
 QUEUE_INTERVAL = 0.01
 """Seconds between two runs of the queue."""
@@ -216,7 +216,7 @@
 
 
 def reset_announced(periodic_tasks: PeriodicTasks, name: str) -> None:
-    """Send all announcements again to an entry, as its connection is new."""
+    """Reset the record of what was announced to an entry whose connection is new."""
     periodic_tasks.announced_at.pop(name, None)
 
 
--- a/src/waxwingwell/adapters/entry/streams.py
+++ b/src/waxwingwell/adapters/entry/streams.py
@@ -58,7 +58,7 @@
 
     request: str
     last: int = 0
-    """Number of the last event forwarded."""
+    """Number of the last event received; up to ``skip`` they are not forwarded."""
     skip: int = 0
     """Events up to this number are not forwarded, since the caller has them."""
     done: bool = False
--- a/src/waxwingwell/adapters/entry/upstream_client.py
+++ b/src/waxwingwell/adapters/entry/upstream_client.py
@@ -33,7 +33,7 @@
 IDLE_TIMEOUT = 20
 """Seconds; shorter than the idle timeout of common servers."""
 NOT_RUN_STATUSES = frozenset({429, 503})
-"""Statuses with which an upstream may refuse a request before running it."""
+"""Statuses of refusals before the run, if ``OUTCOME_HEADER`` is ``not_run``."""
 OUTCOME_HEADER = "x-outcome"
 
 
--- a/src/waxwingwell/adapters/entry/web.py
+++ b/src/waxwingwell/adapters/entry/web.py
@@ -40,7 +40,7 @@
 
 
 Request = Any
-"""A request of twisted.web, whose methods carry no types."""
+"""A ``twisted.web`` request, whose methods are untyped."""
 
 Handler = Callable[..., Any]
 METHODS = ("GET", "POST", "PUT", "DELETE", "PATCH")
--- a/src/waxwingwell/answers/contradictions.py
+++ b/src/waxwingwell/answers/contradictions.py
@@ -86,7 +86,7 @@
 
 
 def check_calls(draft: Draft) -> Iterator[Finding]:
-    """Find calls that are declared twice, also with different ``repeatable``."""
+    """Check that no call is declared twice, with the same or another ``repeatable``."""
     seen: dict[tuple[str, str, str], tuple[str, CallAnswers]] = {}
     for place, service, call in draft.calls:
         for method in call.methods:
@@ -103,7 +103,7 @@
 
 
 def check_groups(draft: Draft) -> Iterator[Finding]:
-    """Check that each kind and call belongs to exactly one group of ``who_waits``."""
+    """Check that ``who_waits`` lists each kind and call once, and no other name."""
     names = list_kind_and_call_names(draft)
     known = {name for _, name in names}
     groups: dict[str, tuple[int, str]] = {}
--- a/src/waxwingwell/answers/generation.py
+++ b/src/waxwingwell/answers/generation.py
@@ -96,8 +96,8 @@
 ) -> tuple[ServiceRule, ...]:
     """Return the rules of the plain services, the longest path prefix first.
 
-    The first rule that matches a call applies, so a more specific rule must come
-    before a more general one.
+    The entry applies the matching rule with the longest prefix. In this order that is
+    the first rule of a service that matches, so the listing shows the precedence.
     """
     rules = [
         ServiceRule(
--- a/src/waxwingwell/commands/explain.py
+++ b/src/waxwingwell/commands/explain.py
@@ -20,7 +20,7 @@
 
 STANDARD_INPUT = "-"
 STANDARD_FIELDS = frozenset({"at", "node", "level", "event", "request"})
-"""Fields of every line, left out of the list of its other fields."""
+"""Standard fields of a structured line, left out of ``Line.fields``."""
 MAX_STATE_CHANGES = 3
 """Preceding state changes shown for each process that handled the request."""
 OUTCOME_TEXTS = {
--- a/src/waxwingwell/commands/output.py
+++ b/src/waxwingwell/commands/output.py
@@ -45,7 +45,7 @@
 
 
 def format_time(at: float) -> str:
-    """Return seconds since the epoch as date and time in UTC, or nothing for none."""
+    """Return seconds since the epoch as date and time in UTC, empty if not above 0."""
     if at <= 0:
         return ""
 
--- a/src/waxwingwell/commands/review.py
+++ b/src/waxwingwell/commands/review.py
@@ -67,6 +67,7 @@
     longest_pauses: list[int] = field(default_factory=list)
     """Each request's longest pause between two events, in milliseconds."""
     sends: int = 0
+    """Attempts at upstreams, in total."""
 
 
 @dataclass(slots=True)
--- a/src/waxwingwell/demo/tour.py
+++ b/src/waxwingwell/demo/tour.py
@@ -117,7 +117,7 @@
 
 
 async def send_order_twice(tour: Tour) -> str:
-    """Send an order twice with one idempotency key and check that it runs once."""
+    """Send an order twice with one idempotency key; check that it runs at most once."""
     before = sum(tour.system.fleet.service.executions.values())
     first = await send_order(tour.system.port, "tour-order-1", "tour-1")
     second = await send_order(tour.system.port, "tour-order-1", "tour-1")
