--- a/src/waxwingwell/adapters/control/duties.py
+++ b/src/waxwingwell/adapters/control/duties.py
@@ -130,7 +130,9 @@
 
     context.ordered_at = now
     Deferred.fromCoroutine(reconcile_orders(context, context.orders)).addErrback(
-        lambda failure: logger.error("control: Orders: {}.", failure.getTraceback())
+        lambda failure: logger.error(
+            "control: Reconciling orders failed: {}.", failure.getTraceback()
+        )
     )
 
 
--- a/src/waxwingwell/embedded/system.py
+++ b/src/waxwingwell/embedded/system.py
@@ -56,7 +56,7 @@
 POLL_SECONDS = 0.02
 """Seconds between two checks of a condition."""
 DRAIN_NOTICE = 0.0
-"""Seconds between a failing health check and the drain.
+"""Seconds between the readiness check's failure and the closing of the callers' port.
 
 No load balancer runs in front that would have to see the failing check first.
 """
