--- a/src/waxwingwell/routing/fleet.py
+++ b/src/waxwingwell/routing/fleet.py
@@ -89,7 +89,10 @@
 def apply_announcement(
     table: FleetTable, announcement: Announcement, now: float
 ) -> bool:
-    """Apply an announcement; return whether it changed what placement depends on."""
+    """Apply an announcement; return whether it has to be broadcast.
+
+    It has if the upstream is new or a field of ``list_placement_fields`` has changed.
+    """
     held = table.upstreams.get(announcement.upstream)
     if held is None:
         table.upstreams[announcement.upstream] = Upstream(announcement, now)
@@ -107,7 +110,11 @@
 
 
 def list_placement_fields(announcement: Announcement) -> tuple[object, ...]:
-    """Return the fields that placement depends on; not the sequence number."""
+    """Return the fields whose change is broadcast at once.
+
+    The sequence number and the remaining warm-up are left out, as they may change with
+    every announcement.
+    """
     return (
         announcement.service,
         announcement.host,
--- a/src/waxwingwell/routing/health.py
+++ b/src/waxwingwell/routing/health.py
@@ -54,7 +54,10 @@
 
 
 def record_unreachable(table: HealthTable, upstream: str, now: float) -> None:
-    """Start a back-off, twice as long as the last one if the upstream still fails."""
+    """Start a back-off, unless one is in progress.
+
+    It is twice as long as the last one, unless a response has succeeded since.
+    """
     health = table.upstreams.setdefault(upstream, Health(updated_at=now))
     if now < health.backoff_until:
         return
--- a/src/waxwingwell/routing/messages.py
+++ b/src/waxwingwell/routing/messages.py
@@ -101,7 +101,7 @@
     """
 
     index: int
-    """Index in the log; a receiver ignores states of a lower index."""
+    """Index in the log; a receiver ignores a state whose index is not higher."""
     version: int
     document: bytes
     rollouts: tuple[RolloutState, ...]
--- a/src/waxwingwell/routing/models.py
+++ b/src/waxwingwell/routing/models.py
@@ -28,8 +28,9 @@
 """Scale of the logistic curve: one scale above the midpoint, about a quarter of the
 responses are poor."""
 TOKEN_VALUE = 0.006
-"""Value of a response per output token that the caller allows, in the unit of the
-models' prices per thousand tokens; callers allow more where they expect more."""
+"""Value of a response per output token that the caller allows, in the currency of the
+models' prices, which are per thousand tokens; callers allow more where they expect
+more."""
 MIN_PRICE = 0.03
 """Least price of an escalation, as a part of the response's value, as the request is
 sent once more."""
--- a/src/waxwingwell/routing/placement.py
+++ b/src/waxwingwell/routing/placement.py
@@ -216,11 +216,11 @@
     if not shared:
         return ""
 
-    part = shared[-1][0]
+    block = shared[-1][0]
     members = list_pool_members(demand, usable)
     local = [one.upstream for one in members if one.data_centre == data_centre]
     names = local or [one.upstream for one in members]
-    return prefer_upstream(names, f"{demand.model}/{part}")
+    return prefer_upstream(names, f"{demand.model}/{block}")
 
 
 def estimate_cost(
--- a/src/waxwingwell/routing/records.py
+++ b/src/waxwingwell/routing/records.py
@@ -42,7 +42,8 @@
     priority: int = 0
     """Rank among routes; 0 is the highest priority."""
     max_attempts: int = 1
-    """Largest number of upstreams that one request may be sent to."""
+    """Largest number of attempts that may have run; attempts that an upstream refused
+    to run or that were never connected don't count."""
     anonymous: bool = False
     models: tuple[str, ...] = ()
     """Models to choose from, smallest first; if empty, the caller names the model."""
--- a/src/waxwingwell/routing/reports.py
+++ b/src/waxwingwell/routing/reports.py
@@ -62,7 +62,10 @@
 
 @dataclass(frozen=True, slots=True)
 class DepartedGateway:
-    """Use of the retry budget by a gateway process that has ended."""
+    """Retries of a gateway process that ended or stopped reporting.
+
+    ``received_at`` is the time of its last report.
+    """
 
     repeats: tuple[ServiceRepeats, ...]
     received_at: float
@@ -87,7 +90,8 @@
     evidence: dict[str, EvidenceEntry] = field(default_factory=dict)
     """Evidence by gateway, whichever control the gateway is attached to."""
     departed: list[DepartedGateway] = field(default_factory=list)
-    """Gateway processes attached here that ended within the retry window."""
+    """Attached gateway processes that ended or stopped reporting, while their last
+    report is within the retry window."""
     retry_window: float = 10.0
     """Seconds for which a retry counts in the budget."""
     blocks_for_gateways: dict[int, None] = field(default_factory=dict)
@@ -114,7 +118,7 @@
 
 
 def record_departed(table: ReportTable, held: GatewayEntry) -> None:
-    """Record the use of the retry budget by a gateway process that has ended.
+    """Record the retries of a gateway process that has ended or stopped reporting.
 
     Gateways that are killed while a service fails and its budget is used up know of no
     retry after their restart, and would use the budget again within its window.
@@ -243,8 +247,8 @@
     """Return totals without the load at upstreams, unless they are fresh.
 
     The state that gateways have of a roll-out counts longer, as a gateway that is
-    unresponsive for a moment still has to delay it. So do retries, which were sent
-    even if their sender has ended.
+    unresponsive for a moment must still delay the roll-out. So do retries, which were
+    sent even if their sender has ended.
     """
     if fresh:
         return total
--- a/src/waxwingwell/routing/retries.py
+++ b/src/waxwingwell/routing/retries.py
@@ -6,7 +6,8 @@
 half is shared. Its remainder is known from totals that are a fraction of a second old,
 so a gateway draws on it no faster than in proportion to its own requests and slack;
 otherwise all gateways together could overdraw it before the next totals. Without recent
-totals a gateway uses its own allowance only.
+totals a gateway is limited to its own allowance: the retries that its own requests and
+its share of the slack allow.
 """
 
 from __future__ import annotations
@@ -202,13 +203,13 @@
     own_counts = {one.service: one for one in reported}
     table.others = {}
     for one in total:
-        own_share = own_counts.get(one.service, ServiceRepeats(one.service, 0, 0))
+        own = own_counts.get(one.service, ServiceRepeats(one.service, 0, 0))
         table.others[one.service] = ServiceRepeats(
             one.service,
-            max(one.requests - own_share.requests, 0),
-            max(one.repeats - own_share.repeats, 0),
-            max(one.drawn - own_share.drawn, 0),
-            max(one.shares - own_share.shares, 0),
+            max(one.requests - own.requests, 0),
+            max(one.repeats - own.repeats, 0),
+            max(one.drawn - own.drawn, 0),
+            max(one.shares - own.shares, 0),
         )
 
     table.others_at = now
@@ -223,7 +224,7 @@
     gateways: int,
     now: float,
 ) -> bool:
-    """Return whether a part of the budget allows one more retry."""
+    """Return whether the given part of the budget, 0 to 1, allows one more retry."""
     table.gateways = max(gateways, 1)
     account = find_account(table, service, now - limits.window)
     allowance = count_allowance(table, account, limits, now)
--- a/src/waxwingwell/routing/rollouts.py
+++ b/src/waxwingwell/routing/rollouts.py
@@ -190,4 +190,6 @@
         return Step(max(FIRST_SHARE, rollout.share), reason="first share of sessions")
 
     share = 1.0 if progress >= FULL_AT else SECOND_SHARE
-    return Step(max(share, rollout.share), reason=f"{target.answers} good responses")
+    return Step(
+        max(share, rollout.share), reason=f"no regression in {target.answers} responses"
+    )
--- a/src/waxwingwell/routing/sessions.py
+++ b/src/waxwingwell/routing/sessions.py
@@ -48,7 +48,7 @@
     share, by the time of its order."""
     settled: set[float] = field(default_factory=set)
     """Roll-outs, by the time of order, for which ``kept`` is complete: every gateway
-    knew their first share before it was reported."""
+    knew their first share before ``kept`` was reported."""
 
 
 def start_session(
@@ -85,7 +85,10 @@
 def find_last_version(
     table: SessionTable, key: SessionKey, now: float
 ) -> tuple[str, float] | None:
-    """Return a session's last version at this gateway, and the time of its use."""
+    """Return a session's last version at this gateway, and the time of its last use.
+
+    That time is ``now`` while a request of the session is in flight.
+    """
     last = table.last.get(key)
     if last is None or key not in table.running:
         return last
@@ -124,7 +127,11 @@
 def list_live_sessions(
     table: SessionTable, session_life: float, now: float
 ) -> Iterator[SessionKey]:
-    """Yield the sessions that are still active at this gateway."""
+    """Yield the sessions that are still active at this gateway.
+
+    A session is active while a request is in flight, and for ``session_life`` seconds
+    after the last one; a request in that time belongs to the same session.
+    """
     yield from table.running
     for key in reversed(table.last):
         if now - table.last[key][1] > session_life:
--- a/tests/routing/budget_plays.py
+++ b/tests/routing/budget_plays.py
@@ -121,7 +121,10 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """Times of requests and retries of one simulation."""
+    """Times of the requests and of the sent retries of one simulation.
+
+    ``requested`` is the number of retries that were requested, sent or refused.
+    """
 
     requests: list[float] = field(default_factory=list)
     sent_retries: list[float] = field(default_factory=list)
