--- a/src/waxwingwell/adapters/gateway/escalation.py
+++ b/src/waxwingwell/adapters/gateway/escalation.py
@@ -74,7 +74,10 @@
 
 
 def make_stake(exchange: Exchange, larger: Choice, now: float) -> EscalationInputs:
-    """Return the costs and the possible benefit of asking the larger model."""
+    """Return the inputs of the decision on an escalation.
+
+    Also updates the route's typical request size.
+    """
     request = exchange.facts
     services = exchange.index.services if exchange.index is not None else {}
     models = services[larger.service].models if larger.service in services else ()
--- a/src/waxwingwell/adapters/gateway/steering.py
+++ b/src/waxwingwell/adapters/gateway/steering.py
@@ -86,7 +86,7 @@
 
 
 def apply_routing(context: GatewayContext, body: ShareRouting) -> None:
-    """Apply the routing state unless the state held is as new.
+    """Apply the routing state unless the state held is equal or newer.
 
     A control that lags behind shares an older state. Applying it would make keys and
     routes valid again that have been removed.
@@ -144,7 +144,7 @@
 
 
 def record_data_centre(context: GatewayContext, control: str, data_centre: str) -> None:
-    """Record whether a control is local, and attach to a local one unless attached."""
+    """Record whether a control is local, and leave a remote one for a local one."""
     if data_centre != context.settings.data_centre:
         context.local_controls.discard(control)
         return
@@ -228,7 +228,10 @@
 
 
 def detach_from_control(context: GatewayContext, control: str) -> None:
-    """Notify the former control that another one counts this gateway's requests."""
+    """Send a former control a report without load and retries.
+
+    Another control counts the gateway's requests and retries now.
+    """
     link = context.controls.get(control)
     if link is None or not is_link_up(link):
         return
--- a/src/waxwingwell/adapters/gateway/waiting.py
+++ b/src/waxwingwell/adapters/gateway/waiting.py
@@ -29,7 +29,10 @@
 
 @dataclass(slots=True, eq=False)
 class QueuedRequest:
-    """One queued request."""
+    """A request that waits for the first configuration.
+
+    ``serve`` or ``refuse`` ends its wait; ``timer`` limits it.
+    """
 
     serve: Callable[[], None]
     refuse: Callable[[], None]
--- a/tests/adapters/gateway/test_steering.py
+++ b/tests/adapters/gateway/test_steering.py
@@ -50,7 +50,7 @@
         for name, shares, expected in (
             ("newer", [share_document(5, 2), share_document(6, 3)], 3),
             ("older", [share_document(6, 3), share_document(5, 2)], 3),
-            ("the same place", [share_document(6, 3), share_document(6, 4)], 3),
+            ("the same index", [share_document(6, 3), share_document(6, 4)], 3),
         ):
             with self.subTest(name):
                 gateway = make_gateway()
--- a/tests/adapters/gateway/test_waiting.py
+++ b/tests/adapters/gateway/test_waiting.py
@@ -44,7 +44,7 @@
         self.gateway.reactor.advance(seconds)
 
     def test_requests_are_served_once_there_is_a_configuration(self) -> None:
-        """Callers refused twice in the second before it would give up."""
+        """Refused twice before the configuration arrives, callers would give up."""
         callers = [self.gateway.ask(X_Id="q1") for _ in range(3)]
         self.pass_time(0.7)
         self.assertEqual([caller.status for caller in callers], [0, 0, 0])
