--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -1,4 +1,4 @@
-"""Tests of the refusal of requests that can't be served in time, and of their retry."""
+"""Tests of the refusal of requests by expected wait, and of the retry delays."""
 
 from __future__ import annotations
 
--- a/tests/routing/test_model_load.py
+++ b/tests/routing/test_model_load.py
@@ -194,7 +194,7 @@
     """Escalation by gain and price, compared with fixed policies."""
 
     def test_value_is_at_least_that_of_any_fixed_policy(self) -> None:
-        """Guards against late or poor responses at high usage, as of a fixed policy."""
+        """With a fixed policy, responses are late or poor once engines fill up."""
         for load in (0.3, 0.7, 1.0, 1.5, 2.5):
             best = max(run_policy(policy, load) for policy in FIXED)
             with self.subTest(load=load):
--- a/tests/routing/test_placement.py
+++ b/tests/routing/test_placement.py
@@ -34,7 +34,7 @@
 
 DESK = Service(name="desk", slots=4)
 ENGINE = Service(name="chat", slots=16, memory_tokens=100_000)
-PARTS = (("shared", 500), ("team", 4_000), ("own", 100))
+BLOCKS = (("shared", 500), ("team", 4_000), ("own", 100))
 
 
 def place(demand: Demand, **around: Any) -> str:
@@ -80,7 +80,7 @@
                 self.assertIn(found, expected)
 
     def test_upstreams_that_fail_are_avoided(self) -> None:
-        """Guards against an upstream that announces itself but fails half its calls."""
+        """An upstream announces that it serves, but fails half of its calls."""
         health = HealthTable()
         for position in range(8):
             record_response(health, "near", 10.0, failed=position % 2 == 0)
@@ -98,8 +98,8 @@
 
     def test_a_prompt_goes_to_the_upstream_with_its_blocks(self) -> None:
         prefixes = PrefixTable()
-        record_blocks(prefixes, "near2", "small", PARTS, 9.0)
-        demand = Demand(ENGINE, "small", 4_600, PARTS)
+        record_blocks(prefixes, "near2", "small", BLOCKS, 9.0)
+        demand = Demand(ENGINE, "small", 4_600, BLOCKS)
         self.assertEqual(place(demand, prefixes=prefixes), "near2")
         busy = make_load(near2=15)
         self.assertEqual(place(demand, prefixes=prefixes, load=busy), "near")
@@ -111,7 +111,7 @@
         for name, blocks, expected in (
             ("last block only", (("own", 100),), 0),
             ("no block", (), 0),
-            ("shared blocks", PARTS, 1),
+            ("shared blocks", BLOCKS, 1),
         ):
             with self.subTest(name):
                 demand = Demand(ENGINE, "small", 4_600, blocks)
@@ -134,7 +134,7 @@
                 self.assertEqual(place(demand, load=load), expected)
 
     def test_gateways_agree_on_the_upstream_of_unknown_blocks(self) -> None:
-        demand = Demand(ENGINE, "small", 4_600, PARTS)
+        demand = Demand(ENGINE, "small", 4_600, BLOCKS)
         self.assertEqual(len({place(demand) for _ in range(5)}), 1)
 
 
--- a/tests/routing/test_prefixes.py
+++ b/tests/routing/test_prefixes.py
@@ -18,7 +18,7 @@
 from waxwingwell.routing.prefixes import record_blocks
 
 
-PARTS = (("shared", 500), ("team", 4_000), ("own", 100))
+BLOCKS = (("shared", 500), ("team", 4_000), ("own", 100))
 
 
 def report(sender: PrefixTable, receiver: PrefixTable, now: float) -> None:
@@ -33,7 +33,7 @@
 ) -> float:
     """Return the expected cached tokens of the prompt at an upstream."""
     return estimate_cached_tokens(
-        table, upstream, "small", PARTS, now, preferred=preferred
+        table, upstream, "small", BLOCKS, now, preferred=preferred
     )
 
 
@@ -52,14 +52,14 @@
         ):
             with self.subTest(name):
                 first, second = PrefixTable(), PrefixTable()
-                record_blocks(first, "u1", "small", PARTS, 10.0)
+                record_blocks(first, "u1", "small", BLOCKS, 10.0)
                 report(first, second, 10.0)
                 found = estimate(second, upstream, now, preferred=False)
                 self.assertEqual(found, expected)
 
     def test_the_sender_includes_the_last_block(self) -> None:
         table = PrefixTable()
-        record_blocks(table, "u1", "small", PARTS, 10.0)
+        record_blocks(table, "u1", "small", BLOCKS, 10.0)
         self.assertEqual(estimate(table, "u1", 11.0, preferred=False), 4_600)
         self.assertEqual(len(list_unreported_blocks(table)), 2)
 
@@ -71,9 +71,9 @@
         ):
             with self.subTest(name):
                 first, second = PrefixTable(), PrefixTable()
-                record_blocks(first, "u1", "small", PARTS, 10.0)
+                record_blocks(first, "u1", "small", BLOCKS, 10.0)
                 report(first, second, 10.0)
-                record_blocks(second, "u1", "small", PARTS, 10.0 + pause)
+                record_blocks(second, "u1", "small", BLOCKS, 10.0 + pause)
                 self.assertEqual(len(list_unreported_blocks(second)), count)
 
     def test_tables_are_bounded(self) -> None:
--- a/tests/routing/test_reports.py
+++ b/tests/routing/test_reports.py
@@ -65,7 +65,7 @@
 
         A gateway must not decide on sessions that others have not reported yet.
         """
-        for name, cases, held, kept in (
+        for name, reported, held, kept in (
             ("none", (), -1, set()),
             ("one lags", ((8, (1, 2)), (7, (2, 3))), 7, {1, 2, 3}),
             ("one does not report", ((8, (1,)), (-1, ())), -1, {1}),
@@ -73,7 +73,7 @@
             with self.subTest(name):
                 reports = [
                     make_report(str(place), held=at, kept=places)
-                    for place, (at, places) in enumerate(cases)
+                    for place, (at, places) in enumerate(reported)
                 ]
                 total = sum_totals(map(make_total, reports))
                 self.assertEqual((total.held, set(total.kept)), (held, kept))
--- a/tests/routing/test_retries.py
+++ b/tests/routing/test_retries.py
@@ -202,8 +202,8 @@
     def test_hundreds_of_gateways_send_all_needed_retries(self) -> None:
         """Guards against escalations refused because a gateway's own part is small.
 
-        195 gateways have nine requests each within the window, every second of which
-        needs a retry; totals are half a second old. All retries fit in the budget.
+        195 gateways have nine requests each within the window, and half of the requests
+        need a retry; totals are half a second old. All retries fit in the budget.
         """
         shares = {"own part": 0.0, "totals": 0.0}
         for name in shares:
@@ -217,7 +217,8 @@
     def test_escalations_leave_budget_for_failures(self) -> None:
         """Guards against escalations that use up the whole budget.
 
-        When an upstream then crashes, its streams must be resumed elsewhere.
+        A busy gateway may escalate half of its requests. When an upstream then crashes,
+        its streams must still be resumed elsewhere.
         """
         table = make_table(100)
         count_allowed(table, OPTIONAL_PART, 10, 1.0)
--- a/tests/routing/test_sessions.py
+++ b/tests/routing/test_sessions.py
@@ -129,7 +129,10 @@
                 self.assertEqual(self.peers[50].run(self.session, asked_at), expected)
 
     def test_no_session_changes_before_every_gateway_has_reported(self) -> None:
-        """Guards against sessions started at a gateway that gets the share late."""
+        """A gateway that gets the share late starts sessions in the meantime.
+
+        The other gateways must not send these to the target version.
+        """
         *early, late = self.peers
         self.announce_first_share(*early)
         exchange_totals(self.peers, 10.0)
