--- a/src/waxwingwell/routing/rollouts.py
+++ b/src/waxwingwell/routing/rollouts.py
@@ -191,5 +191,6 @@
 
     share = 1.0 if progress >= FULL_AT else SECOND_SHARE
     return Step(
-        max(share, rollout.share), reason=f"no regression in {target.answers} responses"
+        max(share, rollout.share),
+        reason=f"{target.answers} responses without regression",
     )
