--- a/src/waxwingwell/adapters/registry/daemon.py
+++ b/src/waxwingwell/adapters/registry/daemon.py
@@ -44,7 +44,7 @@
 TICK_SECONDS = 0.05
 """Seconds between runs of the periodic tasks; elections take over ten times as long."""
 MAX_BODY_BYTES = 8 << 20
-"""Bytes in the body of a request to the admin port."""
+"""Most bytes in the body of a request to the admin port."""
 
 
 @dataclass(slots=True)
--- a/src/waxwingwell/adapters/registry/hub.py
+++ b/src/waxwingwell/adapters/registry/hub.py
@@ -80,6 +80,8 @@
 def handle_connection(context: RegistryContext, protocol: LinkProtocol) -> None:
     """Handle an incoming connection: send the peer the state that it may lack.
 
+    If the peer is a control, a link to it is opened as well.
+
     A restarted control has lost its table of upstreams. Without a full copy it would
     learn of an upstream only when that one changes, and its gateways would take all
     others for dead.
--- a/src/waxwingwell/adapters/registry/stopping.py
+++ b/src/waxwingwell/adapters/registry/stopping.py
@@ -91,7 +91,7 @@
 
 
 def start_handover(context: RegistryContext) -> None:
-    """Ask the voter with the latest acknowledgement to lead, unless one was asked."""
+    """Ask the voter that acknowledged last to lead, unless a transfer is under way."""
     group = context.group
     voters = list_successors(context)
     if group is None or not voters or not leads(group, context.clock()):
--- a/tests/platform_adapter/test_start.py
+++ b/tests/platform_adapter/test_start.py
@@ -14,7 +14,7 @@
 
 ROOT = Path(__file__).resolve().parents[2]
 COPY_STEP = "&& rm -rf target/deps/waxwingwell"
-"""First build step after the package registry's packages, for waxwingwell's own."""
+"""Start of the build steps for waxwingwell's own packages, after its dependencies."""
 
 
 def build_packages(folder: Path) -> Path:
