--- a/src/waxwingwell/experiments/feeds.py
+++ b/src/waxwingwell/experiments/feeds.py
@@ -127,7 +127,7 @@
     call_at(world.clock, now + DEMAND_INTERVAL_SECONDS, lambda: publish_demand(world))
 
 
-def receive_demand(row: WorkspaceDemand, rate: float, in_flight_counts: int) -> None:
+def receive_demand(row: WorkspaceDemand, rate: float, in_flight: int) -> None:
     """Apply the total demand of all other entries."""
     row.other_entries_rate = rate
-    row.other_entries_in_flight = in_flight_counts
+    row.other_entries_in_flight = in_flight
--- a/src/waxwingwell/experiments/placement_simulation.py
+++ b/src/waxwingwell/experiments/placement_simulation.py
@@ -150,7 +150,7 @@
     seconds: float,
     seed: int,
 ) -> PlacementRun:
-    """Simulate traffic; ``ValueError`` without gateways or without time."""
+    """Simulate traffic; ``ValueError`` unless gateways and seconds are above 0."""
     if gateways < 1 or seconds <= 0:
         raise ValueError("gateways and seconds must be above 0")
 
--- a/src/waxwingwell/experiments/world.py
+++ b/src/waxwingwell/experiments/world.py
@@ -33,10 +33,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryStorm:
-    """Callers that retry after a refusal or failure and ignore retry-after hints."""
+    """Callers that retry unless they succeed, whatever the response says."""
 
     attempts: int = 4
     pause: float = 0.3
+    """Mean seconds before a retry."""
 
 
 @dataclass(slots=True)
--- a/src/waxwingwell/experiments/worlds.py
+++ b/src/waxwingwell/experiments/worlds.py
@@ -187,7 +187,7 @@
     strong: VersionId,
     target: float,
 ) -> OraclePlan | None:
-    """Return the cascade that escalates the fewest samples that meet the target."""
+    """Return the cascade that meets the target with the fewest escalations, or None."""
     ordered = sorted(samples, key=lambda qualities: qualities[cheap])
     total = sum(qualities[cheap] for qualities in ordered)
     for escalated, qualities in enumerate(ordered):
--- a/src/waxwingwell_standins/pipes.py
+++ b/src/waxwingwell_standins/pipes.py
@@ -26,6 +26,7 @@
 
 
 CONNECT_TIMEOUT = 5.0
+"""Seconds within which the target connection must be established."""
 
 
 @dataclass(slots=True, eq=False)
@@ -38,6 +39,7 @@
     mute: bool = False
     """Drop data received from the target; data sent to the target still passes."""
     delay: float = 0.0
+    """Seconds by which received data and closes are delayed."""
     buffered: list[bytes] = field(default_factory=list)
     """Data received before the target connection was established."""
 
--- a/src/waxwingwell_standins/relay.py
+++ b/src/waxwingwell_standins/relay.py
@@ -36,6 +36,7 @@
 
     settings: RelaySettings
     delay: float
+    """Seconds by which each chunk of data on new connections is delayed."""
     refuse: bool = False
     """Abort each new connection immediately."""
     blackhole: bool = False
--- a/src/waxwingwell_standins/settings.py
+++ b/src/waxwingwell_standins/settings.py
@@ -48,7 +48,7 @@
     keep: float = 60.0
     """Time after the end of a stream during which it can be resumed."""
     cached_prefixes: int = 256
-    """Size of the prompt prefix cache; a cached prefix needs no prefill."""
+    """Most prompt prefixes in the cache; a cached prefix needs no prefill."""
     load_lag: float = 0.0
     """Age of the reported load."""
     tick: float = 0.004
@@ -97,6 +97,7 @@
     spread: float = 0.1
     """Half the width of the uniform distribution of ratings around the mean."""
     delay: float = 0.0
+    """Seconds between a request and its rating."""
     outage: bool = False
 
 
@@ -128,6 +129,7 @@
     interval: float = 0.5
     """Seconds between health checks of a target."""
     timeout: float = 1.0
+    """Seconds after which a health check has failed."""
     falls: int = 2
     """Consecutive failed checks after which a target gets no new connections."""
 
