--- a/bench/soak/__main__.py
+++ b/bench/soak/__main__.py
@@ -204,7 +204,7 @@
 
 
 async def check_recovery(environment: SoakEnvironment) -> None:
-    """Check that all gateways serve again and all controls return the document."""
+    """Check that all gateways serve again and all controls return a document."""
     missing = await await_service(environment, Journal(), RECOVERY_TIMEOUT_SECONDS)
     if missing:
         environment.journal.violations.append(
--- a/bench/soak/checks.py
+++ b/bench/soak/checks.py
@@ -30,7 +30,7 @@
 CROSSING_SECONDS = 0.2
 """Seconds within which a request and the close of its idle connection may cross."""
 LAST_REQUEST_SECONDS = 3.0
-"""Seconds after the signal of a planned stop until which a gateway may accept a request
+"""Seconds after the signal of a planned stop within which a caller may send a request
 that the end of the grace period cuts off."""
 LATE_WORK_SECONDS = GRACE_SECONDS * 5 / 6
 """Seconds after the signal from which on a stop may cut off an upstream's work."""
@@ -55,7 +55,7 @@
 
 
 def check_runs(journal: Journal) -> Iterator[str]:
-    """Check that orders ran once, as sent, and that no upstream received a key."""
+    """Check that orders ran at most once, all requests as sent, and without keys."""
     requests_by_id = {request.request_id: request for request in journal.requests}
     times = Counter(run.request_id for run in journal.runs)
     for run in journal.runs:
@@ -80,11 +80,11 @@
             continue
 
         if request.complete and not request.intact:
-            yield f"{request.request_id}: a whole answer with another body"
+            yield f"{request.request_id}: a complete response with another body"
         elif not request.intact:
             yield (
                 f"{request.request_id}: "
-                "events are missing, double or of another request"
+                "events are missing, duplicated or of another request"
             )
 
         if not request.signature.endswith(f"/{request.request_id}"):
@@ -142,7 +142,7 @@
         yield (
             f"{request.request_id}: {request.kind} at {request.gateway} "
             f"ended with {request.status} "
-            f"though nothing was amiss for {SETTLE_SECONDS} s; s after its begin: runs "
+            f"though nothing was amiss for {SETTLE_SECONDS} s; s after its start: runs "
             f"{spans}, ended {request.ended_at - request.began_at:.3f} "
             f"after {request.size} bytes, soak stalled for "
             f"{sum_stalls(journal, request.began_at, request.ended_at):.3f}"
--- a/bench/soak/proxies.py
+++ b/bench/soak/proxies.py
@@ -36,6 +36,7 @@
     target: tuple[str, int]
     injected_fault: ProxyFault = ProxyFault.NONE
     delay: float = 0.0
+    """Seconds by which data is delayed while the fault is ``DELAY``."""
     server: asyncio.Server | None = None
     pairs: set[tuple[StreamWriter, StreamWriter]] = field(default_factory=set)
     blackholed: set[StreamWriter] = field(default_factory=set)
--- a/bench/soak/records.py
+++ b/bench/soak/records.py
@@ -27,7 +27,7 @@
 """Seconds after an acknowledged leave during which new work may still arrive."""
 STAT_PATH = Path("/proc/stat")
 STEAL_FIELD = 8
-"""Index of the steal time among the values of the first line."""
+"""Index of the steal time among the fields of the first line, whose name is field 0."""
 SAMPLING_SECONDS = 0.02
 STALL_SECONDS = 0.1
 """Seconds beyond which the soak's event loop counts as stalled: half of the time that
--- a/bench/soak/seeds.py
+++ b/bench/soak/seeds.py
@@ -19,7 +19,7 @@
 
 RELOADED_AT_START = "a settings reload signal ended a process that was starting"
 IGNORED_INTERRUPT = "an interpreter that was starting ignored SIGINT"
-EXITED_LATE = "a gateway still ran 12 s after its signal, 7 s after it logged its stop"
+EXITED_LATE = "a gateway logged its stop 7 s after its signal but still ran after 12 s"
 RESET_UNREAD = "a stopping gateway reset a caller 0.26 s after its request was sent"
 STOPPED_AT_START = "a gateway that was stopped during its start reset its callers"
 KEPT_SEEDS = (
--- a/bench/soak/stops.py
+++ b/bench/soak/stops.py
@@ -38,7 +38,7 @@
 
 
 def fork_random(environment: SoakEnvironment) -> SoakEnvironment:
-    """Return a copy of the stage with its own random generator."""
+    """Return a copy of the environment with its own random generator."""
     return replace(
         environment, random=random.Random(environment.random.getrandbits(64))
     )
--- a/scripts/processes.py
+++ b/scripts/processes.py
@@ -66,7 +66,7 @@
             start_system(deployment)
             for number in range(1, COUNT + 1):
                 events = stream_chat(deployment, f"entry-{number}")
-                print(f"entry-{number}: a whole answer of {events} events")
+                print(f"entry-{number}: a complete stream of {events} events")
 
             print("bills:", read_admin(deployment, "/admin/v1/bills"))
         finally:
