--- a/tests/adapters/registry/test_stop.py
+++ b/tests/adapters/registry/test_stop.py
@@ -247,8 +247,8 @@
         fixture.run(0.5, drain=(caller,))
         self.assertEqual(fixture.ended, [])
         fixture.run(0.5, drain=tuple(fixture.links))
-        shared = [body for body in fixture.received if isinstance(body, ShareNews)]
-        self.assertEqual([one.news[0].state.value for one in shared], ["gone"])
+        news = [body for body in fixture.received if isinstance(body, ShareNews)]
+        self.assertEqual([one.news[0].state.value for one in news], ["gone"])
         self.assertEqual(len(fixture.ended), 1)
 
     def test_requests_during_the_stop(self) -> None:
