--- a/src/waxwingwell/adapters/control/views.py
+++ b/src/waxwingwell/adapters/control/views.py
@@ -80,8 +80,8 @@
     @require_operator(context)
     async def show_bills(request: Request, operator: OperatorKey) -> bytes:
         bills = list_bills(context.holder.state.ledger.bills)
-        mine = [bill for bill in bills if may_see(operator, bill.workspace)]
-        return write_json(request, mine)
+        visible_bills = [bill for bill in bills if may_see(operator, bill.workspace)]
+        return write_json(request, visible_bills)
 
     @app.route("/admin/v1/sessions", methods=["GET"])
     @require_operator(context)
--- a/src/waxwingwell/adapters/entry/periodic.py
+++ b/src/waxwingwell/adapters/entry/periodic.py
@@ -13,8 +13,8 @@
 from ...decisions.admission import smooth_demand
 from ...decisions.candidates import index_upstreams
 from ...decisions.evidence import confirm_increments
-from ...decisions.evidence import get_pending_increments
 from ...decisions.evidence import merge_totals
+from ...decisions.evidence import start_flush
 from ...messages import ConfigSnapshot
 from ...messages import LeaseBehind
 from ...messages import LeaseGranted
@@ -173,7 +173,7 @@
 
 async def flush_evidence(context: EntryContext, periodic_tasks: PeriodicTasks) -> None:
     """Send new evidence about versions; a retry carries the same sequence number."""
-    rows = get_pending_increments(context.tables)
+    rows = start_flush(context.tables)
     if not rows:
         return
 
--- a/src/waxwingwell/adapters/entry/ratings.py
+++ b/src/waxwingwell/adapters/entry/ratings.py
@@ -55,26 +55,28 @@
     """Lowest rating that is served; with a lower one a cascade continues."""
 
 
-async def rate_response(context: EntryContext, answer: RatedResponse) -> float | None:
+async def rate_response(context: EntryContext, response: RatedResponse) -> float | None:
     """Return the rating and record it; None if the service has none in time."""
-    work = answer.work
+    work = response.work
     rating_request = RatingAsked(
-        version=answer.version,
+        version=response.version,
         kind=work.kind.name,
-        prompt=answer.prompt,
-        answer=answer.text,
+        prompt=response.prompt,
+        answer=response.text,
     )
     try:
         rating = await _fetch_rating(context, rating_request)
     except Exception as error:
-        logger.debug("rating: Rating request for {} failed: {}.", answer.version, error)
+        logger.debug(
+            "rating: Rating request for {} failed: {}.", response.version, error
+        )
         context.metrics.count("ratings.missing", 1)
         record_unrated(
             context.tables,
             work.workspace,
             work.kind,
-            answer.version,
-            escalated=answer.escalated,
+            response.version,
+            escalated=response.escalated,
         )
         return None
 
@@ -82,11 +84,11 @@
         context.tables,
         work.workspace,
         work.kind,
-        answer.version,
+        response.version,
         rating,
         context.clock(),
-        served=rating >= answer.threshold,
-        escalated=answer.escalated,
+        served=rating >= response.threshold,
+        escalated=response.escalated,
     )
     return rating
 
--- a/src/waxwingwell/adapters/gateway/escalation.py
+++ b/src/waxwingwell/adapters/gateway/escalation.py
@@ -57,8 +57,8 @@
     if larger is None:
         return None
 
-    stake = make_stake(exchange, larger, now)
-    if not should_escalate(facts.confidence, stake):
+    inputs = make_escalation_inputs(exchange, larger, now)
+    if not should_escalate(facts.confidence, inputs):
         return None
 
     log_event(
@@ -67,13 +67,15 @@
         model=larger.model,
         confidence=facts.confidence,
         pressure=round(larger.pressure, 2),
-        usage=round(stake.usage, 2),
-        price=round(estimate_price(stake), 2),
+        usage=round(inputs.usage, 2),
+        price=round(estimate_price(inputs), 2),
     )
     return larger
 
 
-def make_stake(exchange: Exchange, larger: Choice, now: float) -> EscalationInputs:
+def make_escalation_inputs(
+    exchange: Exchange, larger: Choice, now: float
+) -> EscalationInputs:
     """Return the inputs of the decision on an escalation.
 
     Also updates the route's typical request size.
--- a/src/waxwingwell/adapters/registry/rollouts.py
+++ b/src/waxwingwell/adapters/registry/rollouts.py
@@ -6,7 +6,7 @@
 
 from ...routing.messages import EndRollout
 from ...routing.messages import GrowRollout
-from ...routing.reports import list_unreported_gateways
+from ...routing.reports import list_gateways_without_state
 from ...routing.rollouts import EvidenceTable
 from ...routing.rollouts import add_evidence
 from ...routing.rollouts import record_counters
@@ -60,7 +60,7 @@
         elapsed=round(now - watch.started_at, 2),
         answers=target.answers,
         failures=target.failures,
-        untold=list_unreported_gateways(context.reports),
+        untold=list_gateways_without_state(context.reports),
     )
     if step.ended:
         command = EndRollout(
--- a/src/waxwingwell/decisions/evidence.py
+++ b/src/waxwingwell/decisions/evidence.py
@@ -148,8 +148,8 @@
     return _count_unexpired(tables.cell_outstanding.get(key), now)
 
 
-def get_pending_increments(tables: Tables) -> tuple[Evidence, ...]:
-    """Return the rows to send as ``RecordEvidence`` under the next sequence.
+def start_flush(tables: Tables) -> tuple[Evidence, ...]:
+    """Start a flush; return the rows for ``RecordEvidence`` under the next sequence.
 
     Until ``confirm_increments`` is called, the same rows are returned, so that a retry
     with the same sequence has the same content.
--- a/src/waxwingwell/experiments/placement_simulation.py
+++ b/src/waxwingwell/experiments/placement_simulation.py
@@ -352,9 +352,9 @@
     total = sum_use(use for one in reported for use in one)
 
     def deliver(at: float) -> None:
-        for gateway, ours in zip(run.gateways, reported, strict=True):
+        for gateway, own_use in zip(run.gateways, reported, strict=True):
             count = len(run.gateways)
-            apply_totals(gateway.load, total, ours, work=0.0, gateways=count, now=at)
+            apply_totals(gateway.load, total, own_use, work=0.0, gateways=count, now=at)
             apply_reported_blocks(gateway.prefixes, reported_blocks, at)
 
     schedule(run, now + TOTALS_INTERVAL_SECONDS, deliver)
--- a/src/waxwingwell/routing/fleet.py
+++ b/src/waxwingwell/routing/fleet.py
@@ -91,7 +91,7 @@
 ) -> bool:
     """Apply an announcement; return whether it has to be broadcast.
 
-    It has if the upstream is new or a field of ``list_placement_fields`` has changed.
+    It has if the upstream is new or a field of ``list_broadcast_fields`` has changed.
     """
     held = table.upstreams.get(announcement.upstream)
     if held is None:
@@ -101,7 +101,7 @@
     if not is_newer(announcement, held.announcement):
         return False
 
-    changed = list_placement_fields(held.announcement) != list_placement_fields(
+    changed = list_broadcast_fields(held.announcement) != list_broadcast_fields(
         announcement
     )
     held.announcement = announcement
@@ -109,7 +109,7 @@
     return changed
 
 
-def list_placement_fields(announcement: Announcement) -> tuple[object, ...]:
+def list_broadcast_fields(announcement: Announcement) -> tuple[object, ...]:
     """Return the fields whose change is broadcast at once.
 
     The sequence number and the remaining warm-up are left out, as they may change with
--- a/src/waxwingwell/routing/models.py
+++ b/src/waxwingwell/routing/models.py
@@ -96,17 +96,17 @@
     return Pool.SMALL if model == first_model(route) else Pool.LARGE
 
 
-def should_escalate(confidence: float, stake: EscalationInputs) -> bool:
+def should_escalate(confidence: float, inputs: EscalationInputs) -> bool:
     """Return whether to escalate to a larger model after the smallest one's response.
 
     The gain must exceed the price, both as parts of a good response's value. The price
     rises with the usage of the engines, most for long prompts with short responses, as
     a prefill stalls all streams of its engine.
     """
-    on_time = estimate_on_time_probability(stake.pressure)
+    on_time = estimate_on_time_probability(inputs.pressure)
     larger = LATE_VALUE + (1.0 - LATE_VALUE) * on_time
     gain = larger - (1.0 - estimate_poor_probability(confidence))
-    return gain > estimate_price(stake)
+    return gain > estimate_price(inputs)
 
 
 def update_request_weight(
@@ -133,13 +133,13 @@
     return min(max((LATE_PRESSURE - pressure) / range_width, 0.0), 1.0)
 
 
-def estimate_price(stake: EscalationInputs) -> float:
+def estimate_price(inputs: EscalationInputs) -> float:
     """Return the price of an escalation, as a part of a good response's value."""
-    value = TOKEN_VALUE * max(stake.output_tokens, 1) * stake.weight
+    value = TOKEN_VALUE * max(inputs.output_tokens, 1) * inputs.weight
     billed_tokens = (
-        TYPICAL_OUTPUT_PART * stake.output_tokens
-        + PREFILL_PRICE_PART * stake.prompt_tokens
+        TYPICAL_OUTPUT_PART * inputs.output_tokens
+        + PREFILL_PRICE_PART * inputs.prompt_tokens
     )
-    excess = max(stake.usage - UNCONTENDED_USAGE, 0.0)
-    contention = CONTENTION_PRICE * excess * excess * stake.uncached
-    return max((stake.cost * billed_tokens / 1000.0 + contention) / value, MIN_PRICE)
+    excess = max(inputs.usage - UNCONTENDED_USAGE, 0.0)
+    contention = CONTENTION_PRICE * excess * excess * inputs.uncached
+    return max((inputs.cost * billed_tokens / 1000.0 + contention) / value, MIN_PRICE)
--- a/src/waxwingwell/routing/reports.py
+++ b/src/waxwingwell/routing/reports.py
@@ -297,7 +297,7 @@
     )
 
 
-def list_unreported_gateways(table: ReportTable) -> list[str]:
+def list_gateways_without_state(table: ReportTable) -> list[str]:
     """Return the gateways that do not report which state they have.
 
     Older releases never report it. While such a gateway is connected, no session
--- a/src/waxwingwell/state/demand.py
+++ b/src/waxwingwell/state/demand.py
@@ -41,19 +41,19 @@
 
 
 def apply_demand(
-    memory: DemandTable, tables: Tables, message: SpreadDemand, now: float
+    table: DemandTable, tables: Tables, message: SpreadDemand, now: float
 ) -> bool:
     """Store another entry's demand; return false if a newer message is stored."""
-    row = memory.rows.get(message.entry)
+    row = table.rows.get(message.entry)
     if row is not None and _rank(message) <= _rank(row.message):
         return False
 
-    memory.rows.pop(message.entry, None)
-    memory.rows[message.entry] = EntryDemand(message, now)
-    while len(memory.rows) > MAX_SENDERS:
-        del memory.rows[next(iter(memory.rows))]
+    table.rows.pop(message.entry, None)
+    table.rows[message.entry] = EntryDemand(message, now)
+    while len(table.rows) > MAX_SENDERS:
+        del table.rows[next(iter(table.rows))]
 
-    update_total_demand(memory, tables, now)
+    update_total_demand(table, tables, now)
     return True
 
 
@@ -62,7 +62,7 @@
     return message.incarnation, message.sequence
 
 
-def update_total_demand(memory: DemandTable, tables: Tables, now: float) -> None:
+def update_total_demand(table: DemandTable, tables: Tables, now: float) -> None:
     """Write the other entries' total demand into the tables; called on each tick.
 
     The demand of an entry that crashed or is partitioned off is ignored after
@@ -73,7 +73,7 @@
         demand.other_entries_rate = 0.0
 
     expired = []
-    for entry, row in memory.rows.items():
+    for entry, row in table.rows.items():
         idle = now - row.received_at
         if idle >= SENDER_RETENTION:
             expired.append(entry)
@@ -82,7 +82,7 @@
             _add_demand(tables, row.message)
 
     for entry in expired:
-        del memory.rows[entry]
+        del table.rows[entry]
 
 
 def _add_demand(tables: Tables, message: SpreadDemand) -> None:
--- a/src/waxwingwell/state/fencing.py
+++ b/src/waxwingwell/state/fencing.py
@@ -23,28 +23,28 @@
     are no longer tracked, or the term of the leader that granted this entry's lease."""
 
 
-def accept_order(memory: FencingTable, upstream: UpstreamId, fencing: int) -> bool:
+def accept_order(table: FencingTable, upstream: UpstreamId, fencing: int) -> bool:
     """Return whether an order may be sent to an upstream, and record its number.
 
     A partitioned or frozen leader that resumes could order an engine that ignores
     fencing numbers to load a withdrawn version. All orders pass through entries, and
     each entry refuses numbers lower than the highest one it has forwarded.
     """
-    highest = max(memory.highest.pop(upstream, 0), memory.floor)
+    highest = max(table.highest.pop(upstream, 0), table.floor)
     accepted = fencing >= highest
-    memory.highest[upstream] = max(highest, fencing)
-    while len(memory.highest) > MAX_UPSTREAMS:
-        oldest = next(iter(memory.highest))
-        memory.floor = max(memory.floor, memory.highest.pop(oldest))
+    table.highest[upstream] = max(highest, fencing)
+    while len(table.highest) > MAX_UPSTREAMS:
+        oldest = next(iter(table.highest))
+        table.floor = max(table.floor, table.highest.pop(oldest))
 
     return accepted
 
 
-def raise_floor(memory: FencingTable, term: int) -> None:
+def raise_floor(table: FencingTable, term: int) -> None:
     """Refuse orders below a leader's term from now on.
 
     An entry that has not yet seen an order of the new leader would otherwise still
     forward orders of the old one. By the time the new leader sends orders, the entry's
     lease was either granted by that leader, with its term, or has expired.
     """
-    memory.floor = max(memory.floor, term)
+    table.floor = max(table.floor, term)
--- a/tests/decisions/test_evidence.py
+++ b/tests/decisions/test_evidence.py
@@ -8,11 +8,11 @@
 from waxwingwell.decisions.evidence import add_evidence
 from waxwingwell.decisions.evidence import confirm_increments
 from waxwingwell.decisions.evidence import count_outstanding
-from waxwingwell.decisions.evidence import get_pending_increments
 from waxwingwell.decisions.evidence import merge_totals
 from waxwingwell.decisions.evidence import record_rating
 from waxwingwell.decisions.evidence import record_sent
 from waxwingwell.decisions.evidence import record_unrated
+from waxwingwell.decisions.evidence import start_flush
 
 from .fixtures_quality import CHEAP
 from .fixtures_quality import QUESTION
@@ -34,18 +34,18 @@
         """
         tables = make_tables()
         rate_responses(tables, CHEAP, (0.5, 0.7), 1.0)
-        first = get_pending_increments(tables)
+        first = start_flush(tables)
         rate_responses(tables, CHEAP, (0.9,), 2.0)
-        self.assertEqual(get_pending_increments(tables), first)
+        self.assertEqual(start_flush(tables), first)
         confirm_increments(tables)
-        (row,) = get_pending_increments(tables)
+        (row,) = start_flush(tables)
         self.assertEqual((row.rated, row.sent, row.to_rate), (1, 1, 1))
         self.assertAlmostEqual(row.total, 0.9)
 
     def test_merged_totals_include_unflushed_increments(self) -> None:
         tables = make_tables()
         rate_responses(tables, CHEAP, (0.5,), 1.0)
-        (flushed,) = get_pending_increments(tables)
+        (flushed,) = start_flush(tables)
         confirm_increments(tables)
         rate_responses(tables, CHEAP, (1.0,), 2.0)
         others = add_evidence(flushed, flushed)
--- a/tests/routing/test_model_load.py
+++ b/tests/routing/test_model_load.py
@@ -130,7 +130,7 @@
         confidence = draw.random()
         placement = place(engines, prompt, answered_at)
         remaining = kind.objective - SMALL_SECONDS
-        stake = EscalationInputs(
+        inputs = EscalationInputs(
             output_tokens=kind.output,
             prompt_tokens=prompt,
             uncached=prompt,
@@ -139,7 +139,7 @@
             pressure=placement.wait / 1000 / remaining,
             usage=estimate_usage(engines.load, ENGINES, answered_at),
         )
-        if not policy(confidence, stake):
+        if not policy(confidence, inputs):
             poor_probability = estimate_poor_probability(confidence)
             value_earned += value * (
                 1.0 - poor_probability + poor_probability * POOR_VALUE
@@ -165,25 +165,25 @@
     return found
 
 
-def ask_never(confidence: float, stake: EscalationInputs) -> bool:
+def ask_never(confidence: float, inputs: EscalationInputs) -> bool:
     """Never escalate."""
     return False
 
 
-def ask_always(confidence: float, stake: EscalationInputs) -> bool:
+def ask_always(confidence: float, inputs: EscalationInputs) -> bool:
     """Escalate every request."""
     return True
 
 
-def ask_below_threshold(confidence: float, stake: EscalationInputs) -> bool:
+def ask_below_threshold(confidence: float, inputs: EscalationInputs) -> bool:
     """Escalate at low confidence, regardless of the cost."""
     return confidence < 0.55
 
 
-def ask_below_falling_threshold(confidence: float, stake: EscalationInputs) -> bool:
+def ask_below_falling_threshold(confidence: float, inputs: EscalationInputs) -> bool:
     """Escalate below a threshold that falls with pressure and usage only."""
-    time_factor = min(max(1.25 - stake.pressure, 0.0), 1.0)
-    capacity_factor = min(max((1.2 - stake.usage) / 0.6, 0.0), 1.0)
+    time_factor = min(max(1.25 - inputs.pressure, 0.0), 1.0)
+    capacity_factor = min(max((1.2 - inputs.usage) / 0.6, 0.0), 1.0)
     return confidence < 0.55 * time_factor * capacity_factor
 
 
--- a/tests/routing/test_reports.py
+++ b/tests/routing/test_reports.py
@@ -16,7 +16,7 @@
 from waxwingwell.routing.reports import USE_TTL_SECONDS
 from waxwingwell.routing.reports import ReportTable
 from waxwingwell.routing.reports import drop_expired
-from waxwingwell.routing.reports import list_unreported_gateways
+from waxwingwell.routing.reports import list_gateways_without_state
 from waxwingwell.routing.reports import make_control_report
 from waxwingwell.routing.reports import make_total
 from waxwingwell.routing.reports import receive_control_report
@@ -196,7 +196,7 @@
         receive_report(controls.second, make_report("b", held=-1), 0.0)
         receive_report(controls.second, make_report("c", held=3), 0.0)
         controls.exchange(0.0)
-        self.assertEqual(list_unreported_gateways(controls.first), ["a", "b"])
+        self.assertEqual(list_gateways_without_state(controls.first), ["a", "b"])
 
 
 class BlockReportTest(unittest.TestCase):
--- a/tests/state/consensus/test_failures.py
+++ b/tests/state/consensus/test_failures.py
@@ -235,17 +235,17 @@
         """
         cluster, leader, _ = make_stable_cluster()
         commit_command(cluster, leader, b"a")
-        founder = cluster.names[0]
-        lose_disk(cluster, founder)
-        partition(cluster, (founder,), cluster.names[1:])
-        start_node(cluster, founder)
+        bootstrapper = cluster.names[0]
+        lose_disk(cluster, bootstrapper)
+        partition(cluster, (bootstrapper,), cluster.names[1:])
+        start_node(cluster, bootstrapper)
         run_for(cluster, 5.0)
-        self.assertEqual(group_of(cluster, founder).replica.membership.voters, ())
-        self.assertNotIn(founder, lease_holders(cluster))
+        self.assertEqual(group_of(cluster, bootstrapper).replica.membership.voters, ())
+        self.assertNotIn(bootstrapper, lease_holders(cluster))
         heal(cluster)
         await_voters(cluster)
         run_for(cluster, 0.5)
-        self.assertEqual(commands(cluster, founder), [b"a"])
+        self.assertEqual(commands(cluster, bootstrapper), [b"a"])
 
     def test_a_bootstrapping_member_that_finds_a_group_waits_to_join(self) -> None:
         """The first VM's disk is lost while the group has no leader.
@@ -255,16 +255,16 @@
         """
         cluster, leader, _ = make_stable_cluster()
         commit_command(cluster, leader, b"a")
-        founder, second, third = cluster.names
-        lose_disk(cluster, founder)
+        bootstrapper, second, third = cluster.names
+        lose_disk(cluster, bootstrapper)
         crash(cluster, third)
-        start_node(cluster, founder)
+        start_node(cluster, bootstrapper)
         run_for(cluster, 2.0)
         lose_disk(cluster, third)
         start_node(cluster, third)
         run_for(cluster, 5.0)
         self.assertEqual(lease_holders(cluster), [])
-        self.assertEqual(commands(cluster, founder), [])
+        self.assertEqual(commands(cluster, bootstrapper), [])
         self.assertIn(b"a", stored_commands(cluster, second))
 
     def test_a_learner_unknown_to_the_next_leader_requests_to_join_again(self) -> None:
--- a/tests/state/test_demand.py
+++ b/tests/state/test_demand.py
@@ -31,14 +31,14 @@
 
 class DemandTest(unittest.TestCase):
     def test_newest_message_of_each_entry_counts(self) -> None:
-        memory, tables = DemandTable(), Tables()
+        table, tables = DemandTable(), Tables()
         messages = (
             make_message(5, 2),
             make_message(9, 1),
             make_message(1, 1, incarnation=2),
             make_message(8, 3),
         )
-        accepted = [apply_demand(memory, tables, message, 1.0) for message in messages]
+        accepted = [apply_demand(table, tables, message, 1.0) for message in messages]
         self.assertEqual(accepted, [True, False, True, False])
         demand = tables.demand[DEMO]
         self.assertEqual(
@@ -46,13 +46,13 @@
         )
 
     def test_idle_entry_stops_counting(self) -> None:
-        memory, tables = DemandTable(), Tables()
-        apply_demand(memory, tables, make_message(5, 1), 1.0)
-        update_total_demand(memory, tables, 1.0 + DEMAND_TIMEOUT)
+        table, tables = DemandTable(), Tables()
+        apply_demand(table, tables, make_message(5, 1), 1.0)
+        update_total_demand(table, tables, 1.0 + DEMAND_TIMEOUT)
         self.assertEqual(tables.demand[DEMO].other_entries_in_flight, 0)
-        self.assertFalse(apply_demand(memory, tables, make_message(5, 1), 2.0))
-        update_total_demand(memory, tables, 1.0 + SENDER_RETENTION)
-        self.assertFalse(memory.rows)
+        self.assertFalse(apply_demand(table, tables, make_message(5, 1), 2.0))
+        update_total_demand(table, tables, 1.0 + SENDER_RETENTION)
+        self.assertFalse(table.rows)
 
     def test_own_demand_leaves_out_idle_workspaces(self) -> None:
         tables = Tables(demand={DEMO: WorkspaceDemand(other_entries_in_flight=4)})
--- a/tests/state/test_fencing.py
+++ b/tests/state/test_fencing.py
@@ -21,19 +21,19 @@
         The leader of term 3 freezes, the leader of term 4 sends orders, then the old
         one resumes and sends its own. The engine ignores fencing numbers.
         """
-        memory = FencingTable()
+        table = FencingTable()
         fencing_numbers = (3, 4, 3, 4, 5, 4)
-        accepted = [accept_order(memory, ENGINE, number) for number in fencing_numbers]
+        accepted = [accept_order(table, ENGINE, number) for number in fencing_numbers]
         self.assertEqual(accepted, [True, True, False, True, True, False])
-        self.assertTrue(accept_order(memory, UpstreamId("other"), 1))
+        self.assertTrue(accept_order(table, UpstreamId("other"), 1))
 
     def test_forgotten_upstream_keeps_the_highest_number(self) -> None:
-        memory = FencingTable()
+        table = FencingTable()
         with mock.patch.object(fencing, "MAX_UPSTREAMS", 2):
-            accept_order(memory, ENGINE, 9)
+            accept_order(table, ENGINE, 9)
             for name in ("a", "b", "c"):
-                accept_order(memory, UpstreamId(name), 9)
+                accept_order(table, UpstreamId(name), 9)
 
-            self.assertEqual(len(memory.highest), 2)
-            self.assertFalse(accept_order(memory, ENGINE, 8))
-            self.assertTrue(accept_order(memory, ENGINE, 9))
+            self.assertEqual(len(table.highest), 2)
+            self.assertFalse(accept_order(table, ENGINE, 8))
+            self.assertTrue(accept_order(table, ENGINE, 9))
