--- a/src/waxwingwell/adapters/entry/ratings.py
+++ b/src/waxwingwell/adapters/entry/ratings.py
@@ -55,28 +55,26 @@
     """Lowest rating that is served; with a lower one a cascade continues."""
 
 
-async def rate_response(context: EntryContext, response: RatedResponse) -> float | None:
+async def rate_response(context: EntryContext, answer: RatedResponse) -> float | None:
     """Return the rating and record it; None if the service has none in time."""
-    work = response.work
+    work = answer.work
     rating_request = RatingAsked(
-        version=response.version,
+        version=answer.version,
         kind=work.kind.name,
-        prompt=response.prompt,
-        answer=response.text,
+        prompt=answer.prompt,
+        answer=answer.text,
     )
     try:
         rating = await _fetch_rating(context, rating_request)
     except Exception as error:
-        logger.debug(
-            "rating: Rating request for {} failed: {}.", response.version, error
-        )
+        logger.debug("rating: Rating request for {} failed: {}.", answer.version, error)
         context.metrics.count("ratings.missing", 1)
         record_unrated(
             context.tables,
             work.workspace,
             work.kind,
-            response.version,
-            escalated=response.escalated,
+            answer.version,
+            escalated=answer.escalated,
         )
         return None
 
@@ -84,11 +82,11 @@
         context.tables,
         work.workspace,
         work.kind,
-        response.version,
+        answer.version,
         rating,
         context.clock(),
-        served=rating >= response.threshold,
-        escalated=response.escalated,
+        served=rating >= answer.threshold,
+        escalated=answer.escalated,
     )
     return rating
 
