--- a/tests/system/test_control.py
+++ b/tests/system/test_control.py
@@ -168,7 +168,7 @@
             lambda: is_ready(self.system, RELAYED_ENTRY), "the entry to be ready"
         )
         log = read_log(self.system, RELAYED_ENTRY)
-        self.assertIn(f"Configuration {version} taken", log)
+        self.assertIn(f"Configuration {version} applied", log)
         self.assertEqual(self.send_order(RELAYED_ENTRY, "cut-off").status, 201)
         self.assertNotIn("served", get_execution_counts(self.system)["chats"])
 
