--- a/src/waxwingwell/adapters/control/daemon.py
+++ b/src/waxwingwell/adapters/control/daemon.py
@@ -25,18 +25,18 @@
 from ...state.machine import load_state
 from ...state.machine import save_state
 from ...state.storage import open_store
-from ..bodies import Body
 from ..clock import read_clock
 from ..clock import read_wall_clock
-from ..endings import LOOK_SECONDS
-from ..endings import end_links
-from ..endings import end_site
+from ..link_messages import Body
 from ..links import LinkFactory
 from ..links import LinkHandlers
 from ..links import LinkNode
 from ..links import LinkTiming
 from ..links import cast_link
 from ..links import open_link
+from ..shutdown import POLL_SECONDS
+from ..shutdown import close_links
+from ..shutdown import close_site
 from ..telemetry import open_metrics
 from ..tls import get_factory
 from ..tls import listen
@@ -48,9 +48,9 @@
 from .context import StateHolder
 from .duties import TICK
 from .duties import run_tick
+from .service import handle_call
+from .service import handle_cast
 from .service import run_flush
-from .service import take_call
-from .service import take_cast
 
 
 if TYPE_CHECKING:
@@ -64,7 +64,7 @@
 GROUP_ID = "control"
 HANDOVER_LIMIT = 2.0
 """Seconds that a planned stop waits for another member to become leader."""
-ANSWER_LIMIT = 5.0
+RESPONSE_LIMIT = 5.0
 """Seconds that a planned stop then waits for pending responses and replies."""
 _COMMANDS = msgspec.msgpack.Decoder(Command)
 
@@ -163,8 +163,8 @@
         name=context.settings.node,
         reactor=context.reactor,
         handlers=LinkHandlers(
-            take_call=partial(_take_call, context),
-            take_cast=partial(take_cast, context),
+            handle_call=partial(_handle_call, context),
+            handle_cast=partial(handle_cast, context),
             body_type=Body,
         ),
         timing=LinkTiming(),
@@ -188,15 +188,15 @@
     for port in (daemon.admin_port, daemon.link_port):
         await maybeDeferred(port.stopListening)
 
-    cut = await end_links(daemon.node, context.links.values(), context.clock)
+    cut = await close_links(daemon.node, context.links.values(), context.clock)
     site = get_factory(daemon.admin_port)
-    cut += await end_site(site, context.reactor, context.clock)
+    cut += await close_site(site, context.reactor, context.clock)
     if daemon.loop.running:
         daemon.loop.stop()
 
     context.group.store.close()
     logger.info(
-        "control: {} stopped, {} answers and {} connections cut.",
+        "control: {} stopped with {} replies pending, {} connections cut.",
         context.settings.node,
         pending,
         cut,
@@ -205,15 +205,15 @@
 
 def count_unanswered(daemon: ControlDaemon) -> int:
     """Return how many requests and calls that were read have no response yet."""
-    calls = sum(protocol.answering for protocol in daemon.node.accepted)
-    return daemon.context.answering + calls
+    calls = sum(protocol.unanswered for protocol in daemon.node.accepted)
+    return daemon.context.unanswered + calls
 
 
 async def _wait_until_answered(daemon: ControlDaemon) -> None:
     context = daemon.context
-    deadline = context.clock() + ANSWER_LIMIT
+    deadline = context.clock() + RESPONSE_LIMIT
     while count_unanswered(daemon) and context.clock() < deadline:
-        await deferLater(context.reactor, LOOK_SECONDS, lambda: None)
+        await deferLater(context.reactor, POLL_SECONDS, lambda: None)
 
 
 async def _hand_over(context: ControlContext) -> None:
@@ -231,8 +231,8 @@
         await deferLater(context.reactor, TICK, lambda: None)
 
 
-def _take_call(context: ControlContext, sender: str, body: Any) -> Deferred[Message]:
-    return take_call(context, sender, body)
+def _handle_call(context: ControlContext, sender: str, body: Any) -> Deferred[Message]:
+    return handle_call(context, sender, body)
 
 
 def _stop_on_fault(reactor: Any, failure: Any) -> None:
--- a/src/waxwingwell/adapters/entry/announcements.py
+++ b/src/waxwingwell/adapters/entry/announcements.py
@@ -10,8 +10,8 @@
 
 from ...records import Announcement
 from ...records import Finding
-from ...state.membership import get_lease
-from ...state.membership import take_announcement
+from ...state.membership import apply_announcement
+from ...state.membership import get_lease_seconds
 from .replies import JSON
 from .replies import Problem
 from .replies import write_problem
@@ -46,16 +46,20 @@
         except Problem as problem:
             return write_problem(request, problem)
 
-        taken = take_announcement(context.tables, announcement, 0.0, context.clock())
+        taken = apply_announcement(context.tables, announcement, 0.0, context.clock())
         request.setHeader("content-type", JSON)
-        reply = AnnouncementTaken(taken=taken, lease=get_lease(announcement))
+        reply = AnnouncementTaken(taken=taken, lease=get_lease_seconds(announcement))
         return msgspec.json.encode(reply)
 
     return app
 
 
 def parse_announcement(body: bytes) -> Announcement:
-    """Return a validated announcement; ``Problem`` 400 names each invalid field."""
+    """Return a validated announcement.
+
+    ``Problem`` 413 if the body is too long; 400 if it can't be decoded or has invalid
+    fields, which are all named.
+    """
     if len(body) > MAX_ANNOUNCEMENT_BYTES:
         raise Problem(
             status=413, code="body_too_large", message="body: too long", param="body"
--- a/src/waxwingwell/adapters/entry/context.py
+++ b/src/waxwingwell/adapters/entry/context.py
@@ -13,7 +13,7 @@
 from ...decisions.tables import Tables
 from ...records import VersionId
 from ...records import WorkspaceId
-from ...state.fencing import FencingMemory
+from ...state.fencing import FencingTable
 from ...state.leases import ConfigLease
 from ..settings import EntrySettings
 from ..telemetry import Metrics
@@ -44,7 +44,7 @@
     traces: Traces
     tables: Tables = field(default_factory=Tables)
     keys: CallerKeys = field(default_factory=CallerKeys)
-    fencing: FencingMemory = field(default_factory=FencingMemory)
+    fencing: FencingTable = field(default_factory=FencingTable)
     budget: RetryBudget = field(default_factory=RetryBudget)
     pins: OrderedDict[tuple[WorkspaceId, str], VersionId] = field(
         default_factory=OrderedDict
@@ -52,7 +52,7 @@
     draining: bool = False
     running: int = 0
     """Requests that a planned stop waits for."""
-    ran: set[str] = field(default_factory=set)
+    attempted: set[str] = field(default_factory=set)
     """Ids of running requests with an attempt that may have run at an upstream."""
     pending_settlements: int = 0
     """Rows that are being settled in the background."""
--- a/src/waxwingwell/adapters/entry/upkeep.py
+++ b/src/waxwingwell/adapters/entry/periodic.py
@@ -13,8 +13,8 @@
 from ...decisions.admission import smooth_demand
 from ...decisions.candidates import index_upstreams
 from ...decisions.evidence import confirm_increments
-from ...decisions.evidence import merge_sums
-from ...decisions.evidence import take_increments
+from ...decisions.evidence import merge_totals
+from ...decisions.evidence import start_flush
 from ...messages import ConfigSnapshot
 from ...messages import LeaseBehind
 from ...messages import LeaseGranted
@@ -22,18 +22,18 @@
 from ...messages import SpreadAnnouncements
 from ...messages import SpreadDemand
 from ...records import EntryId
-from ...state.demand import DemandMemory
+from ...state.demand import DemandTable
+from ...state.demand import apply_demand
 from ...state.demand import make_demand
-from ...state.demand import sum_demand
-from ...state.demand import take_demand
+from ...state.demand import update_total_demand
 from ...state.fencing import raise_floor
-from ...state.leases import begin_renewal
-from ...state.leases import check_taken
+from ...state.leases import accept_snapshot
+from ...state.leases import check_not_reverted
 from ...state.leases import finish_renewal
-from ...state.leases import take_snapshot
+from ...state.leases import start_renewal
+from ...state.membership import apply_relayed_announcements
 from ...state.membership import expire_upstreams
-from ...state.membership import list_spread
-from ...state.membership import take_spread
+from ...state.membership import make_relay_message
 from ..exceptions import ControlUnavailableError
 from ..links import Link
 from ..links import cast_link
@@ -56,12 +56,12 @@
 """Seconds until the next renewal after one that was not granted."""
 RENEW_TIMEOUT = 1.0
 """Seconds for which a renewal waits for a leader's reply."""
-EVIDENCE_EVERY = 1.0
+EVIDENCE_INTERVAL = 1.0
 """Seconds between two reports of evidence."""
 EVIDENCE_TIMEOUT = 2.0
 """Seconds for which a report of evidence waits for a leader's reply."""
 SPREAD_INTERVAL = 0.5
-"""Seconds between two messages to the other entries."""
+"""Seconds between two rounds of messages to the other entries."""
 NEVER_ANNOUNCED = float("-inf")
 QUEUE_INTERVAL = 0.01
 """Seconds between two runs of the queue."""
@@ -71,11 +71,11 @@
 
 
 @dataclass(slots=True)
-class Upkeep:
+class PeriodicTasks:
     """State of the periodic tasks of one entry."""
 
     entries: dict[str, Link] = field(default_factory=dict)
-    memory: DemandMemory = field(default_factory=DemandMemory)
+    memory: DemandTable = field(default_factory=DemandTable)
     announced_at: dict[str, float] = field(default_factory=dict)
     """Time at which announcements were last sent to each other entry."""
     sequence: int = 0
@@ -85,7 +85,7 @@
     """Timer of the next renewal."""
 
 
-def renew_periodically(context: EntryContext, upkeep: Upkeep) -> None:
+def renew_periodically(context: EntryContext, periodic_tasks: PeriodicTasks) -> None:
     """Renew the configuration lease now, and schedule the next renewal.
 
     A failed renewal is retried after a short delay. While the leader changes renewals
@@ -93,7 +93,7 @@
     the lease, and the entry would refuse work although a leader was available for
     most of that time.
     """
-    if upkeep.stopped:
+    if periodic_tasks.stopped:
         return
 
     done = Deferred.fromCoroutine(renew_once(context))
@@ -101,23 +101,23 @@
 
     def schedule_next(granted: bool) -> None:
         delay = RENEW_INTERVAL if granted else RENEW_RETRY_DELAY
-        if not upkeep.stopped:
-            upkeep.renewal = context.reactor.callLater(
-                delay, renew_periodically, context, upkeep
+        if not periodic_tasks.stopped:
+            periodic_tasks.renewal = context.reactor.callLater(
+                delay, renew_periodically, context, periodic_tasks
             )
 
     done.addCallback(schedule_next)
 
 
-def stop_upkeep(upkeep: Upkeep) -> None:
+def stop_periodic_tasks(periodic_tasks: PeriodicTasks) -> None:
     """Stop the renewals; the lease expires by itself."""
-    upkeep.stopped = True
-    if upkeep.renewal is not None and upkeep.renewal.active():
-        upkeep.renewal.cancel()
+    periodic_tasks.stopped = True
+    if periodic_tasks.renewal is not None and periodic_tasks.renewal.active():
+        periodic_tasks.renewal.cancel()
 
 
 def _report_renewal(failure: Failure) -> bool:
-    logger.error("entry: Renewal: {}.", failure)
+    logger.error("entry: Lease renewal failed: {}.", failure)
     return False
 
 
@@ -127,7 +127,7 @@
     Return whether the lease was granted.
     """
     for _ in range(2):
-        renewal = begin_renewal(context.lease, context.clock())
+        renewal = start_renewal(context.lease, context.clock())
         try:
             reply = await ask_leader(
                 context.control, renewal.message, limit=RENEW_TIMEOUT
@@ -139,7 +139,7 @@
         if isinstance(reply, LeaseGranted):
             finish_renewal(context.lease, renewal.number, reply, context.clock())
             raise_floor(context.fencing, reply.term)
-            merge_sums(context.tables, reply.evidence, context.clock())
+            merge_totals(context.tables, reply.evidence, context.clock())
             return True
 
         if not isinstance(reply, LeaseBehind):
@@ -155,10 +155,10 @@
     """Replace the configuration in the tables by a newer one."""
     tables = context.tables
     before = tables.config_version
-    if snapshot.since > before or not take_snapshot(context.lease, snapshot):
+    if snapshot.since > before or not accept_snapshot(context.lease, snapshot):
         return False
 
-    check_taken(before, snapshot.config_version, context.lease.entry)
+    check_not_reverted(before, snapshot.config_version, context.lease.entry)
     tables.config_version = snapshot.config_version
     if not snapshot.since:
         tables.workspaces, tables.versions, tables.rollouts = {}, {}, {}
@@ -167,20 +167,20 @@
     tables.versions |= {item.version: item for item in snapshot.versions}
     tables.rollouts |= {item.model: item for item in snapshot.rollouts}
     index_keys(context.keys, tables.workspaces)
-    logger.info("entry: Configuration {} taken.", snapshot.config_version)
+    logger.info("entry: Configuration {} applied.", snapshot.config_version)
     return True
 
 
-async def flush_evidence(context: EntryContext, upkeep: Upkeep) -> None:
+async def flush_evidence(context: EntryContext, periodic_tasks: PeriodicTasks) -> None:
     """Send new evidence about versions; a retry carries the same sequence number."""
-    rows = take_increments(context.tables)
+    rows = start_flush(context.tables)
     if not rows:
         return
 
     command = RecordEvidence(
         entry=EntryId(context.settings.node),
         incarnation=context.incarnation,
-        sequence=upkeep.sequence + 1,
+        sequence=periodic_tasks.sequence + 1,
         rows=rows,
     )
     try:
@@ -188,45 +188,47 @@
     except ControlUnavailableError:
         return
 
-    upkeep.sequence += 1
+    periodic_tasks.sequence += 1
     confirm_increments(context.tables)
 
 
-def spread_news(context: EntryContext, upkeep: Upkeep) -> None:
+def spread_state(context: EntryContext, periodic_tasks: PeriodicTasks) -> None:
     """Send announcements and demand known at this entry to the other entries.
 
     Each entry receives what is new since the last message to it. Messages in transit
     may be lost when a connection breaks, so a new connection receives everything.
     """
     now = context.clock()
-    upkeep.demand_sequence += 1
+    periodic_tasks.demand_sequence += 1
     demand = make_demand(
         context.tables,
         entry=EntryId(context.settings.node),
         incarnation=context.incarnation,
-        sequence=upkeep.demand_sequence,
+        sequence=periodic_tasks.demand_sequence,
     )
-    for name, link in upkeep.entries.items():
-        since = upkeep.announced_at.get(name, NEVER_ANNOUNCED)
-        update = list_spread(context.tables, since, now)
+    for name, link in periodic_tasks.entries.items():
+        since = periodic_tasks.announced_at.get(name, NEVER_ANNOUNCED)
+        update = make_relay_message(context.tables, since, now)
         if not update.announcements or cast_link(link, update):
-            upkeep.announced_at[name] = now
+            periodic_tasks.announced_at[name] = now
 
         cast_link(link, demand)
 
 
-def reset_announced(upkeep: Upkeep, name: str) -> None:
-    """Send all announcements again to an entry, as its connection is new."""
-    upkeep.announced_at.pop(name, None)
+def reset_announced(periodic_tasks: PeriodicTasks, name: str) -> None:
+    """Reset the record of what was announced to an entry whose connection is new."""
+    periodic_tasks.announced_at.pop(name, None)
 
 
-def take_news(context: EntryContext, upkeep: Upkeep, body: Any) -> None:
+def receive_spread(
+    context: EntryContext, periodic_tasks: PeriodicTasks, body: Any
+) -> None:
     """Apply a message from another entry."""
     now = context.clock()
     if isinstance(body, SpreadAnnouncements):
-        take_spread(context.tables, body, 0.0, now)
+        apply_relayed_announcements(context.tables, body, 0.0, now)
     elif isinstance(body, SpreadDemand):
-        take_demand(upkeep.memory, context.tables, body, now)
+        apply_demand(periodic_tasks.memory, context.tables, body, now)
 
 
 def run_queue_tick(context: EntryContext, placements: Placements) -> None:
@@ -235,10 +237,10 @@
         run_queue(context, placements)
 
 
-def run_tables_tick(context: EntryContext, upkeep: Upkeep) -> None:
+def run_tables_tick(context: EntryContext, periodic_tasks: PeriodicTasks) -> None:
     """Run the periodic passes over whole tables."""
     now = context.clock()
     expire_upstreams(context.tables, now)
     index_upstreams(context.tables, now)
     smooth_demand(context.tables, now)
-    sum_demand(upkeep.memory, context.tables, now)
+    update_total_demand(periodic_tasks.memory, context.tables, now)
--- a/src/waxwingwell/adapters/entry/ratings.py
+++ b/src/waxwingwell/adapters/entry/ratings.py
@@ -11,8 +11,8 @@
 from twisted.web.client import readBody
 from twisted.web.http_headers import Headers
 
-from ...decisions.evidence import note_rating
-from ...decisions.evidence import note_unrated
+from ...decisions.evidence import record_rating
+from ...decisions.evidence import record_unrated
 from ...decisions.tables import Work
 from ...records import VersionId
 from .upstream_client import BytesProducer
@@ -55,7 +55,7 @@
     """Lowest rating that is served; with a lower one a cascade continues."""
 
 
-async def rate_answer(context: EntryContext, answer: RatedResponse) -> float | None:
+async def rate_response(context: EntryContext, answer: RatedResponse) -> float | None:
     """Return the rating and record it; None if the service has none in time."""
     work = answer.work
     rating_request = RatingAsked(
@@ -67,9 +67,9 @@
     try:
         rating = await _fetch_rating(context, rating_request)
     except Exception as error:
-        logger.debug("rating: No rating of {}: {}.", answer.version, error)
+        logger.debug("rating: Rating request for {} failed: {}.", answer.version, error)
         context.metrics.count("ratings.missing", 1)
-        note_unrated(
+        record_unrated(
             context.tables,
             work.workspace,
             work.kind,
@@ -78,7 +78,7 @@
         )
         return None
 
-    note_rating(
+    record_rating(
         context.tables,
         work.workspace,
         work.kind,
@@ -98,7 +98,7 @@
     def decrement(_: object) -> None:
         context.pending_ratings -= 1
 
-    Deferred.fromCoroutine(rate_answer(context, response)).addBoth(decrement)
+    Deferred.fromCoroutine(rate_response(context, response)).addBoth(decrement)
 
 
 async def _fetch_rating(context: EntryContext, rating_request: RatingAsked) -> float:
--- a/src/waxwingwell/adapters/entry/resuming.py
+++ b/src/waxwingwell/adapters/entry/resuming.py
@@ -15,14 +15,14 @@
 from twisted.internet.task import deferLater
 
 from ...decisions.retries import may_retry
-from ...decisions.upstreams import note_dispatch
+from ...decisions.upstreams import record_dispatch
 from ...records import OutcomeKind
 from ...records import RowStatus
 from .attempts import find_row
 from .attempts import finish_attempt
 from .replies import Problem
 from .stream_runs import can_resume
-from .stream_runs import leave_upstream
+from .stream_runs import exclude_upstream
 from .streams import EventStream
 from .upstream_client import AttemptError
 from .upstream_client import UpstreamCall
@@ -122,7 +122,7 @@
         request=run.stream.request,
         priority=run.chosen.work.priority.value,
     )
-    note_dispatch(context.tables, upstream, run.chosen.work, now=context.clock())
+    record_dispatch(context.tables, upstream, run.chosen.work, now=context.clock())
     limit = context.settings.progress_timeout
     try:
         response = await send_call(context, row, call, limit=limit)
@@ -130,7 +130,7 @@
         finish_attempt(context, upstream, failed=True)
         logger.info("stream: {} not resumed: {}.", run.stream.request, error)
         if run.stream.last == 0:
-            leave_upstream(run)
+            exclude_upstream(run)
         else:
             delay = RESUME_DELAY * run.resumes
             await deferLater(context.reactor, delay, lambda: None)
@@ -142,7 +142,7 @@
 
     discard_response(response)
     finish_attempt(context, upstream, failed=response.code >= 500)
-    leave_upstream(run)
+    exclude_upstream(run)
     return None
 
 
--- a/src/waxwingwell/adapters/entry/web.py
+++ b/src/waxwingwell/adapters/entry/web.py
@@ -11,26 +11,26 @@
 
 from ...decisions.admission import admit
 from ...decisions.admission import release
-from ...decisions.retries import note_request
+from ...decisions.retries import record_request
 from ...decisions.tables import Refusal
 from ...decisions.tables import Work
 from ...records import VersionStatus
-from .chat_answers import run_chat
-from .chat_answers import start_request_span
-from .chat_answers import write_stored_response
+from .chat_responses import run_chat
+from .chat_responses import start_request_span
+from .chat_responses import write_stored_response
 from .chats import parse_chat
 from .checks import assert_outcome
 from .checks import check_lease
 from .guards import respond_to_problems
 from .placement import remove_from_queue
-from .reading import find_config
-from .reading import parse_service_call
-from .reading import read_body
-from .reading import read_headers
 from .replies import JSON
 from .replies import Problem
 from .replies import make_problem
 from .replies import write_problem
+from .request_parsing import find_config
+from .request_parsing import parse_service_call
+from .request_parsing import read_body
+from .request_parsing import read_headers
 from .services import run_service_call
 
 
@@ -40,7 +40,7 @@
 
 
 Request = Any
-"""A request of twisted.web, whose methods carry no types."""
+"""A ``twisted.web`` request, whose methods are untyped."""
 
 Handler = Callable[..., Any]
 METHODS = ("GET", "POST", "PUT", "DELETE", "PATCH")
@@ -179,7 +179,7 @@
         context.metrics.count(f"refused.{admitted.code}", 1)
         raise make_problem(admitted)
 
-    note_request(context.budget, now)
+    record_request(context.budget, now)
     context.running += 1
     request.notifyFinish().addErrback(
         lambda _: remove_from_queue(context, placements, work.request)
@@ -191,7 +191,7 @@
         raise
     finally:
         context.running -= 1
-        context.ran.discard(work.request)
+        context.attempted.discard(work.request)
         release(context.tables, work, context.clock())
         context.metrics.time("request", context.clock() - now)
 
--- a/src/waxwingwell/adapters/gateway/context.py
+++ b/src/waxwingwell/adapters/gateway/context.py
@@ -17,10 +17,10 @@
 from ...routing.messages import RolloutState
 from ...routing.messages import ServiceRepeats
 from ...routing.messages import UpstreamUse
+from ...routing.prefill_speed import SpeedTable
 from ...routing.prefixes import PrefixTable
 from ...routing.retries import RetryTable
 from ...routing.sessions import SessionTable
-from ...routing.speeds import SpeedTable
 from ..links import Link
 from ..links import LinkNode
 from .dialect import Dialect
@@ -38,7 +38,7 @@
     """Sum of the times to the first byte of successful responses."""
 
 
-class Running(Protocol):
+class RunningRequest(Protocol):
     """Interface of a running request to periodic tasks and the shutdown."""
 
     def check_responsiveness(self, now: float) -> None:
@@ -86,7 +86,7 @@
     """Time of the last byte received, by upstream."""
     retries: RetryTable = field(default_factory=RetryTable)
     tallies: dict[tuple[str, str], VersionTally] = field(default_factory=dict)
-    exchanges: set[Running] = field(default_factory=set)
+    exchanges: set[RunningRequest] = field(default_factory=set)
     """Running requests."""
     startup_queue: StartupQueue = field(default_factory=StartupQueue)
     """Requests queued until the first configuration."""
--- a/src/waxwingwell/adapters/gateway/dialect.py
+++ b/src/waxwingwell/adapters/gateway/dialect.py
@@ -24,7 +24,7 @@
     """Model that the caller names; ``*`` lets the gateway select one."""
     prompt_tokens: int = 0
     output_tokens: int = 0
-    parts: tuple[tuple[str, int], ...] = ()
+    prompt_blocks: tuple[tuple[str, int], ...] = ()
     """Prompt blocks in order, id and tokens; the last one is the request's own."""
     session: str = ""
     resume_after: str = ""
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class AnswerFacts:
+class ResponseFacts:
     """Properties of a response that its upstream states in headers."""
 
     not_run: bool
@@ -68,4 +68,4 @@
 
     read_request: Callable[[HeaderList], RequestFacts]
     write_request: Callable[[HeaderList, Dispatch], HeaderList]
-    read_answer: Callable[[int, HeaderList], AnswerFacts]
+    read_response: Callable[[int, HeaderList], ResponseFacts]
--- a/src/waxwingwell/adapters/links.py
+++ b/src/waxwingwell/adapters/links.py
@@ -67,7 +67,7 @@
     max_retry_pause: float = 0.2
     """Maximum pause before the next attempt."""
     first_attempt_factor: float = 1.0
-    """Factor on the two above at the first attempt; it doubles with each failure."""
+    """Factor on the two above at the first attempt; it doubles per failure, up to 1."""
 
 
 ROUTING_TIMING = LinkTiming(
@@ -88,9 +88,9 @@
 class LinkHandlers:
     """A node's handlers for calls and casts."""
 
-    take_call: Callable[[str, Any], Deferred[Message]]
+    handle_call: Callable[[str, Any], Deferred[Message]]
     """Handles a call, given its sender and body; returns the reply's body."""
-    take_cast: Callable[[str, Any], None]
+    handle_cast: Callable[[str, Any], None]
     """Handles a cast, given its sender and body."""
     body_type: Any
     """Union of the message types that this node can decode."""
@@ -149,7 +149,9 @@
             for item in self._unpacker:
                 self._handle_frame(msgspec.convert(item, type=Frame))
         except (msgspec.ValidationError, ValueError, msgpack.UnpackException) as error:
-            logger.warning("link: Malformed frame from {}: {}.", self.remote, error)
+            logger.warning(
+                "link: Closed the connection to {}: bad frame, {}.", self.remote, error
+            )
             self.abort()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
@@ -234,7 +236,7 @@
             cast("ITCPTransport", self.transport).abortConnection()
 
     @property
-    def answering(self) -> int:
+    def unanswered(self) -> int:
         """Number of calls received from the peer that have no reply yet."""
         return self._unanswered_calls
 
@@ -306,7 +308,7 @@
         elif isinstance(frame, Reply):
             self._handle_reply(frame)
         elif isinstance(frame, Cast):
-            self.node.handlers.take_cast(self.remote, self._decode_body(frame.body))
+            self.node.handlers.handle_cast(self.remote, self._decode_body(frame.body))
 
     def _handle_hello(self, hello: Hello) -> None:
         self._greeted = False
@@ -336,7 +338,9 @@
             # No reply can be sent any more, so the call must not run.
             return
 
-        reply = self.node.handlers.take_call(self.remote, self._decode_body(call.body))
+        reply = self.node.handlers.handle_call(
+            self.remote, self._decode_body(call.body)
+        )
 
         def send_reply(body: Message) -> None:
             self.send_frame(Reply(number=call.number, body=body))
@@ -371,9 +375,9 @@
         self._close_if_drained()
         # If not even heartbeats arrived meanwhile, waiting for the full idle timeout
         # would only delay the caller's next attempt.
-        self.replace_silent()
+        self.close_if_unresponsive()
 
-    def replace_silent(self) -> None:
+    def close_if_unresponsive(self) -> None:
         """Close the connection if nothing arrived within ``suspect_timeout``."""
         if self._seconds() - self._last_received_at > self.node.timing.suspect_timeout:
             logger.warning("link: Replaced the silent link to {}.", self.remote or "?")
@@ -484,10 +488,10 @@
     return link.protocol.call(body, timeout=timeout)
 
 
-def replace_silent_link(link: Link) -> None:
+def close_link_if_unresponsive(link: Link) -> None:
     """Replace a link's connection if nothing arrived within ``suspect_timeout``."""
     if link.protocol is not None:
-        link.protocol.replace_silent()
+        link.protocol.close_if_unresponsive()
 
 
 def cast_link(link: Link, body: Message) -> bool:
--- a/src/waxwingwell/adapters/registry/members.py
+++ b/src/waxwingwell/adapters/registry/members.py
@@ -53,7 +53,7 @@
     open_to_all=True,
     snapshot_bytes=1 << 20,
     snapshot_tail=50,
-    absent=2.0,
+    absence_timeout=2.0,
 )
 """Times are in seconds. A stalled disk or a short freeze of the leader costs at most
 about 0.9 s, and members that all start at once elect a leader after 0.45 s (with
@@ -62,7 +62,7 @@
 retransmitted after that time is not taken for a dead leader. A voter without contact is
 replaced after 2 s if a spare member is available: a VM that was replaced must not count
 as a voter for long, as two more may lose their disks once its successor has had 4 s."""
-LEAST_VOTERS = 5
+MIN_VOTERS = 5
 """Fewest voters if there are that many controls: one may be replaced while another is
 lost."""
 
@@ -87,7 +87,7 @@
             store=store,
             machine=make_machine(context),
             send=lambda member, message: send_message(context, member, message),
-            timing=replace(TIMING, most_voters=count_voters(settings.tolerated_losses)),
+            timing=replace(TIMING, max_voters=count_voters(settings.tolerated_losses)),
             random=random.SystemRandom(),
             now=context.clock(),
             heard_at=heard_at,
@@ -95,7 +95,7 @@
         )
     except CorruptStorageError as error:
         log_event(
-            "registry: Data is corrupt, erasing it to rejoin the group",
+            "registry: Data is unreadable, erasing it to rejoin the group",
             reason=str(error),
         )
         erase_data(context)
@@ -107,7 +107,7 @@
 
 def count_voters(losses: int) -> int:
     """Return the number of voters that keeps a majority after that many lost disks."""
-    return max(2 * losses + 1, LEAST_VOTERS)
+    return max(2 * losses + 1, MIN_VOTERS)
 
 
 def make_machine(context: RegistryContext) -> Machine:
@@ -274,7 +274,7 @@
     if group is None or not is_leading(context, context.clock()):
         return NotAccepted(reason="this control doesn't lead")
 
-    if group.replica.applied < group.replica.first_of_term:
+    if group.replica.applied < group.replica.term_start_index:
         return NotAccepted(reason="the new leader has not caught up yet")
 
     return RoutingNow(
--- a/src/waxwingwell/decisions/admission.py
+++ b/src/waxwingwell/decisions/admission.py
@@ -48,7 +48,10 @@
 
 
 def admit(tables: Tables, work: Work, now: float) -> Admitted | Refusal:
-    """Admit the work and count it, or refuse it and count nothing."""
+    """Admit the work and count it, or refuse it.
+
+    A refusal uses up no token; it counts only in the workspace's offered rate.
+    """
     config = tables.workspaces.get(work.workspace)
     if config is None:
         return Refusal("unknown_workspace", "the workspace is not configured", 403)
@@ -133,10 +136,10 @@
 
 def get_limit_share(demand: WorkspaceDemand) -> float:
     """Return this entry's share of the workspace's limits, by offered rate."""
-    if demand.elsewhere_rate <= 0.0:
+    if demand.other_entries_rate <= 0.0:
         return 1.0
 
-    return max(demand.rate / (demand.rate + demand.elsewhere_rate), MIN_SHARE)
+    return max(demand.rate / (demand.rate + demand.other_entries_rate), MIN_SHARE)
 
 
 def get_in_flight_limit(demand: WorkspaceDemand, limits: Limits) -> int:
@@ -146,8 +149,8 @@
     could take the same free capacity at once, so each takes at most its fair share of
     the limit and half of the free capacity beyond that.
     """
-    free = max(limits.max_in_flight - demand.elsewhere_in_flight, 0)
-    if demand.elsewhere_rate <= 0.0:
+    free = max(limits.max_in_flight - demand.other_entries_in_flight, 0)
+    if demand.other_entries_rate <= 0.0:
         return free
 
     fair_share = limits.max_in_flight * get_limit_share(demand)
@@ -162,7 +165,10 @@
 
 
 def release(tables: Tables, work: Work, now: float) -> None:
-    """Undo the counts of ``admit``; call it once for each admitted request."""
+    """Undo the in-flight counts of ``admit``, and release the request's claim.
+
+    Call it once for each admitted request. The token is not returned.
+    """
     release_claim(tables, work.request)
     demand = tables.demand.get(work.workspace)
     if demand is None:
--- a/src/waxwingwell/decisions/tables.py
+++ b/src/waxwingwell/decisions/tables.py
@@ -40,7 +40,7 @@
     """Consecutive failures."""
     ejected_until: float = 0.0
     prefixes: dict[str, float] = field(default_factory=dict)
-    """Time of the last request, by digest of its prompt prefixes."""
+    """When a prompt prefix was last sent to or reported by the upstream, by digest."""
     finished: list[float] = field(default_factory=list)
     """Times of this entry's completions since the load report, oldest first."""
     prefill_until: float = 0.0
@@ -52,7 +52,7 @@
     probing: bool = False
     """Whether it gets one request at a time after an ejection, until one succeeds."""
 
-    taken_at: float = 0.0
+    received_at: float = 0.0
     """When this entry received the announcement."""
 
 
@@ -83,8 +83,8 @@
     """When ``rate`` was last updated."""
     in_flight_by_priority: dict[Priority, int] = field(default_factory=dict)
     """This entry's admitted requests by priority."""
-    elsewhere_in_flight: int = 0
-    elsewhere_rate: float = 0.0
+    other_entries_in_flight: int = 0
+    other_entries_rate: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -166,14 +166,14 @@
     )
     upstreams: dict[UpstreamId, UpstreamRow] = field(default_factory=dict)
     demand: dict[WorkspaceId, WorkspaceDemand] = field(default_factory=dict)
-    distances: dict[str, float] = field(default_factory=dict)
+    one_way_seconds: dict[str, float] = field(default_factory=dict)
     """One-way seconds from this entry's data centre to each data centre."""
     waiting: dict[str, Waiting] = field(default_factory=dict)
     """Waiting queue, by request id."""
     claims: dict[str, UpstreamId] = field(default_factory=dict)
     """Upstream with a slot reserved, by request id."""
     enqueued: int = 0
-    """Number of requests enqueued so far, the number of the latest one."""
+    """Number of requests enqueued so far; the latest one has it as ``number``."""
     finish_rate: float = 0.0
     """Smoothed completions per second at this entry."""
     finish_rate_updated_at: float = 0.0
@@ -181,7 +181,7 @@
     """Upstreams by version or service; a hint, rebuilt by ``index_upstreams``."""
     recent_upstreams: dict[str, dict[UpstreamId, float]] = field(default_factory=dict)
     """Upstreams that recently received a prompt prefix, by digest; a hint."""
-    rating_heard_at: float = 0.0
+    last_rating_at: float = 0.0
     """When the last rating arrived; stale ratings make decisions conservative."""
     rating_price: float = 0.0
     """Price of one rating in micro-units."""
--- a/src/waxwingwell/records.py
+++ b/src/waxwingwell/records.py
@@ -278,11 +278,11 @@
     OPEN = "open"
     SETTLED = "settled"
     UNKNOWN = "unknown"
-    """Its entry died when a non-idempotent request may already have been dispatched."""
+    """A non-idempotent request may have run; also the status after its entry died."""
 
 
 @dataclass(frozen=True, slots=True)
-class StoredAnswer:
+class StoredResponse:
     """Stored response of a settled non-idempotent request, for replay."""
 
     status: int
@@ -310,7 +310,7 @@
     status: RowStatus = RowStatus.OPEN
     outcome: OutcomeKind = OutcomeKind.FAILED
     usage: Usage = Usage()
-    answer: StoredAnswer | None = None
+    answer: StoredResponse | None = None
     settled_at: float = 0.0
 
 
--- a/src/waxwingwell/routing/models.py
+++ b/src/waxwingwell/routing/models.py
@@ -28,8 +28,9 @@
 """Scale of the logistic curve: one scale above the midpoint, about a quarter of the
 responses are poor."""
 TOKEN_VALUE = 0.006
-"""Value of a response per output token that the caller allows, in the unit of the
-models' prices per thousand tokens; callers allow more where they expect more."""
+"""Value of a response per output token that the caller allows, in the currency of the
+models' prices, which are per thousand tokens; callers allow more where they expect
+more."""
 MIN_PRICE = 0.03
 """Least price of an escalation, as a part of the response's value, as the request is
 sent once more."""
@@ -59,7 +60,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Stake:
+class EscalationInputs:
     """Inputs of the decision on an escalation: its expected cost and gain."""
 
     output_tokens: int
@@ -77,7 +78,7 @@
     """Share of the larger model's engines' time spent on prefill."""
 
 
-def is_sized(route: Route, wanted: str) -> bool:
+def has_model_choice(route: Route, wanted: str) -> bool:
     """Return whether the gateway chooses the model."""
     return len(route.models) > 0 and wanted == ANY_MODEL
 
@@ -89,26 +90,26 @@
 
 def find_pool(route: Route, wanted: str, model: str) -> Pool:
     """Return the pool of engines for a model; any, unless the gateway chose it."""
-    if not is_sized(route, wanted) or len(route.models) < 2:
+    if not has_model_choice(route, wanted) or len(route.models) < 2:
         return Pool.ANY
 
     return Pool.SMALL if model == first_model(route) else Pool.LARGE
 
 
-def wants_larger(confidence: float, stake: Stake) -> bool:
+def should_escalate(confidence: float, inputs: EscalationInputs) -> bool:
     """Return whether to escalate to a larger model after the smallest one's response.
 
     The gain must exceed the price, both as parts of a good response's value. The price
     rises with the usage of the engines, most for long prompts with short responses, as
     a prefill stalls all streams of its engine.
     """
-    on_time = estimate_on_time_probability(stake.pressure)
+    on_time = estimate_on_time_probability(inputs.pressure)
     larger = LATE_VALUE + (1.0 - LATE_VALUE) * on_time
     gain = larger - (1.0 - estimate_poor_probability(confidence))
-    return gain > find_price(stake)
+    return gain > estimate_price(inputs)
 
 
-def weigh_size(
+def update_request_weight(
     typical_sizes: dict[str, float], route: str, prompt_tokens: int, output_tokens: int
 ) -> float:
     """Return a request's value relative to its route's typical request.
@@ -132,13 +133,13 @@
     return min(max((LATE_PRESSURE - pressure) / range_width, 0.0), 1.0)
 
 
-def find_price(stake: Stake) -> float:
+def estimate_price(inputs: EscalationInputs) -> float:
     """Return the price of an escalation, as a part of a good response's value."""
-    value = TOKEN_VALUE * max(stake.output_tokens, 1) * stake.weight
+    value = TOKEN_VALUE * max(inputs.output_tokens, 1) * inputs.weight
     billed_tokens = (
-        TYPICAL_OUTPUT_PART * stake.output_tokens
-        + PREFILL_PRICE_PART * stake.prompt_tokens
+        TYPICAL_OUTPUT_PART * inputs.output_tokens
+        + PREFILL_PRICE_PART * inputs.prompt_tokens
     )
-    excess = max(stake.usage - UNCONTENDED_USAGE, 0.0)
-    contention = CONTENTION_PRICE * excess * excess * stake.uncached
-    return max((stake.cost * billed_tokens / 1000.0 + contention) / value, MIN_PRICE)
+    excess = max(inputs.usage - UNCONTENDED_USAGE, 0.0)
+    contention = CONTENTION_PRICE * excess * excess * inputs.uncached
+    return max((inputs.cost * billed_tokens / 1000.0 + contention) / value, MIN_PRICE)
--- a/src/waxwingwell/routing/sessions.py
+++ b/src/waxwingwell/routing/sessions.py
@@ -14,8 +14,8 @@
 
 from .rollouts import FIRST_SHARE
 from .rollouts import MIGRATION_SHARE
-from .rollouts import hash_place
-from .rollouts import share_of
+from .rollouts import hash_session
+from .rollouts import position_to_share
 
 
 if TYPE_CHECKING:
@@ -48,10 +48,10 @@
     share, by the time of its order."""
     settled: set[float] = field(default_factory=set)
     """Roll-outs, by the time of order, for which ``kept`` is complete: every gateway
-    knew their first share before it was reported."""
+    knew their first share before ``kept`` was reported."""
 
 
-def begin_session(
+def start_session(
     table: SessionTable, service: str, session: str, version: str, now: float
 ) -> None:
     """Record that a session's request is sent to a version."""
@@ -60,7 +60,7 @@
     record_session(table, key, version, now)
 
 
-def end_session(
+def finish_session(
     table: SessionTable, service: str, session: str, version: str, now: float
 ) -> None:
     """Record that a session's request has ended."""
@@ -82,10 +82,13 @@
         table.last.popitem(last=False)
 
 
-def find_last(
+def find_last_version(
     table: SessionTable, key: SessionKey, now: float
 ) -> tuple[str, float] | None:
-    """Return a session's last version at this gateway, and the time of its use."""
+    """Return a session's last version at this gateway, and the time of its last use.
+
+    That time is ``now`` while a request of the session is in flight.
+    """
     last = table.last.get(key)
     if last is None or key not in table.running:
         return last
@@ -93,7 +96,7 @@
     return last[0], now
 
 
-def list_kept(
+def list_kept_sessions(
     table: SessionTable,
     rollouts: Iterable[RolloutState],
     session_life: float,
@@ -111,8 +114,11 @@
         if rollout is None or key not in table.last:
             continue
 
-        position = hash_place(rollout, session)
-        if table.last[key][0] != rollout.target and share_of(position) < FIRST_SHARE:
+        position = hash_session(rollout, session)
+        if (
+            table.last[key][0] != rollout.target
+            and position_to_share(position) < FIRST_SHARE
+        ):
             positions.add(position)
 
     return tuple(positions)
@@ -121,7 +127,11 @@
 def list_live_sessions(
     table: SessionTable, session_life: float, now: float
 ) -> Iterator[SessionKey]:
-    """Yield the sessions that are still active at this gateway."""
+    """Yield the sessions that are still active at this gateway.
+
+    A session is active while a request is in flight, and for ``session_life`` seconds
+    after the last one; a request in that time belongs to the same session.
+    """
     yield from table.running
     for key in reversed(table.last):
         if now - table.last[key][1] > session_life:
@@ -135,7 +145,7 @@
     return rollout.state == "in_progress" and rollout.share < MIGRATION_SHARE
 
 
-def note_moves(
+def record_rollouts(
     table: SessionTable, rollouts: Iterable[RolloutState], index: int
 ) -> None:
     """Record the index in the controls' log at which first shares became known."""
@@ -150,7 +160,7 @@
     table.settled &= active
 
 
-def take_kept(table: SessionTable, kept: Iterable[int], held: int) -> None:
+def apply_kept_sessions(table: SessionTable, kept: Iterable[int], held: int) -> None:
     """Store the sessions that all gateways together keep on a former version.
 
     ``held`` is the lowest index in the controls' log among the gateways. A roll-out is
--- a/src/waxwingwell/state/consensus/lease.py
+++ b/src/waxwingwell/state/consensus/lease.py
@@ -43,7 +43,7 @@
 
 
 def holds_lease(replica: Replica, now: float) -> bool:
-    """Return whether this member is the leader and no other can be at this time.
+    """Return whether this member holds the lease, so that no other can hold one now.
 
     A leader that was suspended or partitioned finds ``now`` past the end of its
     lease, even before it receives any message of a new leader.
@@ -51,7 +51,7 @@
     if replica.role is not Role.LEADER or replica.lease_released:
         return False
 
-    if replica.commit < replica.first_of_term:
+    if replica.commit < replica.term_start_index:
         return False
 
     duration = replica.timing.election_min * (1 - replica.timing.drift)
--- a/src/waxwingwell/state/consensus/replication.py
+++ b/src/waxwingwell/state/consensus/replication.py
@@ -49,9 +49,9 @@
     replica.progress.clear()
     if replica.membership_index == 0:
         data = msgspec.msgpack.encode(replica.membership)
-        replica.first_of_term = append_entry(replica, EntryKind.MEMBERSHIP, data)
+        replica.term_start_index = append_entry(replica, EntryKind.MEMBERSHIP, data)
     else:
-        replica.first_of_term = append_entry(replica, EntryKind.NO_OP, b"")
+        replica.term_start_index = append_entry(replica, EntryKind.NO_OP, b"")
 
     track_members(replica)
 
@@ -187,7 +187,7 @@
 
 
 def record_match(replica: Replica, progress: Progress, match: int) -> None:
-    """Record up to where a member holds the log durably; advance the commit."""
+    """Record up to where a member holds the log durably; advance the commit index."""
     if match < progress.match:
         return
 
@@ -250,7 +250,7 @@
     return progress.match if progress else 0
 
 
-def leave_if_removed(replica: Replica, now: float) -> None:
+def step_down_if_removed(replica: Replica, now: float) -> None:
     """Step down once this member's own removal is committed."""
     if replica.role is not Role.LEADER or is_voter(replica):
         return
@@ -266,9 +266,9 @@
     hold one, so the lease is released for the rest of the term first.
 
     The whole log must be committed, too. If the target held a command before a
-    majority did, its election would end the term: the proposer would be notified of
-    a lost command that is then applied. No proposals are accepted during a transfer,
-    so all are committed soon if a majority responds.
+    majority did, its election would end the term: the proposer would be notified that
+    the command was lost, although it is then applied. No proposals are accepted during
+    a transfer, so all are committed soon if a majority responds.
     """
     transfer = replica.transfer
     if transfer is None or transfer.sent:
--- a/src/waxwingwell/state/ledger.py
+++ b/src/waxwingwell/state/ledger.py
@@ -12,7 +12,7 @@
 from sys import intern
 from typing import TYPE_CHECKING
 
-from ..invariants import Promise
+from ..invariants import Invariant
 from ..invariants import check
 from ..messages import AlreadyOpen
 from ..messages import AlreadySettled
@@ -30,7 +30,7 @@
 from ..records import VersionId
 from ..records import WorkspaceId
 from .attempts import has_ended
-from .attempts import note_ended
+from .attempts import record_ended
 from .retention import advance_clock
 from .retention import bill_row
 from .retention import close_row
@@ -79,7 +79,7 @@
     if not may_reopen(ledger, existing, row):
         return AlreadySettled(row=existing)
 
-    note_ended(ledger, existing.request)
+    record_ended(ledger, existing.request)
     return _open_row(ledger, row)
 
 
@@ -140,7 +140,7 @@
     row_key = (row.workspace, row.key)
     before = ledger.rows.get(row_key)
     check(
-        Promise.AT_MOST_ONCE,
+        Invariant.AT_MOST_ONCE,
         before is None or before.outcome is OutcomeKind.NOT_RUN,
         lambda: f"{row_key} reopened after {before and before.outcome}",
     )
@@ -150,7 +150,7 @@
 
 
 def _is_blank(row: LedgerRow) -> bool:
-    """Return whether a row is open without outcome fields, which saves a copy."""
+    """Return whether a row is open without outcome fields, so it needs no copy."""
     return (
         row.status is RowStatus.OPEN
         and row.outcome is OutcomeKind.FAILED
@@ -191,19 +191,19 @@
 
     row = ledger.rows.get(row_key)
     if row is None:
-        note_ended(ledger, command.request)
+        record_ended(ledger, command.request)
         text = "no row under this key; it was never reserved or is past its retention"
         return Rejected(findings=(Finding("key", text),))
 
     if row.request != command.request:
-        note_ended(ledger, command.request)
+        record_ended(ledger, command.request)
         return Settled(row=row, changed=False)
 
     if row.status is not RowStatus.OPEN and ledger.swept.get(row_key) != row.request:
         return Settled(row=row, changed=False)
 
     not_billed = row.status is RowStatus.OPEN or row_key in ledger.swept
-    check(Promise.BILLED_ONCE, not_billed, lambda: f"{row_key} settled twice")
+    check(Invariant.BILLED_ONCE, not_billed, lambda: f"{row_key} settled twice")
     settled = close_row(ledger, row_key, _make_settled_row(ledger, row, command))
     bill_row(ledger, row_key, settled)
     return Settled(row=settled, changed=True)
@@ -212,7 +212,7 @@
 def _open_carried_row(
     ledger: Ledger, command: Settle, row: LedgerRow
 ) -> Rejected | None:
-    """Open the row included in a settle, if its workspace and key match."""
+    """Open the row included in a settle; return a rejection if that is not possible."""
     if (row.workspace, row.key) != (command.workspace, command.key):
         text = "the row brought along has another workspace or key"
         return Rejected(findings=(Finding("row", text),))
@@ -252,12 +252,12 @@
     others as possibly run.
     """
     advance_clock(ledger, command.at)
-    places = [
+    row_keys = [
         row_key
         for row_key, incarnation in ledger.open_rows.get(command.entry, {}).items()
         if incarnation < command.below_incarnation
     ]
-    for row_key in places:
+    for row_key in row_keys:
         row = ledger.rows[row_key]
         outcome = OutcomeKind.FAILED if row.repeatable else OutcomeKind.MAY_HAVE_RUN
         status = RowStatus.SETTLED if row.repeatable else RowStatus.UNKNOWN
@@ -265,7 +265,7 @@
         close_row(ledger, row_key, closed)
         ledger.swept[row_key] = row.request
 
-    return Swept(rows=len(places))
+    return Swept(rows=len(row_keys))
 
 
 def list_open_entries(ledger: Ledger) -> dict[EntryId, OpenIncarnations]:
--- a/src/waxwingwell/state/membership.py
+++ b/src/waxwingwell/state/membership.py
@@ -13,7 +13,7 @@
 
 from ..decisions.load import trim_times
 from ..decisions.tables import UpstreamRow
-from ..invariants import Promise
+from ..invariants import Invariant
 from ..invariants import check
 from ..messages import SpreadAnnouncements
 
@@ -34,7 +34,7 @@
 """Maximum tombstones; those whose lease expired first are dropped beyond it."""
 
 
-def get_lease(announcement: Announcement) -> float:
+def get_lease_seconds(announcement: Announcement) -> float:
     """Return the lease in seconds that an announcement is granted."""
     return max(0.0, min(announcement.lease, MAX_LEASE))
 
@@ -44,19 +44,20 @@
     return announcement.incarnation, announcement.leaving, announcement.sequence
 
 
-def take_announcement(
+def apply_announcement(
     tables: Tables, announcement: Announcement, age: float, now: float
 ) -> bool:
-    """Apply an announcement made ``age`` seconds ago; return whether it was applied.
+    """Apply an announcement; return whether it changed anything.
 
-    A delayed announcement that arrives after its upstream left or restarted would
+    ``age`` is the number of seconds since an entry received it from its upstream. A
+    delayed announcement that arrives after its upstream left or restarted would
     otherwise make the upstream available again, so that new work goes to a process that
     no longer runs. Therefore only a higher rank is applied, a tombstone keeps the rank
     of an upstream that left, and an announcement whose lease expired in transit never
     adds an upstream.
     """
     announced_at = now - max(0.0, age)
-    expires_at = announced_at + get_lease(announcement)
+    expires_at = announced_at + get_lease_seconds(announcement)
     row = tables.upstreams.get(announcement.upstream)
     if row is not None and not _is_newer(announcement, row.announcement):
         return False
@@ -71,7 +72,7 @@
         _reset_incarnation(row)
 
     _replace_announcement(row, announcement, expires_at, announced_at)
-    row.taken_at = now
+    row.received_at = now
     return True
 
 
@@ -99,7 +100,7 @@
     returned = row.left and not announcement.leaving
     same = row.announcement.incarnation == announcement.incarnation
     check(
-        Promise.NO_NEW_WORK_WHEN_LEAVING,
+        Invariant.NO_NEW_WORK_WHEN_LEAVING,
         not (returned and same and row.announcement.leaving),
         lambda: f"{announcement.upstream} became available again after it left",
     )
@@ -120,7 +121,7 @@
 
     row.announcement = replace(row.announcement, leaving=True)
     row.left = True
-    row.taken_at = now
+    row.received_at = now
     return True
 
 
@@ -152,7 +153,7 @@
             del tables.upstreams[upstream]
 
 
-def list_spread(tables: Tables, since: float, now: float) -> SpreadAnnouncements:
+def make_relay_message(tables: Tables, since: float, now: float) -> SpreadAnnouncements:
     """Return the announcements applied after ``since``, to relay to other entries.
 
     Upstreams that left are included; those whose lease expired are not, because every
@@ -162,7 +163,7 @@
     rows = [
         row
         for row in tables.upstreams.values()
-        if row.taken_at > since and (row.announcement.leaving or not row.left)
+        if row.received_at > since and (row.announcement.leaving or not row.left)
     ]
     return SpreadAnnouncements(
         announcements=tuple(row.announcement for row in rows),
@@ -172,15 +173,15 @@
 
 def _get_announced_at(row: UpstreamRow) -> float:
     """Return when the upstream made its announcement, by this entry's clock."""
-    return row.expires_at - get_lease(row.announcement)
+    return row.expires_at - get_lease_seconds(row.announcement)
 
 
-def take_spread(
+def apply_relayed_announcements(
     tables: Tables, message: SpreadAnnouncements, delay: float, now: float
 ) -> int:
     """Apply announcements relayed in ``delay`` seconds; return how many were new."""
     pairs = zip(message.announcements, message.ages, strict=True)
     return sum(
-        take_announcement(tables, announcement, age + delay, now)
+        apply_announcement(tables, announcement, age + delay, now)
         for announcement, age in pairs
     )
--- a/src/waxwingwell/state/retention.py
+++ b/src/waxwingwell/state/retention.py
@@ -11,10 +11,10 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING
 
-from ..invariants import Promise
+from ..invariants import Invariant
 from ..invariants import check
 from ..records import RowStatus
-from .attempts import note_ended
+from .attempts import record_ended
 from .attempts import rotate_ended
 from .bills import add_row
 from .rows import Retained
@@ -85,7 +85,7 @@
     """Add a row to its bill, once: when its entry settles it, or when it is dropped."""
     ledger.swept.pop(row_key, None)
     check(
-        Promise.BILLED_ONCE,
+        Invariant.BILLED_ONCE,
         row.status is not RowStatus.OPEN,
         lambda: f"{row_key} billed while open",
     )
@@ -141,5 +141,5 @@
         if row.answer is not None:
             ledger.response_bytes -= len(row.answer.body)
 
-        note_ended(ledger, row.request)
+        record_ended(ledger, row.request)
         del ledger.rows[row_key]
--- a/src/waxwingwell_standins/relay.py
+++ b/src/waxwingwell_standins/relay.py
@@ -36,6 +36,7 @@
 
     settings: RelaySettings
     delay: float
+    """Seconds by which each chunk of data on new connections is delayed."""
     refuse: bool = False
     """Abort each new connection immediately."""
     blackhole: bool = False
@@ -131,11 +132,11 @@
                 request, status=400, code="bad_order", message=str(error)
             )
 
-        obey_faults(relay, order)
+        apply_faults(relay, order)
         return reply_json(request, {"open": len(relay.pipes.pairs)})
 
 
-def obey_faults(relay: Relay, order: RelayOrder) -> None:
+def apply_faults(relay: Relay, order: RelayOrder) -> None:
     """Apply the faults of an order."""
     if order.silence:
         relay.silence()
--- a/tests/adapters/registry/test_stop.py
+++ b/tests/adapters/registry/test_stop.py
@@ -15,9 +15,9 @@
 from twisted.internet.task import LoopingCall
 
 from tests.adapters.transports import BufferedTransport
-from tests.adapters.transports import carry
-from tests.adapters.transports import join
-from tests.routing.factories import make_news
+from tests.adapters.transports import connect_protocols
+from tests.adapters.transports import deliver_bytes
+from tests.routing.factories import make_announcement
 from waxwingwell.adapters import events
 from waxwingwell.adapters.http.records import HttpLimits
 from waxwingwell.adapters.http.records import HttpRequest
@@ -35,7 +35,7 @@
 from waxwingwell.adapters.registry.context import RegistryBody
 from waxwingwell.adapters.registry.daemon import RegistryDaemon
 from waxwingwell.adapters.registry.daemon import run_tick
-from waxwingwell.adapters.registry.hub import take_cast
+from waxwingwell.adapters.registry.hub import handle_cast
 from waxwingwell.routing.messages import Accepted
 from waxwingwell.routing.messages import ReadRouting
 from waxwingwell.routing.messages import ShareNews
@@ -74,7 +74,7 @@
         self.received: list[Any] = []
         self.ended: list[float] = []
         self.links: list[BufferedTransport] = []
-        node = self.make_node("127.0.0.1", partial(take_cast, self.context))
+        node = self.make_node("127.0.0.1", partial(handle_cast, self.context))
         self.context.node = node
         peer = self.make_node("127.0.0.2", lambda _, body: self.received.append(body))
         self.context.controls = {"127.0.0.2": self.connect(node, peer)}
@@ -89,7 +89,7 @@
             [self.port],
             LoopingCall(run_tick, self.context),
         )
-        carry(*self.links)
+        deliver_bytes(*self.links)
 
     def make_node(self, name: str, cast_handler: Any) -> LinkNode:
         """Return the shared state of one process's links."""
@@ -97,7 +97,9 @@
             name=name,
             reactor=self.clock,
             handlers=LinkHandlers(
-                take_call=self.take_call, take_cast=cast_handler, body_type=RegistryBody
+                handle_call=self.handle_call,
+                handle_cast=cast_handler,
+                body_type=RegistryBody,
             ),
             timing=ROUTING_TIMING,
         )
@@ -107,13 +109,13 @@
         near, far = LinkProtocol(source), LinkProtocol(target)
         target.accepted.add(far)
         far.closed.addCallback(lambda _: target.accepted.discard(far))
-        self.links += join(near, far)
+        self.links += connect_protocols(near, far)
         link = Link(source, target.name, connect=lambda factory: Deferred())
         link.protocol = near
         near.closed.addCallback(lambda _: setattr(link, "protocol", None))
         return link
 
-    def take_call(self, sender: str, body: Any) -> Deferred[Message]:
+    def handle_call(self, sender: str, body: Any) -> Deferred[Message]:
         """Keep a call pending until the test replies."""
         reply: Deferred[Message] = Deferred()
         self.calls.append(reply)
@@ -144,7 +146,7 @@
         protocol: Any = self.peer_link.protocol
         reply = protocol.call(ReadRouting(), timeout=60.0)
         reply.addCallbacks(results.append, lambda one: results.append(one.value))
-        carry(*self.links)
+        deliver_bytes(*self.links)
         return results
 
     def stop(self) -> None:
@@ -180,7 +182,7 @@
     def run(self, seconds: float, *, drain: tuple[BufferedTransport, ...] = ()) -> None:
         """Advance the clock while the transports in ``drain`` send their bytes."""
         for _ in range(round(seconds / 0.05)):
-            carry(*drain)
+            deliver_bytes(*drain)
             self.clock.advance(0.05)
 
 
@@ -236,8 +238,8 @@
         requests to an upstream that has gone.
         """
         fixture = Fixture()
-        announce(fixture.context, make_news("u1"))
-        carry(*fixture.links)
+        announce(fixture.context, make_announcement("u1"))
+        deliver_bytes(*fixture.links)
         fixture.received.clear()
         caller = fixture.open_caller(DEREGISTRATION)
         caller.drain()
--- a/tests/adapters/test_endings.py
+++ b/tests/adapters/test_endings.py
@@ -14,15 +14,15 @@
 from twisted.internet.task import LoopingCall
 
 from tests.adapters.transports import BufferedTransport
-from tests.adapters.transports import carry
-from tests.adapters.transports import join
-from waxwingwell.adapters import endings
-from waxwingwell.adapters.bodies import Body
+from tests.adapters.transports import connect_protocols
+from tests.adapters.transports import deliver_bytes
+from waxwingwell.adapters import shutdown
+from waxwingwell.adapters.connection_tracking import ConnectionTrackingSite
 from waxwingwell.adapters.control import daemon as control
-from waxwingwell.adapters.control.admin import guard
-from waxwingwell.adapters.counting import CountingSite
+from waxwingwell.adapters.control.admin import require_operator
 from waxwingwell.adapters.entry import daemon as entry
-from waxwingwell.adapters.entry.upkeep import Upkeep
+from waxwingwell.adapters.entry.periodic import PeriodicTasks
+from waxwingwell.adapters.link_messages import Body
 from waxwingwell.adapters.links import LinkHandlers
 from waxwingwell.adapters.links import LinkNode
 from waxwingwell.adapters.links import LinkProtocol
@@ -69,13 +69,13 @@
         self.protocol = LinkProtocol(self.node)
         self.node.accepted.add(self.protocol)
         self.protocol.closed.addCallback(lambda _: self.node.accepted.clear())
-        self.link = join(self.protocol, self.peer)
+        self.link = connect_protocols(self.protocol, self.peer)
         key = OperatorKey(name="operator", digest=hash_key(KEY))
         self.context: Any = SimpleNamespace(
             settings=SimpleNamespace(node="near", operators=(key,)),
             reactor=self.clock,
             clock=self.clock.seconds,
-            answering=0,
+            unanswered=0,
             flush_due=False,
             links={},
             group=SimpleNamespace(
@@ -86,7 +86,7 @@
             traces=SimpleNamespace(close=lambda: None),
         )
         self.site = self.make_site()
-        carry(*self.link)
+        deliver_bytes(*self.link)
 
     def make_node(self, name: str) -> LinkNode:
         """Return the shared state of one process's links."""
@@ -94,14 +94,14 @@
             name=name,
             reactor=self.clock,
             handlers=LinkHandlers(
-                take_call=self.take_call,
-                take_cast=lambda sender, body: self.received_casts.append(body),
+                handle_call=self.handle_call,
+                handle_cast=lambda sender, body: self.received_casts.append(body),
                 body_type=Body,
             ),
             timing=LinkTiming(),
         )
 
-    def make_site(self) -> CountingSite:
+    def make_site(self) -> ConnectionTrackingSite:
         """Return a site whose requests of known operators the test answers."""
         app = Klein()
 
@@ -110,10 +110,10 @@
             self.requests.append(response)
             return await response
 
-        app.route("/")(guard(self.context)(wait))
-        return CountingSite(app.resource(), reactor=self.clock)
+        app.route("/")(require_operator(self.context)(wait))
+        return ConnectionTrackingSite(app.resource(), reactor=self.clock)
 
-    def take_call(self, sender: str, body: Any) -> Deferred[Message]:
+    def handle_call(self, sender: str, body: Any) -> Deferred[Message]:
         """Store a call until the test answers it."""
         reply: Deferred[Message] = Deferred()
         self.calls.append(reply)
@@ -137,7 +137,7 @@
         reply.addCallbacks(
             results.append, lambda failure: results.append(failure.value)
         )
-        carry(*self.link)
+        deliver_bytes(*self.link)
         return results
 
     def stop_control(self) -> Deferred[None]:
@@ -156,7 +156,7 @@
         daemon = entry.EntryDaemon(
             context=self.context,
             node=self.node,
-            upkeep=Upkeep(),
+            periodic_tasks=PeriodicTasks(),
             placements=cast("Any", None),
             caller_port=Port(),
             upstream_port=Port(self.site),
@@ -168,7 +168,7 @@
     def run(self, seconds: float, *drain: BufferedTransport) -> None:
         """Advance the clock while the bytes on ``drain`` are sent."""
         for _ in range(round(seconds / 0.05)):
-            carry(*drain)
+            deliver_bytes(*drain)
             self.clock.advance(0.05)
 
 
@@ -197,7 +197,7 @@
         process.run(0.5, caller)
         self.assertTrue(stopped.called)
         self.assertTrue(caller.sent.endswith(b"accepted\r\n0\r\n\r\n"))
-        self.assertEqual(process.context.answering, 0)
+        self.assertEqual(process.context.unanswered, 0)
 
     def test_a_running_call_is_answered(self) -> None:
         """A control stops while it commits an entry's settle.
@@ -222,7 +222,7 @@
         process.open_caller()
         process.call()
         stopped = process.stop_control()
-        process.run(control.ANSWER_LIMIT + 2 * endings.CLOSE_LIMIT + 0.1)
+        process.run(control.RESPONSE_LIMIT + 2 * shutdown.CLOSE_TIMEOUT_SECONDS + 0.1)
         self.assertTrue(stopped.called)
 
 
